--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -1,10 +1,10 @@
 """All decisions of a sidecar balancer: which endpoint serves a request, and what follows.
 
-The events that go in, the actions that come out and the settings are in interface.py. The design
-is health-weighted smooth round-robin; docs/design.md says what was kept, what was changed and when
-each exception acts. Reading order: membership, health and weights, pick, request lifecycle,
-admission.
+The input events, the output actions and the settings are in interface.py. The design is health-weighted
+smooth round-robin; docs/design.md lists what it keeps and changes of the published algorithm and when each
+special case applies. Order of this file: membership, health and weights, pick, request lifecycle, admission.
 Nothing here reads a clock or does I/O; the same seed and events give the same actions.
+All times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -49,90 +49,103 @@
 )
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.retry_budget import RetryBudget
-from garnethaven.records import Attempt, Many, PendingRequest, Server
+from garnethaven.records import Attempt, LargePool, PendingRequest, Server
 from garnethaven.recovery.cold import COLD_PART, likely, warmth_of
 from garnethaven.turns import Turns
 
-BETA = 0.8  # share of weight lost by each consecutive error; a sidecar sees too few for the paper's 0.1
-DENSE_BETA = 0.3  # the same where it sees many: one error in a burst must not empty a server
-DENSE = 4.0  # requests a second to each server from which on errors weigh less
-FLOOR = 0.05  # a penalised server keeps this multiple of its weight: enough to be seen to recover
-SLOW = 3.0  # an answer this many times slower than usual counts as an error
-USUAL_MEMORY = 32  # answers over which the usual time is smoothed
-KEY_SLACK = 0.8  # share of a full round by which a key's server may be ahead of its turn
-HOME_SPARE = 1.3  # a zone carries its part while it keeps this inverse share of its capacity
-SIDECARS_PER_ZONE = 24  # in a smaller fleet zones have more sidecars than their part by chance
-MANY = 64  # servers from which on turns are a tree's, and a change touches its own path only
-MANY_REFRESHES = 2  # of all their weights in a ramp: what concerns all of them moves slowly
-SPARE_SEATS = 8  # one seat in so many is left for newcomers
-DRAWN = 16  # servers that a retry chooses from among many
-SHARE_BURST = 4.0  # requests that a tenant may be ahead of its share
-NEVER = -(1 << 62)  # a time before any
-COPY_SHARE = 0.05  # second copies for each request, at the most
-HEDGE_MEETINGS = 4.0  # with a server in the half-life of an error: more, and its trouble is known by them
-COPY_BURST = 5.0  # copies that may be saved up
-PACE_MEMORY = 24  # answers over which the pace of a kind of machine is smoothed
-OWN_MEMORY = 64  # the same for one server; so many of its answers count as much as its kind
-OWN_LEAST = 8.0  # the same for a server that is seldom met
-OWN_DOUBT = 2.0  # answers of such a one that count as much as its kind: others make good what it leans
-OWN_SECONDS = 16.0  # in between, the answers of so many: what takes a part of a server comes and goes
-REFRESHES = 50  # weights are recomputed this many times in a ramp, no oftener: they change slowly
-QUIET_REFRESHES = 8  # the same while nobody is cold or penalised
-
-# Outcomes that tell nothing of the server. Kept connections that end early would have one left out that is
-# seldom asked: the less it got the more of them had ended. One that has died refuses the next connection.
-NO_FAULT = frozenset({Outcome.CANCELLED, Outcome.SKIPPED, Outcome.BAD_REQUEST, Outcome.STALE})
-RETRY_PART = 3  # of the time left to the aim, after which a refused client should come back
-# Of a window, in which a repeat has to arrive and end; the rest is for its way there.
-WINDOW_PART = 0.9
-GOLDEN = 0.6180339887498949  # of a span from slot to slot: whichever begin together are spread evenly
-# After a call to discovery that failed. With the calls before and after it (limits/lists.py) it has to end
-# before news counts as told, 6 s after discovery can be reached again. It would do harm where turning callers
-# away costs discovery much.
-FAILED_PAUSE_MOST = 2_000_000_000
-FULL_SPREAD = 25  # sidecars whose calls to discovery need all the time that rules allow
+# Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
+# too few answers of one server for that.
+ERROR_PENALTY = 0.8
+MIN_ERROR_PENALTY = 0.3  # at high request rates: one error in a burst must not empty a server
+HIGH_REQUEST_RATE = 4.0  # requests per second and server above which the error penalty shrinks
+MIN_HEALTH = 0.05  # share of its weight that a penalised server keeps, so that its recovery is noticed
+SLOW_FACTOR = 3.0  # an answer slower than this multiple of the latency estimate counts as an error
+LATENCY_WINDOW = 32  # answers over which the latency estimate of a request class is smoothed
+MAX_AFFINITY_LEAD = 0.8  # rounds by which a server may be picked ahead of its turn for a key
+# The local zone keeps all its requests while its weight is at least 1 / LOCAL_ZONE_HEADROOM of an even share.
+LOCAL_ZONE_HEADROOM = 1.3
+MIN_SIDECARS_PER_ZONE = 24  # in smaller fleets the sidecars are spread unevenly over zones by chance
+MANY = 64  # larger pools use a tree for round-robin, where a change updates one path only
+LARGE_POOL_REWEIGHTS_PER_RAMP = 2  # of all weights: what affects all of them changes slowly
+SPARE_LEAF_DIVISOR = 8  # a tree is built with 1/8 more leaves than servers, for servers that join later
+RETRY_SAMPLE_SIZE = 16  # servers of a large pool that a retry chooses from
+MAX_TENANT_CREDIT = 4.0  # requests that a tenant may be ahead of its share
+DISTANT_PAST = -(1 << 62)
+HEDGES_PER_REQUEST = 0.05  # hedge tokens earned by each request
+# A sidecar that sends a server this many requests per half-life of an error doesn't hedge: the errors counted
+# for the server already show that it is slow.
+UNHEDGED_REQUESTS_PER_HALF_LIFE = 4.0
+MAX_HEDGE_TOKENS = 5.0
+KIND_RATIO_WINDOW = 24  # answers over which the latency ratio of an endpoint kind is smoothed
+# Answers over which the latency ratio of one server is smoothed. Between the bounds it is the number of
+# answers received in SERVER_RATIO_WINDOW_S: other load on a server's machine comes and goes.
+MAX_SERVER_RATIO_WINDOW = 64
+MIN_SERVER_RATIO_WINDOW = 8.0
+# Answers of one server that count as much as the ratio of its kind. A sidecar that meets a server rarely uses
+# this low value: its error averages out over the sidecars of the fleet.
+MIN_SHRINKAGE_SAMPLES = 2.0
+SERVER_RATIO_WINDOW_S = 16.0
+REWEIGHTS_PER_RAMP = 50  # maximum; cold weights change slowly
+STEADY_REWEIGHTS_PER_RAMP = 8  # the same while no server is cold or penalised
+
+# Outcomes that do not count against the server. STALE is one of them because a server that is used rarely
+# finds more of its kept connections closed, and would be penalised for that. A dead server still refuses the
+# connection that follows.
+NEUTRAL_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.SKIPPED, Outcome.BAD_REQUEST, Outcome.STALE})
+RETRY_AFTER_DIVISOR = 3  # a refused client is told to retry after this part of the time left to its target
+# Share of the dedup window in which a retry has to reach the server and end; the rest allows for transit.
+DEDUP_WINDOW_SHARE = 0.9
+GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 are spread evenly, for any set of instances
+# Longest pause after a failed call to discovery. With the calls before and after it (limits/lists.py) it has
+# to end before a list change counts as known, 6 s after discovery becomes reachable again. Limitation: adds
+# load where rejecting a call is expensive for discovery.
+MAX_DISCOVERY_PAUSE_NS = 2_000_000_000
+FULL_SPREAD_FLEET_SIZE = 25  # sidecars whose calls to discovery need all the time that the settings allow
 
 SECOND = 1_000_000_000
-WATCH_TOKEN = 0  # the one timer that belongs to no request
+WATCH_TOKEN = 0  # token of the discovery timer, the only timer that belongs to no request
 
 
 class Balancer:
-    """One instance: feed it events through handle() and carry out the actions in order."""
+    """One balancer instance: pass events to handle() and carry out the returned actions in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
         self.now = 0
-        self.out: list[Action] = []
-        self.servers: dict[int, Server] = {}
+        self.actions: list[Action] = []  # of the event being handled
+        self.servers: dict[int, Server] = {}  # all listed servers, by endpoint id
         self.pool: list[Server] = []  # selectable servers, by id
-        self.ring: list[Server] = []  # those that take turns
-        self.waiting: list[Server] = []  # those that earn their first turn
-        self.stale_at = 0  # when weights want recomputing
-        self.kept, self.typical, self.total, self.away_factor = 1.0, 1.0, 1.0, 1.0  # at the last of these
-        self.cold_most = 0.0  # times its least that a cold server may weigh
-        self.own_memory = OWN_LEAST  # answers over which one server's pace is smoothed
-        self.own_doubt = OWN_DOUBT  # so many of them count as much as its kind
-        self.many = Many()
-        self.banned: dict[int, int] = {}  # out by hand, and since when; whatever the list says
-        self.returned: dict[int, tuple[int, int]] = {}  # back by hand: when it went out, when it came back
-        self.begins = True  # no server was ever listed
-        self.failed_calls = 0
-        # The paper's 10 minutes outlast a failure by far: servers get as long as a restarted one to warm.
+        self.rotation: list[Server] = []  # servers of a small pool that take turns
+        self.newcomers: list[Server] = []  # servers of a small pool that wait for their first turn
+        self.reweight_at = 0  # time of the next recomputation of all weights
+        # Of the last recomputation: the factor on health per error, the mean health, the sum of weights
+        # before normalisation, and the factor on the weights of other zones.
+        self.health_per_error, self.mean_health, self.total_weight, self.remote_factor = 1.0, 1.0, 1.0, 1.0
+        self.max_cold_factor = 0.0  # bounds a cold server's weight, as a multiple of its guaranteed capacity
+        self.server_ratio_window = MIN_SERVER_RATIO_WINDOW
+        self.shrinkage_samples = MIN_SHRINKAGE_SAMPLES
+        self.large_pool = LargePool()
+        self.cordoned: dict[int, int] = {}  # time of the cordon, by endpoint id; independent of the list
+        self.uncordoned: dict[int, tuple[int, int]] = {}  # times of cordon and uncordon, by endpoint id
+        self.awaiting_first_list = True
+        self.failed_discovery_calls = 0  # consecutive, at most 2
+        # The published 10 minutes far outlast a failure. The ramp time gives a server that recovers from
+        # errors as long as a restarted one.
         self.half_life = max(1, settings.ramp_time)
-        self.usual: dict[int, float] = {}  # time of a good answer, by grade
+        self.usual: dict[int, float] = {}  # smoothed latency of good answers, by class index
         self.overload = Overload(self.rng)
         self.retry_budget = RetryBudget()
-        self.pace: dict[int, float] = {}  # time of a kind's answers, as a multiple of the usual
-        self.copies = 1.0  # second copies that may be sent
-        self.patience: dict[int, int] = {}  # the longest time a client gave a try, by grade
-        self.retries_marked = False  # a client has marked a retry: those that are not marked are none
-        self.unserved_at = NEVER  # when a request last ended without a good answer
-        self.credit = [1.0] * len(settings.tenants)
+        self.pace: dict[int, float] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
+        self.copies = 1.0  # hedge tokens
+        self.patience: dict[int, int] = {}  # the longest time budget that a client sent, by class index
+        self.clients_mark_retries = False  # once one is marked, unmarked requests count as first tries
+        self.last_unserved_at = DISTANT_PAST  # when a request last ended without a good answer
+        self.tenant_credits = [1.0] * len(settings.tenants)
         self.next_token = WATCH_TOKEN + 1
-        self.timers: dict[int, str] = {}
-        self.held: dict[str, PendingRequest] = {}
-        self.lasting = 0  # of these, streams that have begun: they may last, and are no queue
+        self.timers: dict[int, str] = {}  # request id by timer token
+        self.held: dict[str, PendingRequest] = {}  # by request id
+        self.streaming_count = 0  # pending requests that stream or upload: long-lived, so not a queue
         self.handlers = {
             Request: self._on_request,
             AttemptEnded: self._on_attempt_ended,
@@ -142,133 +155,140 @@
             StreamBegan: self._on_stream_began,
             ProbeEnded: self._on_probe_ended,
             Started: self._on_started,
-            ByHand: self._on_by_hand,
-            Recalled: self._on_recalled,
-            Woke: lambda _: self._begin_window(),
+            ByHand: self._on_cordon_change,
+            Recalled: self._on_restored_state,
+            Woke: lambda _: self._begin_startup_window(),
         }
 
     def standing(self, endpoint: int) -> tuple[float, bool]:
-        """A server's warmth, from 0 to 1, and whether errors hold it down; (0, True) for one not known."""
+        """Return an endpoint's warmth, 0 to 1, and whether errors penalise it; (0, True) if not listed."""
         server = self.servers.get(endpoint)
         if server is None:
             return 0.0, True
         return self._warmth(server), self.errors_of(server) >= 1.0
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at time `now` and return what is to be done, in order."""
+        """Process one event at time `now` and return the resulting actions in order."""
         self.now = now
-        self.out = []
+        self.actions = []
         self.handlers[type(event)](event)  # type: ignore[operator]
-        return self.out
+        return self.actions
 
     # Membership
 
     def _on_started(self, event: Started) -> None:
         if self.settings.ask_discovery:
-            # Spread first calls: a fleet that starts together would swamp discovery. A small one can't, and
-            # the known list may be old. By slots, not by luck; slot 0 may mean that none was told.
-            slot = self.settings.slot
-            place = slot * GOLDEN % 1.0 if slot else self.rng.random()
-            self._watch_within(self._spread(self.settings.ask_within // 2), place)
+            # First calls are spread: a fleet that starts together would overload discovery. A small fleet
+            # would not, and calls sooner because the persisted list may be stale. The instance index places
+            # the call, more evenly than a random draw; index 0 may mean that none is configured.
+            instance_index = self.settings.slot
+            place = instance_index * GOLDEN_RATIO % 1.0 if instance_index else self.rng.random()
+            self._schedule_watch(self._scaled_to_fleet(self.settings.ask_within // 2), place)
 
-    def _spread(self, span: int) -> int:
-        """The part of a span that a fleet of this size needs so as not to call all at once."""
-        return min(span, span * self.settings.fleet_size // FULL_SPREAD)
+    def _scaled_to_fleet(self, span: int) -> int:
+        """Return the part of `span` over which a fleet of this size has to spread its calls."""
+        return min(span, span * self.settings.fleet_size // FULL_SPREAD_FLEET_SIZE)
 
-    def _watch_within(self, span: int, place: float) -> None:
-        self.out.append(SetTimer(WATCH_TOKEN, int(place * span)))
+    def _schedule_watch(self, span: int, place: float) -> None:
+        """Set the discovery timer to the point `place` (0 to 1) of `span`."""
+        self.actions.append(SetTimer(WATCH_TOKEN, int(place * span)))
 
     def _on_membership(self, event: Membership) -> None:
         if event.kind is ListKind.FAILED:
-            # Backed off, or calls that failed for load would return as load.
-            self.failed_calls = min(self.failed_calls + 1, 2)
-            span = self._spread(self.settings.ask_within * self.failed_calls // 2)
-            span = max(span, self.failed_calls * SECOND // 2)
-            self._watch_within(min(span, FAILED_PAUSE_MOST), self.rng.random())
+            # Back off: calls that failed under load would otherwise come back as more load.
+            self.failed_discovery_calls = min(self.failed_discovery_calls + 1, 2)
+            span = self._scaled_to_fleet(self.settings.ask_within * self.failed_discovery_calls // 2)
+            span = max(span, self.failed_discovery_calls * SECOND // 2)
+            self._schedule_watch(min(span, MAX_DISCOVERY_PAUSE_NS), self.rng.random())
             return
         if event.kind is not ListKind.PERSISTED:
-            self.failed_calls = 0
-        if event.kind is ListKind.DELTA and self.many.turns is not None and len(event.endpoints) < MANY:
+            self.failed_discovery_calls = 0
+        if (
+            event.kind is ListKind.DELTA
+            and self.large_pool.scheduler is not None
+            and len(event.endpoints) < MANY
+        ):
             for entry in event.endpoints:
-                self._learn(entry)
-                self._reseat(entry.id)
+                self._update_endpoint(entry)
+                self._update_large_pool(entry.id)
             return
         if event.kind is not ListKind.DELTA:
             listed = {entry.id for entry in event.endpoints}
-            for gone in [known for known in self.servers if known not in listed]:
-                self._drop(gone)
+            for removed in [known for known in self.servers if known not in listed]:
+                self._remove_endpoint(removed)
         for entry in event.endpoints:
-            self._learn(entry)
-        self._refill()
-        if self.begins and self.pool:
-            self.begins = False
-            self._begin_window()
-
-    def _refill(self) -> None:
-        """Make the pool anew."""
+            self._update_endpoint(entry)
+        self._rebuild_pool()
+        if self.awaiting_first_list and self.pool:
+            self.awaiting_first_list = False
+            self._begin_startup_window()
+
+    def _rebuild_pool(self) -> None:
         self.pool = [s for _, s in sorted(self.servers.items()) if self._selectable(s)]
-        self._reweigh()
-
-    def _begin_window(self) -> None:
-        usual = sum(server.units for server in self.pool) / max(1, len(self.pool))
-        warm = sum(server.units * self._warmth(server) for server in self.pool) / (usual or 1.0)
-        aim = min((grade.aim for grade in self.settings.grades), default=SECOND)
-        self.overload.window.begin(self.now, warm, self.settings.fleet_size, aim)
-
-    def _on_recalled(self, event: Recalled) -> None:
-        for known in event.servers:
-            if known.endpoint in self.servers:
-                server = self.servers[known.endpoint]
-                server.errors, server.error_at = known.errors, self.now
-                server.pace, server.paces = known.pace, known.paces
+        self._recompute_weights()
+
+    def _begin_startup_window(self) -> None:
+        """Limit admission until answers show what the servers can do (recovery/window.py)."""
+        mean_units = sum(server.units for server in self.pool) / max(1, len(self.pool))
+        warm_servers = sum(server.units * self._warmth(server) for server in self.pool) / (mean_units or 1.0)
+        target = min((request_class.aim for request_class in self.settings.grades), default=SECOND)
+        self.overload.window.begin(self.now, warm_servers, self.settings.fleet_size, target)
+
+    def _on_restored_state(self, event: Recalled) -> None:
+        for restored in event.servers:
+            if restored.endpoint in self.servers:
+                server = self.servers[restored.endpoint]
+                server.errors, server.errors_updated_at = restored.errors, self.now
+                server.pace, server.paces = restored.pace, restored.paces
         self.pace |= event.kinds
         self.usual |= event.usual
-        self.copies = min(self.copies, event.copies)  # else a life that ends soon would refill them
+        self.copies = min(self.copies, event.copies)  # a process that restarts often must not refill it
         self.overload.retries = min(self.overload.retries, event.retries)
-        self.overload.gap = event.gap or self.overload.gap  # in a burst errors would seem to matter less
-        self._reweigh()
+        # Without the request interval the error penalty would be computed for a low request rate.
+        self.overload.gap = event.gap or self.overload.gap
+        self._recompute_weights()
 
     def _selectable(self, server: Server) -> bool:
-        """Whether anything new may go there: listed as serving, and not out by hand."""
-        return server.state is State.UP and server.id not in self.banned
+        """Whether a new attempt may go to the server: listed as up, and not cordoned."""
+        return server.state is State.UP and server.id not in self.cordoned
 
     def takes_new(self, endpoint: int) -> bool:
-        """Whether anything new may begin there, for transports whose attempts wait."""
+        """Whether a new attempt may begin at the endpoint; for transports that queue attempts."""
         server = self.servers.get(endpoint)
         return server is not None and self._selectable(server)
 
     def excluded(self) -> int:
-        """How many listed servers get nothing new."""
+        """Return the number of listed servers that get no new attempts."""
         return sum(not self._selectable(server) for server in self.servers.values())
 
-    def _on_by_hand(self, event: ByHand) -> None:
+    def _on_cordon_change(self, event: ByHand) -> None:
         if event.out:
-            self.banned.setdefault(event.endpoint, self.now)
-        elif event.endpoint in self.banned:
-            self.returned[event.endpoint] = (self.banned.pop(event.endpoint), self.now)
+            self.cordoned.setdefault(event.endpoint, self.now)
+        elif event.endpoint in self.cordoned:
+            self.uncordoned[event.endpoint] = (self.cordoned.pop(event.endpoint), self.now)
             server = self.servers.get(event.endpoint)
-            if server is not None:  # it was restarted while it was out, and is a new one
-                self.servers[server.id] = Server(self._dated(server.entry))
-        self._refill()
+            if server is not None:  # assumed restarted while it was cordoned, so its state starts over
+                self.servers[server.id] = Server(self._with_uncordon_time(server.entry))
+        self._rebuild_pool()
 
-    def _dated(self, entry: Endpoint) -> Endpoint:
-        """The entry, dated by its coming back by hand where the list tells no start since it went out."""
-        out_at, back_at = self.returned.get(entry.id, (entry.started, entry.started))
-        return entry if entry.started >= out_at else replace(entry, started=back_at)
+    def _with_uncordon_time(self, entry: Endpoint) -> Endpoint:
+        """Return the entry with its uncordon time as start time, if it has no start since the cordon."""
+        cordoned_at, uncordoned_at = self.uncordoned.get(entry.id, (entry.started, entry.started))
+        return entry if entry.started >= cordoned_at else replace(entry, started=uncordoned_at)
 
-    def _learn(self, entry: Endpoint) -> None:
-        """Take in a list entry; a server that has started anew is a new one."""
+    def _update_endpoint(self, entry: Endpoint) -> None:
+        """Apply a list entry; a server with another start time has restarted and loses its state."""
         known = self.servers.get(entry.id)
-        entry = self._dated(entry) if self.returned else entry
+        entry = self._with_uncordon_time(entry) if self.uncordoned else entry
         if entry.state is State.REMOVED:
-            self._drop(entry.id)
+            self._remove_endpoint(entry.id)
         elif known is not None and known.started == entry.started:
             known.update(entry)
         else:
             self.servers[entry.id] = Server(entry)
 
-    def _drop(self, endpoint: int) -> None:
-        """A server is gone: attempts that remember it must not lead back there."""
+    def _remove_endpoint(self, endpoint: int) -> None:
+        """Remove a server and mark it, so that attempts that refer to it are not retried there."""
         server = self.servers.pop(endpoint, None)
         if server is not None:
             server.state = State.REMOVED
@@ -277,356 +297,370 @@
 
     def _record_failure(self, server: Server) -> None:
         server.errors = self.errors_of(server) + 1.0
-        server.error_at = self.now
-        self._changed(server)
+        server.errors_updated_at = self.now
+        self._mark_weight_stale(server)
 
     def _record_success(self, server: Server) -> None:
         if server.errors:
             server.errors = 0.0
-            self._changed(server)
+            self._mark_weight_stale(server)
 
-    def _changed(self, server: Server) -> None:
-        """A server's weight is to be made anew before the next pick; among many the others keep theirs."""
-        if self.many.turns is None:
-            self.stale_at = self.now
+    def _mark_weight_stale(self, server: Server) -> None:
+        """Schedule recomputation before the next pick: of all weights, or in a large pool of this one."""
+        if self.large_pool.scheduler is None:
+            self.reweight_at = self.now
         else:
-            self.many.touched[server.id] = server
+            self.large_pool.changed[server.id] = server
 
     def errors_of(self, server: Server) -> float:
-        """How many errors count against it now."""
+        """Return the server's error count, decayed to the present."""
         if not server.errors:
             return 0.0
-        age = (self.now - server.error_at) / self.half_life
+        age = (self.now - server.errors_updated_at) / self.half_life
         return server.errors * float(0.5**age)
 
     def _warmth(self, server: Server) -> float:
-        """The share of its capacity that a started server surely has: sent more, it may fall over."""
+        """Return the share of its capacity that a started server has at least; more load may crash it."""
         settings = self.settings
         if not server.started:
             return 1.0
         return warmth_of(self.now - server.started, settings.cold_share, settings.ramp_time)
 
-    def _beta(self) -> float:
-        """The share of weight that one error costs: the less, the more often a server is met.
+    def _error_penalty(self) -> float:
+        """Return the share of weight that one error costs; it shrinks as the rate per server grows.
 
-        A sidecar that meets a server twice a minute must act on one error. At dozens a second a dead
-        server fails many times in a row at once, while single errors are chance: acting on each of them
+        A sidecar that meets a server twice a minute must act on one error. At dozens of requests a second a
+        dead server fails many times in a row, while single errors are chance: acting on each of them
         swung all traffic from server to server (weights from 0.02 to 0.9 within a second).
         """
-        return max(DENSE_BETA, BETA / float(max(1.0, self._met() / DENSE) ** 0.5))
+        return max(
+            MIN_ERROR_PENALTY,
+            ERROR_PENALTY / float(max(1.0, self._rate_per_server() / HIGH_REQUEST_RATE) ** 0.5),
+        )
 
-    def _met(self) -> float:
-        """How often a second the sidecar comes round to a server."""
+    def _rate_per_server(self) -> float:
+        """Return the mean requests per second that this sidecar sends to one server."""
         gap = self.overload.gap
         return SECOND / gap / len(self.pool) if gap and self.pool else 0.0
 
-    def _reweigh(self) -> None:
-        moving, self.kept = False, 1.0 - self._beta()
-        answers = min(OWN_MEMORY, self._met() * OWN_SECONDS)
-        self.own_memory, self.own_doubt = max(OWN_LEAST, answers), max(OWN_DOUBT, answers)
+    def _recompute_weights(self) -> None:
+        """Recompute all weights, normalise them to a sum of 1 and rebuild the rotation."""
+        changing, self.health_per_error = False, 1.0 - self._error_penalty()
+        answers = min(MAX_SERVER_RATIO_WINDOW, self._rate_per_server() * SERVER_RATIO_WINDOW_S)
+        self.server_ratio_window, self.shrinkage_samples = (
+            max(MIN_SERVER_RATIO_WINDOW, answers),
+            max(MIN_SHRINKAGE_SAMPLES, answers),
+        )
         for server in self.pool:
-            self._feel(server)
-            moving = moving or server.errors > 0.0
-        self.typical = sum(server.health for server in self.pool) / max(1, len(self.pool))
+            self._update_capacity_and_health(server)
+            changing = changing or server.errors > 0.0
+        self.mean_health = sum(server.health for server in self.pool) / max(1, len(self.pool))
         warmths = [self._warmth(server) for server in self.pool]
-        self._bound_cold(warmths)
+        self._update_max_cold_factor(warmths)
         for server, warmth in zip(self.pool, warmths, strict=True):
             if warmth < 1.0:
-                server.weight, moving = self._cold_weight(server, warmth), True
+                server.weight, changing = self._cold_weight(server, warmth), True
             else:
-                server.weight = server.size * server.health
-        self._favour_home()
-        # Weights are shares of the whole and tallies count in rounds: were the sum to shrink, as when all
-        # are penalised in a jam, old tallies would outweigh it, and a newcomer placed near the largest
-        # would be picked again and again.
-        self.total = sum(server.weight for server in self.pool) or 1.0
+                server.weight = server.capacity * server.health
+        self._prefer_local_zone()
+        # Weights are normalised because current weights count in rounds: if the sum shrank, as when errors
+        # penalise all servers of an overload, old current weights would outweigh it, and a newcomer placed
+        # near the largest would be picked again and again.
+        self.total_weight = sum(server.weight for server in self.pool) or 1.0
         for server in self.pool:
-            server.weight /= self.total
+            server.weight /= self.total_weight
         if len(self.pool) > MANY:
-            self._seat_many()
-            refreshes = MANY_REFRESHES  # those that move are looked at between
+            self._rebuild_large_pool()
+            reweights = LARGE_POOL_REWEIGHTS_PER_RAMP  # changing weights are refreshed in between
         else:
-            self.many.turns = None
-            self._seat()
-            refreshes = REFRESHES if moving else QUIET_REFRESHES
-        self.stale_at = self.now + max(1, self.settings.ramp_time // refreshes)
+            self.large_pool.scheduler = None
+            self._rebuild_rotation()
+            reweights = REWEIGHTS_PER_RAMP if changing else STEADY_REWEIGHTS_PER_RAMP
+        self.reweight_at = self.now + max(1, self.settings.ramp_time // reweights)
 
-    def _feel(self, server: Server) -> None:
-        """Bring a server's size and health up to date."""
-        server.size = server.units / self.pace.get(server.kind, 1.0) / self._own_pace(server)
-        server.health = max(FLOOR, self.kept ** self.errors_of(server))
+    def _update_capacity_and_health(self, server: Server) -> None:
+        server.capacity = server.units / self.pace.get(server.kind, 1.0) / self._server_latency_ratio(server)
+        server.health = max(MIN_HEALTH, self.health_per_error ** self.errors_of(server))
 
-    def _bound_cold(self, warmths: list[float]) -> None:
-        """Find how many times its least a cold server may weigh, so that the fleet's sum is within the rule.
+    def _update_max_cold_factor(self, warmths: list[float]) -> None:
+        """Bound the weight of cold servers, so that the fleet together stays under `fall_multiple`.
 
-        The less of the whole is there to carry the traffic, the more comes to each: what all together can
-        do is taken to be asked for.
+        The load is taken to be the full capacity of all servers: the less of it is available, the more of
+        the load falls to each server.
         """
-        whole = sum(server.size for server in self.pool) * self.typical
-        carried = sum(s.size * s.health * likely(w) for s, w in zip(self.pool, warmths, strict=True))
-        self.cold_most = COLD_PART * self.settings.fall_multiple * carried / (whole or 1.0)
+        full_capacity = sum(server.capacity for server in self.pool) * self.mean_health
+        available = sum(s.capacity * s.health * likely(w) for s, w in zip(self.pool, warmths, strict=True))
+        self.max_cold_factor = COLD_PART * self.settings.fall_multiple * available / (full_capacity or 1.0)
 
     def _cold_weight(self, server: Server, warmth: float) -> float:
-        """What a server weighs that is not warm yet."""
-        # A newcomer is no healthier than its peers: in a jam all of them are penalised, and its clean count
-        # would bring it many times its part.
-        health = min(server.health, self.typical)
-        return server.size * health * min(likely(warmth), self.cold_most * warmth)
-
-    # Many servers: turns as a tree (turns.py), where a change touches its own path only
-
-    def _seat_many(self) -> None:
-        """Give every server its seat and its weight there."""
-        if self.many.turns is None or len(self.pool) > len(self.many.by_seat):
-            self.many.turns = Turns(len(self.pool) + len(self.pool) // SPARE_SEATS)
-            self.many.turns.shuffle(self.rng)
-            self.many.by_seat = [None] * self.many.turns.levels[0]
-            self.many.free = list(range(len(self.many.by_seat) - 1, -1, -1))
-            self.many.seats.clear()
+        """Return the weight of a server that is still warming up."""
+        # A newcomer counts as no healthier than the mean: in an overload all its peers are penalised, and
+        # its error count of zero would bring it many times its share.
+        health = min(server.health, self.mean_health)
+        return server.capacity * health * min(likely(warmth), self.max_cold_factor * warmth)
+
+    # Large pools: weighted round-robin as a tree (turns.py), where a change updates one path only
+
+    def _rebuild_large_pool(self) -> None:
+        """Assign every server of the pool to a leaf and set all weights."""
+        if self.large_pool.scheduler is None or len(self.pool) > len(self.large_pool.servers_by_leaf):
+            self.large_pool.scheduler = Turns(len(self.pool) + len(self.pool) // SPARE_LEAF_DIVISOR)
+            self.large_pool.scheduler.randomize(self.rng)
+            self.large_pool.servers_by_leaf = [None] * self.large_pool.scheduler.level_widths[0]
+            self.large_pool.free_leaves = list(range(len(self.large_pool.servers_by_leaf) - 1, -1, -1))
+            self.large_pool.leaf_by_id.clear()
             for server in self.pool:
-                server.seated = True  # its turn is within the round that begins
-        here = {server.id for server in self.pool}
-        for gone in [known for known in self.many.seats if known not in here]:
-            self._unseat(gone)
+                server.in_rotation = True  # its random start is within the first round
+        pooled = {server.id for server in self.pool}
+        for removed in [known for known in self.large_pool.leaf_by_id if known not in pooled]:
+            self._release_leaf(removed)
         for server in self.pool:
-            self._take_seat(server)
-        self.many.turns.set_weights(
-            [server.weight if server is not None else 0.0 for server in self.many.by_seat]
+            self._assign_leaf(server)
+        self.large_pool.scheduler.set_weights(
+            [server.weight if server is not None else 0.0 for server in self.large_pool.servers_by_leaf]
         )
-        self.many.moving = {s.id: s for s in self.pool if self._moves(s)}
-        self.many.touched.clear()
-        self.many.look_at = self.now + max(1, self.settings.ramp_time // REFRESHES)
-
-    def _take_seat(self, server: Server) -> None:
-        assert self.many.turns is not None
-        seat = self.many.seats.get(server.id)
-        if seat is None:
-            seat = self.many.seats[server.id] = self.many.free.pop()
-        self.many.by_seat[seat] = server
-        if not server.seated:  # a newcomer earns its first turn, as in a small pool
-            server.seated = True
-            self.many.turns.set_tally(seat, -self.rng.random())
-
-    def _unseat(self, endpoint: int) -> None:
-        seat = self.many.seats.pop(endpoint, None)
-        if seat is not None and self.many.turns is not None:
-            self.many.by_seat[seat] = None
-            self.many.free.append(seat)
-            self.many.turns.set_weight(seat, 0.0)
-
-    def _reseat(self, endpoint: int) -> None:
-        """A server of many has come, gone or changed: the others stay as they are."""
+        self.large_pool.time_varying = {s.id: s for s in self.pool if self._weight_varies(s)}
+        self.large_pool.changed.clear()
+        self.large_pool.refresh_at = self.now + max(1, self.settings.ramp_time // REWEIGHTS_PER_RAMP)
+
+    def _assign_leaf(self, server: Server) -> None:
+        assert self.large_pool.scheduler is not None
+        leaf = self.large_pool.leaf_by_id.get(server.id)
+        if leaf is None:
+            leaf = self.large_pool.leaf_by_id[server.id] = self.large_pool.free_leaves.pop()
+        self.large_pool.servers_by_leaf[leaf] = server
+        if not server.in_rotation:  # a newcomer waits for its first turn, as in a small pool
+            server.in_rotation = True
+            self.large_pool.scheduler.set_current_weight(leaf, -self.rng.random())
+
+    def _release_leaf(self, endpoint: int) -> None:
+        leaf = self.large_pool.leaf_by_id.pop(endpoint, None)
+        if leaf is not None and self.large_pool.scheduler is not None:
+            self.large_pool.servers_by_leaf[leaf] = None
+            self.large_pool.free_leaves.append(leaf)
+            self.large_pool.scheduler.set_weight(leaf, 0.0)
+
+    def _update_large_pool(self, endpoint: int) -> None:
+        """Apply the addition, removal or change of one server without recomputing the others."""
         server = self.servers.get(endpoint)
-        at = bisect_left(self.pool, endpoint, key=lambda one: one.id)
-        there = at < len(self.pool) and self.pool[at].id == endpoint
-        changed = self.pool[at] if there else server
-        at_home = changed is not None and changed.zone == self.settings.zone
-        if at_home and self.settings.cross_zone_price > 0.0:
-            self.stale_at = min(self.stale_at, self.many.look_at)  # home carries another part of the whole
+        index = bisect_left(self.pool, endpoint, key=lambda one: one.id)
+        present = index < len(self.pool) and self.pool[index].id == endpoint
+        affected = self.pool[index] if present else server
+        is_local = affected is not None and affected.zone == self.settings.zone
+        if is_local and self.settings.cross_zone_price > 0.0:
+            # The share of requests that the local zone carries changes, and with it all weights.
+            self.reweight_at = min(self.reweight_at, self.large_pool.refresh_at)
         if server is None or not self._selectable(server):
-            if there:
-                del self.pool[at]
-            self._unseat(endpoint)
-            self.many.touched.pop(endpoint, None)
+            if present:
+                del self.pool[index]
+            self._release_leaf(endpoint)
+            self.large_pool.changed.pop(endpoint, None)
             if len(self.pool) <= MANY // 2:
-                self.stale_at = self.now  # few enough for the plain walk
+                self.reweight_at = self.now  # small enough to go back to the plain rotation
             return
-        if there:
-            self.pool[at] = server
+        if present:
+            self.pool[index] = server
         else:
-            self.pool.insert(at, server)
-        if endpoint not in self.many.seats and not self.many.free:
-            self._reweigh()  # no seat is left: all are seated anew
+            self.pool.insert(index, server)
+        if endpoint not in self.large_pool.leaf_by_id and not self.large_pool.free_leaves:
+            self._recompute_weights()  # builds a larger tree
             return
-        self._take_seat(server)
-        self.many.touched[endpoint] = server
+        self._assign_leaf(server)
+        self.large_pool.changed[endpoint] = server
         if self._warmth(server) < 1.0:
-            self.many.moving[endpoint] = server
+            self.large_pool.time_varying[endpoint] = server
 
-    def _moves(self, server: Server) -> bool:
-        """Whether a server's weight changes by itself."""
+    def _weight_varies(self, server: Server) -> bool:
+        """Whether the server's weight changes with time: it warms up, or its errors decay."""
         return server.errors > 0.0 or self._warmth(server) < 1.0
 
-    def _reweigh_some(self) -> None:
-        """Bring those up to date that changed, and now and then those that move by themselves."""
-        assert self.many.turns is not None
-        changed, self.many.touched = self.many.touched, {}
-        if self.now >= self.many.look_at:
-            self.many.look_at = self.now + max(1, self.settings.ramp_time // REFRESHES)
-            self.many.moving = {known: s for known, s in self.many.moving.items() if self._moves(s)}
-            changed |= self.many.moving
+    def _recompute_changed_weights(self) -> None:
+        """Recompute the weights that changed, and at each refresh those that vary with time."""
+        assert self.large_pool.scheduler is not None
+        changed, self.large_pool.changed = self.large_pool.changed, {}
+        if self.now >= self.large_pool.refresh_at:
+            self.large_pool.refresh_at = self.now + max(1, self.settings.ramp_time // REWEIGHTS_PER_RAMP)
+            self.large_pool.time_varying = {
+                known: s for known, s in self.large_pool.time_varying.items() if self._weight_varies(s)
+            }
+            changed |= self.large_pool.time_varying
         for endpoint, server in changed.items():
-            seat = self.many.seats.get(endpoint)
-            if seat is None or self.many.by_seat[seat] is not server:
-                continue  # gone since, or another life of it is there
-            self._feel(server)
+            leaf = self.large_pool.leaf_by_id.get(endpoint)
+            if leaf is None or self.large_pool.servers_by_leaf[leaf] is not server:
+                continue  # removed or restarted since
+            self._update_capacity_and_health(server)
             warmth = self._warmth(server)
-            weight = server.size * server.health if warmth >= 1.0 else self._cold_weight(server, warmth)
-            away = server.zone != self.settings.zone
-            server.weight = weight * (self.away_factor if away else 1.0) / self.total
-            self.many.turns.set_weight(seat, server.weight)
+            weight = server.capacity * server.health if warmth >= 1.0 else self._cold_weight(server, warmth)
+            is_remote = server.zone != self.settings.zone
+            server.weight = weight * (self.remote_factor if is_remote else 1.0) / self.total_weight
+            self.large_pool.scheduler.set_weight(leaf, server.weight)
             if server.errors > 0.0:
-                self.many.moving[endpoint] = server
-
-    def _pick_of_many(self, held: PendingRequest) -> Server | None:
-        assert self.many.turns is not None
-        if self.many.touched or self.now >= self.many.look_at:
-            self._reweigh_some()
-        keyed = bool(held.key) and self.settings.warm_keys
-        mark = crc32(held.key.encode()) if keyed else None
-        seat = self.many.turns.pick(mark, KEY_SLACK, self._seat_is_warm)
-        return self.many.by_seat[seat] if seat is not None else None
-
-    def _seat_is_warm(self, seat: int) -> bool:
-        server = self.many.by_seat[seat]
+                self.large_pool.time_varying[endpoint] = server
+
+    def _pick_from_large_pool(self, pending: PendingRequest) -> Server | None:
+        assert self.large_pool.scheduler is not None
+        if self.large_pool.changed or self.now >= self.large_pool.refresh_at:
+            self._recompute_changed_weights()
+        keyed = bool(pending.key) and self.settings.warm_keys
+        key_hash = crc32(pending.key.encode()) if keyed else None
+        leaf = self.large_pool.scheduler.pick(key_hash, MAX_AFFINITY_LEAD, self._leaf_is_warm)
+        return self.large_pool.servers_by_leaf[leaf] if leaf is not None else None
+
+    def _leaf_is_warm(self, leaf: int) -> bool:
+        server = self.large_pool.servers_by_leaf[leaf]
         return server is not None and self._warmth(server) >= 1.0
 
-    def _some_of_many(self, held: PendingRequest) -> list[Server]:
-        """Servers for a retry, drawn: the best of so many is good enough, and all of them are a long walk."""
-        drawn = [self.pool[self.rng.randrange(len(self.pool))] for _ in range(DRAWN)]
-        return [server for server in drawn if self._may_send(held, server)]
+    def _sample_large_pool(self, pending: PendingRequest) -> list[Server]:
+        """Return random candidates for a retry; a scan of the whole pool would take long."""
+        sample = [self.pool[self.rng.randrange(len(self.pool))] for _ in range(RETRY_SAMPLE_SIZE)]
+        return [server for server in sample if self._may_send(pending, server)]
 
-    def _seat(self) -> None:
-        """Sort the weighed servers into those that take turns and those that wait for their first.
+    def _rebuild_rotation(self) -> None:
+        """Divide the pool into servers that take turns and newcomers that wait for their first turn.
 
-        A newcomer, or one whose weight was zero, first earns a seeded part of a round at its own
-        weight. Placed among the others' tallies at once, a light one would be within their ordinary
-        ups and downs, and so the next pick of every fifth sidecar at the same moment.
+        A newcomer, or a server whose weight was zero, first waits a random part of a round at its own
+        weight. Placed among the others' current weights at once, a light one would be within their ordinary
+        fluctuation, and so the next pick of every fifth sidecar at the same moment.
         """
-        # With nobody left to wait for, those that wait are all there is.
-        first = not any(server.seated and server.weight > 0.0 for server in self.pool)
+        # If no server takes turns, the newcomers start at once.
+        first_round = not any(server.in_rotation and server.weight > 0.0 for server in self.pool)
         for server in self.pool:
             if server.weight <= 0.0:
-                server.seated, server.tally = False, 0.0
-            elif not server.seated and (first or server.tally >= 0.0):
-                server.tally = -self.rng.random()  # seeded, or all sidecars would walk in lockstep
-                server.seated = first
-        self.ring = [s for s in self.pool if s.weight > 0.0 and s.seated]
-        self.waiting = [s for s in self.pool if s.weight > 0.0 and not s.seated]
-
-    def _favour_home(self) -> None:
-        """Keep requests in the own zone as far as its servers can carry them.
-
-        Acts where crossing zones has a price. A zone that is small, cold or ailing sends the rest
-        away; with nothing at home, all zones serve alike.
+                server.in_rotation, server.current_weight = False, 0.0
+            elif not server.in_rotation and (first_round or server.current_weight >= 0.0):
+                server.current_weight = -self.rng.random()  # else all sidecars would pick in lockstep
+                server.in_rotation = first_round
+        self.rotation = [s for s in self.pool if s.weight > 0.0 and s.in_rotation]
+        self.newcomers = [s for s in self.pool if s.weight > 0.0 and not s.in_rotation]
+
+    def _prefer_local_zone(self) -> None:
+        """Keep requests in the local zone as far as its servers can carry them.
+
+        Applies where crossing zones has a price. A zone that is small, cold or unhealthy sends the rest
+        to other zones; without a local server, all zones are used alike.
         """
         zones = len({server.zone for server in self.pool})
         if self.settings.cross_zone_price <= 0.0 or zones < 2:
             return
-        home = [server for server in self.pool if server.zone == self.settings.zone]
-        at_home = sum(server.weight for server in home)
-        away = sum(server.weight for server in self.pool) - at_home
-        due = sum(server.size for server in self.pool) / zones  # an even zone's part
-        kept = min(1.0, HOME_SPARE * at_home / due)
-        self.away_factor = 1.0
-        if not at_home or not away:
+        local = [server for server in self.pool if server.zone == self.settings.zone]
+        local_weight = sum(server.weight for server in local)
+        remote_weight = sum(server.weight for server in self.pool) - local_weight
+        even_share = sum(server.capacity for server in self.pool) / zones
+        local_share = min(1.0, LOCAL_ZONE_HEADROOM * local_weight / even_share)
+        self.remote_factor = 1.0
+        if not local_weight or not remote_weight:
             return
-        # An even zone's part holds where sidecars are spread over all zones. They fall into them by chance:
-        # of 40 one zone has 14 and another 6, and those that keep to their homes jam the one while the other
-        # idles. What a zone has beyond its part shrinks with the root of the fleet, its cost faster.
-        spread = min(1.0, self.settings.fleet_size / (SIDECARS_PER_ZONE * zones)) ** 2
-        kept = spread * kept + (1.0 - spread) * at_home / (at_home + away)
-        self.away_factor = min(1.0, (1.0 - kept) / kept * at_home / away)
+        # The even share assumes that sidecars are spread evenly over zones, but their zones are random: of
+        # 40 sidecars, one of four zones has 14 and another 6, and if all stay local, one zone is overloaded
+        # while the other idles. The excess shrinks with the square root of the fleet size, its cost faster.
+        locality = min(1.0, self.settings.fleet_size / (MIN_SIDECARS_PER_ZONE * zones)) ** 2
+        local_share = locality * local_share + (1.0 - locality) * local_weight / (
+            local_weight + remote_weight
+        )
+        self.remote_factor = min(1.0, (1.0 - local_share) / local_share * local_weight / remote_weight)
         for server in self.pool:
             if server.zone != self.settings.zone:
-                server.weight *= self.away_factor
+                server.weight *= self.remote_factor
 
     # Pick
 
-    def _pick(self, held: PendingRequest) -> Server | None:
-        """The ordinary path: smooth weighted round-robin over the selectable servers."""
-        if self.now >= self.stale_at:
-            self._reweigh()
-        if self.many.turns is not None:
-            return self._pick_of_many(held)
+    def _pick(self, pending: PendingRequest) -> Server | None:
+        """Pick the server of a first attempt by smooth weighted round-robin over the selectable servers."""
+        if self.now >= self.reweight_at:
+            self._recompute_weights()
+        if self.large_pool.scheduler is not None:
+            return self._pick_from_large_pool(pending)
         best: Server | None = None
-        for server in self.ring:
-            server.tally += server.weight
-            if best is None or server.tally > best.tally:
+        for server in self.rotation:
+            server.current_weight += server.weight
+            if best is None or server.current_weight > best.current_weight:
                 best = server
         if best is None:
             return None
-        best = self._newcomer(best) or best
-        if held.key and self.settings.warm_keys and self._warmth(best) >= 1.0:
-            best = self._warm_for(held.key, best)
-        best.tally -= 1.0
+        best = self._due_newcomer(best) or best
+        if pending.key and self.settings.warm_keys and self._warmth(best) >= 1.0:
+            best = self._pick_by_key(pending.key, best)
+        best.current_weight -= 1.0
         return best
 
-    def _newcomer(self, leader: Server) -> Server | None:
-        """The waiting server, if any, that has earned its first turn."""
-        for server in self.waiting:
-            server.tally += server.weight
-            if server.tally >= 0.0:
-                server.tally, server.seated = leader.tally, True
-                self.ring.append(server)
-                self.waiting.remove(server)
+    def _due_newcomer(self, leader: Server) -> Server | None:
+        """Advance the newcomers; move the first whose turn has come into the rotation and return it."""
+        for server in self.newcomers:
+            server.current_weight += server.weight
+            if server.current_weight >= 0.0:
+                server.current_weight, server.in_rotation = leader.current_weight, True
+                self.rotation.append(server)
+                self.newcomers.remove(server)
                 return server
         return None
 
-    def _warm_for(self, key: str, leader: Server) -> Server:
-        """The key's own first server among those whose turn is near.
+    def _pick_by_key(self, key: str, leader: Server) -> Server:
+        """Return the server preferred by the key among those whose turn is near.
 
-        Acts where servers remember keys. Sidecars agree on a key's order of servers without talking;
-        the tallies still bound every server's share. A cold server is left to its own turns: keys
-        would bring it all sidecars at once.
+        Applies where servers cache by key. All sidecars rank the servers of a key alike, without
+        communication; the current weights still bound every server's share. Cold servers are left out,
+        because all sidecars would send them the same keys at once.
         """
-        least = leader.tally - KEY_SLACK
-        mark = crc32(key.encode())
-        near = [s for s in self.ring if s.tally >= least and self._warmth(s) >= 1.0]
-        return max(near, key=lambda s: (s.mark ^ mark) * 0x9E3779B1 & 0xFFFFFFFF)
+        min_current_weight = leader.current_weight - MAX_AFFINITY_LEAD
+        key_hash = crc32(key.encode())
+        candidates = [
+            s for s in self.rotation if s.current_weight >= min_current_weight and self._warmth(s) >= 1.0
+        ]
+        return max(candidates, key=lambda s: (s.id_hash ^ key_hash) * 0x9E3779B1 & 0xFFFFFFFF)
 
     def _charge(self, chosen: Server) -> None:
-        """Book a turn taken out of order, so that its server does not get its own turn as well."""
-        if self.many.turns is not None:
-            self.many.turns.charge(self.many.seats[chosen.id])
+        """Account for a pick made out of turn, so that the server does not get its own turn as well."""
+        if self.large_pool.scheduler is not None:
+            self.large_pool.scheduler.charge(self.large_pool.leaf_by_id[chosen.id])
             return
-        for server in self.ring:
-            server.tally += server.weight
-        chosen.tally -= 1.0
+        for server in self.rotation:
+            server.current_weight += server.weight
+        chosen.current_weight -= 1.0
 
-    def _pick_further(self, held: PendingRequest) -> Server | None:
-        """A server for a retry or a hedge, where the retry budget allows one; it is booked."""
+    def _pick_with_retry_budget(self, pending: PendingRequest) -> Server | None:
+        """Pick a server for a retry or a hedge and charge the retry budget; None if the budget is used up."""
         if not self.retry_budget.allows():
             return None
-        server = self._pick_retry(held)
+        server = self._pick_retry(pending)
         if server is not None:
             self.retry_budget.spend()
         return server
 
-    def _pick_retry(self, held: PendingRequest) -> Server | None:
-        """The healthiest server not yet tried, among those that may take this request."""
-        if self.now >= self.stale_at:
-            self._reweigh()
-        tried = {attempt.server.id for attempt in held.attempts}
-        drawn = self._some_of_many(held) if self.many.turns is not None else []
-        options = [s for s in drawn if s.id not in tried and self._warmth(s) >= 1.0]
-        options = options or [s for s in self.pool if s.id not in tried and self._may_send(held, s)]
-        # A cold server has no errors yet: were it the healthiest, all sidecars' retries would push it over.
-        # Nor is it a last resort: a cell whose others stop at once would send it all they held.
+    def _pick_retry(self, pending: PendingRequest) -> Server | None:
+        """Pick the healthiest untried server that may take this request."""
+        if self.now >= self.reweight_at:
+            self._recompute_weights()
+        tried = {attempt.server.id for attempt in pending.attempts}
+        sample = self._sample_large_pool(pending) if self.large_pool.scheduler is not None else []
+        options = [s for s in sample if s.id not in tried and self._warmth(s) >= 1.0]
+        options = options or [s for s in self.pool if s.id not in tried and self._may_send(pending, s)]
+        # A cold server has no errors yet: as the healthiest it would get all sidecars' retries and fall over.
+        # It is no last resort either: if the rest of its cell stops at once, it would get all their requests.
         if any(self._warmth(s) >= 1.0 for s in self.pool):
             options = [s for s in options if self._warmth(s) >= 1.0]
-        options = options or self._once_more(held)
+        options = options or self._same_server_retry(pending)
         if not options:
             return None
-        best = max(options, key=lambda s: (s.health * self._warmth(s), s.tally))
+        best = max(options, key=lambda s: (s.health * self._warmth(s), s.current_weight))
         self._charge(best)
         return best
 
-    def _once_more(self, held: PendingRequest) -> list[Server]:
-        """The server tried last, where its answer was spoilt or lost and no other may take the request.
+    def _same_server_retry(self, pending: PendingRequest) -> list[Server]:
+        """Return the server of the last attempt, if its answer was corrupt or lost and it may be asked again.
 
-        It drops a repeat as its group does, and most often still has the answer. Guards small groups
-        against anything that spoils single answers. One that has died refuses at once; one that sheds load
-        is left alone, and one that starts gets few of them: they come out of the budget of copies.
+        Used when no other server may take the request. The server deduplicates the retry as its group does
+        and usually still has the answer. This protects small dedup groups from faults that spoil single
+        answers. A dead server refuses the connection at once; a server that sheds load is not retried; a
+        cold server gets few such retries, which are charged to the hedge tokens.
         """
-        last = held.attempts[-1] if held.attempts else None
+        last = pending.attempts[-1] if pending.attempts else None
         if last is None or last.open or not last.may_have_run:
             return []
-        tries = sum(attempt.server is last.server for attempt in held.attempts)
-        if tries > 1 or not self._may_send(held, last.server):
+        tries = sum(attempt.server is last.server for attempt in pending.attempts)
+        if tries > 1 or not self._may_send(pending, last.server):
             return []
         if self._warmth(last.server) < 1.0:
-            if self.copies < 1.0 or self._met() < DENSE:
+            if self.copies < 1.0 or self._rate_per_server() < HIGH_REQUEST_RATE:
                 return []
             self.copies -= 1.0
         return [last.server]
@@ -634,31 +668,35 @@
     # Request lifecycle
 
     def _on_request(self, request: Request) -> None:
-        grades = self.settings.grades
-        grade = grades[request.grade] if 0 <= request.grade < len(grades) else UNKNOWN_GRADE
-        held = PendingRequest(request, grade, self.now, self._elapsed(request, grade))
-        self.held[held.id] = held
+        request_classes = self.settings.grades
+        request_class = (
+            request_classes[request.grade]
+            if 0 <= request.grade < len(request_classes)
+            else UNKNOWN_REQUEST_CLASS
+        )
+        pending = PendingRequest(request, request_class, self.now, self._elapsed(request, request_class))
+        self.held[pending.id] = pending
         if request.prior is not None:
-            held.attempts.append(self._earlier(request.prior))
+            pending.attempts.append(self._prior_attempt(request.prior))
         self.overload.arrives(self.now)
-        self.copies = min(COPY_BURST, self.copies + COPY_SHARE)
-        self.lasting += held.coming
-        # A retry that comes too late for any worth would only take others' room.
-        if self.now >= held.deadline or self._turned_away(held, request.repeat):
-            self._finish(held)
+        self.copies = min(MAX_HEDGE_TOKENS, self.copies + HEDGES_PER_REQUEST)
+        self.streaming_count += pending.coming
+        # A retry whose answer would come too late to have any value would only take capacity from others.
+        if self.now >= pending.deadline or self._should_shed(pending, request.repeat):
+            self._finish(pending)
             return
-        if not held.coming:
-            self._set_timer(held, min(held.aim_at, held.deadline))
-        copy_at = self._copy_time(held)
-        if copy_at > self.now:
-            self._set_timer(held, copy_at)
-        self._send_or_finish(held, self._pick_retry(held) if held.attempts else self._pick(held))
-
-    def _earlier(self, prior: Prior) -> Attempt:
-        """An attempt of an earlier life: it may have run, where and when the caller could prove.
-
-        One of which nothing is known was in no group and before any window. A server that is not listed as
-        it was then takes nothing more.
+        if not pending.coming:
+            self._set_timer(pending, min(pending.target_at, pending.deadline))
+        hedge_at = self._hedge_time(pending)
+        if hedge_at > self.now:
+            self._set_timer(pending, hedge_at)
+        self._send_or_finish(pending, self._pick_retry(pending) if pending.attempts else self._pick(pending))
+
+    def _prior_attempt(self, prior: Prior) -> Attempt:
+        """Return the attempt that an earlier process made, as far as the caller could prove where and when.
+
+        The attempt may have run. The defaults of Prior match no dedup group and lie before any dedup window.
+        A server that is no longer listed with the same cell and zone gets no retry.
         """
         server = self.servers.get(prior.endpoint)
         if server is None or (server.cell, server.zone) != (prior.cell, prior.zone):
@@ -668,299 +706,319 @@
         attempt.open = False
         return attempt
 
-    def _set_timer(self, held: PendingRequest, at: int) -> None:
-        self.timers[self.next_token] = held.id
-        self.out.append(SetTimer(self.next_token, max(0, at - self.now)))
+    def _set_timer(self, pending: PendingRequest, at: int) -> None:
+        self.timers[self.next_token] = pending.id
+        self.actions.append(SetTimer(self.next_token, max(0, at - self.now)))
         self.next_token += 1
 
-    def _copy_time(self, held: PendingRequest) -> int:
-        """When a second copy is due: late enough to be rare, early enough to come in time."""
-        usual = self.usual.get(held.grade_index, 0.0)
-        effect = held.grade.effect
-        if not self.settings.second_copies or not usual or effect is Effect.FRAGILE or held.coming:
+    def _hedge_time(self, pending: PendingRequest) -> int:
+        """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
+        latency = self.usual.get(pending.class_index, 0.0)
+        idempotency = pending.grade.effect
+        if not self.settings.second_copies or not latency or idempotency is Effect.FRAGILE or pending.coming:
             return 0
-        if self.settings.warm_keys:  # a copy would miss the memory of its key and cost several times more
+        if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
             return 0
-        return int(min(self.now + SLOW * usual, held.aim_at - usual))
+        return int(min(self.now + SLOW_FACTOR * latency, pending.target_at - latency))
 
-    def _send_copy(self, held: PendingRequest) -> None:
-        """Send a second copy of an overdue request, where its class allows and the budget lasts.
+    def _send_hedge(self, pending: PendingRequest) -> None:
+        """Hedge an overdue request where its class allows it and hedge tokens are left.
 
-        A sidecar that meets a server twice a minute learns of its trouble from the request it loses
-        there; the copy saves that request. One that meets it several times before an error is forgotten
-        has learned of it already: what is overdue there is heavy, and its copy as heavy. The budget
-        keeps copies from feeding an overload.
+        A sidecar that meets a server twice a minute notices the server's trouble by losing a request; the
+        hedge saves that request. A sidecar that meets it several times before an error decays has noticed
+        already: a request that is overdue there is expensive, and its hedge as expensive. The tokens keep
+        hedges from feeding an overload.
         """
-        if self.copies < 1.0 or self.overload.refused_share > 0.0 or len(held.attempts) != 1:
+        if self.copies < 1.0 or self.overload.refused_share > 0.0 or len(pending.attempts) != 1:
             return
-        if self._met() * self.half_life / SECOND >= HEDGE_MEETINGS:
+        if self._rate_per_server() * self.half_life / SECOND >= UNHEDGED_REQUESTS_PER_HALF_LIFE:
             return
-        server = self._pick_further(held)
+        server = self._pick_with_retry_budget(pending)
         if server is not None:
             self.copies -= 1.0
-            self._send(held, server)
+            self._send(pending, server)
 
-    def _elapsed(self, request: Request, grade: Grade) -> int:
-        """How long the client has waited before this try, as far as its remaining time tells.
+    def _elapsed(self, request: Request, request_class: Grade) -> int:
+        """Estimate how long the client has waited before this try, from its remaining time budget.
 
-        Clients give all first tries of a class the same time; less means the class's deadline cut it. Some
-        clients never mark a retry. As long as none has, one with less time is taken for a retry while a
-        request that this sidecar did not serve can still come again, and only where it comes too late for any
-        worth: to treat all such as marked ones cost more than it gave. It could do harm to a client that
-        gives a first try less time than others do, in that while.
+        Clients give all first tries of a class the same budget; a smaller one was cut by the class's
+        deadline. Some clients never mark a retry. While no retry has been marked, a request with a smaller
+        budget counts as a retry if a request that this sidecar did not serve can still be retried, and only
+        if it comes too late to have any value: treating all such requests as marked retries cost more than
+        it gained. Limitation: during that time it misjudges a client that gives a first try a smaller budget
+        than others.
         """
-        most = max(self.patience.get(request.grade, 0), request.budget)
-        self.patience[request.grade] = most
-        self.retries_marked = self.retries_marked or request.repeat
-        unmarked = not self.retries_marked and self.now - self.unserved_at < grade.deadline
-        if request.budget >= most or not (request.repeat or unmarked):
+        max_budget = max(self.patience.get(request.grade, 0), request.budget)
+        self.patience[request.grade] = max_budget
+        self.clients_mark_retries = self.clients_mark_retries or request.repeat
+        may_be_unmarked_retry = (
+            not self.clients_mark_retries and self.now - self.last_unserved_at < request_class.deadline
+        )
+        if request.budget >= max_budget or not (request.repeat or may_be_unmarked_retry):
             return 0
-        elapsed = max(0, grade.deadline - request.budget)
-        too_late = elapsed >= grade.aim and not grade.late_value
+        elapsed = max(0, request_class.deadline - request.budget)
+        too_late = elapsed >= request_class.aim and not request_class.late_value
         return elapsed if request.repeat or too_late else 0
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        held = self.held.get(event.id)
+        pending = self.held.get(event.id)
         if event.outcome is Outcome.DONE:
             self.retry_budget.answered()
         elif event.outcome is Outcome.BUSY:
             self.retry_budget.turned_away()
-        self._note_health(event, held)
-        if held is None:
+        self._record_outcome(event, pending)
+        if pending is None:
             return
-        if event.attempt < len(held.attempts):
-            attempt = held.attempts[event.attempt]
+        if event.attempt < len(pending.attempts):
+            attempt = pending.attempts[event.attempt]
             attempt.open = False
             attempt.may_have_run = event.outcome not in NEVER_RAN
-        if event.outcome is Outcome.DONE and not held.bound and not held.coming:
-            self.overload.answered(self.now, event.duration / max(1, held.grade.aim))
-        if event.outcome is Outcome.BUSY:  # no place there: a queue that no answer tells of
+        if event.outcome is Outcome.DONE and not pending.bound and not pending.coming:
+            self.overload.answered(self.now, event.duration / max(1, pending.grade.aim))
+        if event.outcome is Outcome.BUSY:  # the server is full, a queue that no answer's latency shows
             self.overload.window.answered(self.now, 1.0)
         if event.final or event.outcome is Outcome.DONE:
-            late = event.outcome is not Outcome.DONE or self.now > held.aim_at
-            self._judge(held, late)
+            late = event.outcome is not Outcome.DONE or self.now > pending.target_at
+            self._record_lateness(pending, late)
             if event.outcome is Outcome.DONE and event.attempt > 0:
-                self._blame_open(held)  # a later copy was faster
-            self._forget(held)
-            self._close_if_sparse(event.endpoint)
+                self._count_open_as_failed(pending)  # a later attempt was faster
+            self._close_request(pending)
+            self._close_if_rarely_used(event.endpoint)
         elif event.outcome is Outcome.BAD_REQUEST:
-            self._finish(held)  # no other endpoint would find it better
-        elif not any(attempt.open for attempt in held.attempts):
-            self._send_or_finish(held, self._pick_further(held))
+            self._finish(pending)  # any other endpoint would reject it too
+        elif not any(attempt.open for attempt in pending.attempts):
+            self._send_or_finish(pending, self._pick_with_retry_budget(pending))
 
-    def _close_if_sparse(self, endpoint: int) -> None:
-        """Close a connection that would most likely idle away unused.
+    def _close_if_rarely_used(self, endpoint: int) -> None:
+        """Close a connection that would probably time out before it is used again.
 
-        Acts where a connection carries one request and this sidecar comes round to a server more
-        rarely than idle connections are dropped. Otherwise connections grow as sidecars times
-        servers and fill the servers' tables.
+        Applies where a connection carries one request at a time and this sidecar's interval between requests
+        to a server exceeds the idle timeout. Otherwise the number of connections grows as sidecars times
+        servers and fills the servers' connection tables.
         """
         settings = self.settings
         if settings.streams_per_conn == 1 and self.overload.gap * len(self.pool) > settings.conn_idle > 0:
-            self.out.append(CloseIdle(endpoint))
+            self.actions.append(CloseIdle(endpoint))
 
-    def _note_health(self, event: AttemptEnded, held: PendingRequest | None) -> None:
+    def _record_outcome(self, event: AttemptEnded, pending: PendingRequest | None) -> None:
+        """Update the server's error count and latency ratio."""
         server = self.servers.get(event.endpoint)
-        if server is None or event.outcome in NO_FAULT:
+        if server is None or event.outcome in NEUTRAL_OUTCOMES:
             return
         done = event.outcome is Outcome.DONE
-        # A slow server answers everything in the end: without this it would keep its full weight.
-        timed = done and held is not None and not held.bound and not held.coming
-        slow = held is not None and timed and self._too_slow(server, held, event.duration)
+        # A slow server eventually answers every request: without this check it would keep its full weight.
+        timed = done and pending is not None and not pending.bound and not pending.coming
+        slow = pending is not None and timed and self._too_slow(server, pending, event.duration)
         if done and not slow:
             self._record_success(server)
-        elif held is None or event.attempt >= len(held.attempts) or not held.attempts[event.attempt].blamed:
+        elif (
+            pending is None
+            or event.attempt >= len(pending.attempts)
+            or not pending.attempts[event.attempt].counted_as_slow
+        ):
             self._record_failure(server)
 
-    def _too_slow(self, server: Server, held: PendingRequest, duration: int) -> bool:
-        """Whether an answer came far beyond its peers' time; learns that time on the way."""
-        index = held.grade_index
-        usual = self.usual.get(index, 0.0)
-        limit = min(SLOW * usual, held.grade.aim) if usual else held.grade.aim
-        taken = min(duration, held.grade.aim)
-        self.usual[index] = usual + (taken - usual) / USUAL_MEMORY if usual else taken
-        if usual:
-            self._learn_pace(server, taken / usual)
+    def _too_slow(self, server: Server, pending: PendingRequest, duration: int) -> bool:
+        """Update the latency estimates by an answer; return whether it was far slower than its class's."""
+        class_index = pending.class_index
+        latency = self.usual.get(class_index, 0.0)
+        limit = min(SLOW_FACTOR * latency, pending.grade.aim) if latency else pending.grade.aim
+        capped = min(duration, pending.grade.aim)
+        self.usual[class_index] = latency + (capped - latency) / LATENCY_WINDOW if latency else capped
+        if latency:
+            self._update_latency_ratio(server, capped / latency)
         return duration > limit
 
-    def _learn_pace(self, server: Server, ratio: float) -> None:
-        """Follow how a kind's answers compare with the usual time.
+    def _update_latency_ratio(self, server: Server, ratio: float) -> None:
+        """Smooth an answer's latency ratio into the ratios of the server's kind and of the server.
 
-        Listed sizes count cores, not their speed: equal turns overload the slow kind of machine while
-        the fast one idles. A kind is many servers, so even a sparse sidecar learns its pace.
+        Listed capacities count cores, not their speed: equal turns overload the slow kind of machine while
+        the fast one idles. A kind has many servers, so that even a sidecar with few requests has enough
+        samples of it.
         """
-        pace = self.pace.get(server.kind, 1.0)
-        self.pace[server.kind] = pace + (ratio - pace) / PACE_MEMORY
+        kind_ratio = self.pace.get(server.kind, 1.0)
+        self.pace[server.kind] = kind_ratio + (ratio - kind_ratio) / KIND_RATIO_WINDOW
 
-        own = math.log(max(ratio, 1e-3) / self.pace[server.kind])
-        server.paces = min(server.paces + 1, self.own_memory)
-        server.pace += (own - server.pace) / server.paces
+        log_ratio_to_kind = math.log(max(ratio, 1e-3) / self.pace[server.kind])
+        server.paces = min(server.paces + 1, self.server_ratio_window)
+        server.pace += (log_ratio_to_kind - server.pace) / server.paces
 
-    def _own_pace(self, server: Server) -> float:
-        """How a server's answers compare with its kind's, as far as it is known.
+    def _server_latency_ratio(self, server: Server) -> float:
+        """Return the estimated ratio of the server's latency to its kind's, shrunk towards 1 for few samples.
 
-        Machines of a kind differ, and another program may take part of one for a while. One answer tells
-        little, so that a server starts with its kind's pace; but a sparse sidecar, which meets a server
-        twice a minute, is one of many, and what each of them leans the sum does.
+        Machines of a kind differ, and another program may use part of one for a while. One answer is weak
+        evidence, so that a server starts with its kind's ratio. A sidecar that meets a server twice a minute
+        is one of many: the small corrections of all of them add up.
         """
-        return math.exp(server.pace * server.paces / (server.paces + self.own_doubt))
+        return math.exp(server.pace * server.paces / (server.paces + self.shrinkage_samples))
 
     def _on_client_left(self, event: ClientLeft) -> None:
-        held = self.held.get(event.id)
-        if held is not None:
-            self.unserved_at = self.now  # its client may have given up this try alone
-            self._forget(held)
+        pending = self.held.get(event.id)
+        if pending is not None:
+            self.last_unserved_at = self.now  # the client may have ended only this try, and retry
+            self._close_request(pending)
 
     def _on_stream_began(self, event: StreamBegan) -> None:
-        held = self.held.get(event.id)
-        if held is not None and not held.bound:
-            held.bound = True
-            self.lasting += not held.coming
-            self._judge(held, late=self.now > held.aim_at)  # how long it lasts from here tells nothing
+        pending = self.held.get(event.id)
+        if pending is not None and not pending.bound:
+            pending.bound = True
+            self.streaming_count += not pending.coming
+            # The duration of the stream from here on says nothing about lateness.
+            self._record_lateness(pending, late=self.now > pending.target_at)
             if (
-                event.attempt < len(held.attempts) and not held.coming
-            ):  # that it began is the answer that the pace goes by
-                taken = self.now - held.attempts[event.attempt].sent_at
-                self.overload.answered(self.now, taken / max(1, held.grade.aim))
+                event.attempt < len(pending.attempts) and not pending.coming
+            ):  # the time to the start of the stream counts as the latency of the answer
+                duration = self.now - pending.attempts[event.attempt].sent_at
+                self.overload.answered(self.now, duration / max(1, pending.grade.aim))
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
         pass
 
     def _on_timer(self, event: TimerFired) -> None:
         if event.token == WATCH_TOKEN:
-            self.out.append(Watch())
+            self.actions.append(Watch())
             return
-        held = self.held.get(self.timers.pop(event.token, ""))
-        if held is None or held.bound:  # a stream that has begun may last: that is no slowness
+        pending = self.held.get(self.timers.pop(event.token, ""))
+        if pending is None or pending.bound:  # a stream that has begun may last without being slow
             return
-        if self.now < min(held.aim_at, held.deadline):
-            self._send_copy(held)
+        if self.now < min(pending.target_at, pending.deadline):
+            self._send_hedge(pending)
         else:
-            self._judge(held, late=True)
-            self._blame_open(held)
-
-    def _blame_open(self, held: PendingRequest) -> None:
-        """Count attempts still out past the aim against their servers now, not at the time-out."""
-        for attempt in held.attempts:
-            if attempt.open and not attempt.blamed:
-                attempt.blamed = True
-                usual = self.usual.get(held.grade_index, 0.0)
-                if usual:
-                    self._learn_pace(attempt.server, max(1.0, held.grade.aim / usual))
+            self._record_lateness(pending, late=True)
+            self._count_open_as_failed(pending)
+
+    def _count_open_as_failed(self, pending: PendingRequest) -> None:
+        """Count the open attempts as errors of their servers now, without waiting for their timeouts."""
+        for attempt in pending.attempts:
+            if attempt.open and not attempt.counted_as_slow:
+                attempt.counted_as_slow = True
+                latency = self.usual.get(pending.class_index, 0.0)
+                if latency:
+                    self._update_latency_ratio(attempt.server, max(1.0, pending.grade.aim / latency))
                 self._record_failure(attempt.server)
 
-    def _forget(self, held: PendingRequest) -> None:
-        """The client has its answer: drop the request and withdraw what is still out."""
-        del self.held[held.id]
-        self.lasting -= held.bound or held.coming
-        if self.settings.cancel and not held.bound:
-            for number, attempt in enumerate(held.attempts):
+    def _close_request(self, pending: PendingRequest) -> None:
+        """Remove a request that is answered, finished or abandoned, and cancel its open attempts."""
+        del self.held[pending.id]
+        self.streaming_count -= pending.bound or pending.coming
+        if self.settings.cancel and not pending.bound:
+            for number, attempt in enumerate(pending.attempts):
                 if attempt.open:
-                    self.out.append(Cancel(held.id, number))
+                    self.actions.append(Cancel(pending.id, number))
 
     # Admission
 
-    def _judge(self, held: PendingRequest, late: bool) -> None:
-        """Count a request once as in time or late, at its aim at the latest; steer refusals by it."""
-        if held.judged:
+    def _record_lateness(self, pending: PendingRequest, late: bool) -> None:
+        """Report to the overload control, once per request, whether it met its target."""
+        if pending.lateness_recorded:
             return
-        held.judged = True
+        pending.lateness_recorded = True
         self.overload.judged(self.now, late)
 
-    def _turned_away(self, held: PendingRequest, repeat: bool) -> bool:
-        """Refuse early, least worth first, when the servers can't keep up (limits/overload.py)."""
-        worth = held.grade.worth
-        over_share = self._over_share(held.tenant)
+    def _should_shed(self, pending: PendingRequest, is_retry: bool) -> bool:
+        """Whether to refuse an arriving request, lowest value first (limits/overload.py)."""
+        value = pending.grade.worth
+        over_share = self._tenant_over_share(pending.tenant)
         if over_share:
-            worth *= self.settings.over_share_worth
+            value *= self.settings.over_share_worth
         refused = self.overload.refuses(
-            worth, held.grade.aim, len(self.held) - 1 - self.lasting, over_share, repeat
+            value, pending.grade.aim, len(self.held) - 1 - self.streaming_count, over_share, is_retry
         )
-        held.over_share = refused and over_share
+        pending.over_share = refused and over_share
         return refused
 
-    def _over_share(self, tenant: int) -> bool:
-        """Whether the tenant sends this sidecar more than its share of what it gets."""
+    def _tenant_over_share(self, tenant: int) -> bool:
+        """Charge a request to the tenant; return whether it exceeds its share of this sidecar's requests."""
         tenants = self.settings.tenants
         if not 0 <= tenant < len(tenants):
             return False
         for index, entitled in enumerate(tenants):
-            self.credit[index] = min(SHARE_BURST, self.credit[index] + entitled.share)
-        if self.credit[tenant] < 1.0:
+            self.tenant_credits[index] = min(MAX_TENANT_CREDIT, self.tenant_credits[index] + entitled.share)
+        if self.tenant_credits[tenant] < 1.0:
             return True
-        self.credit[tenant] -= 1.0
+        self.tenant_credits[tenant] -= 1.0
         return False
 
-    # The choke point: everything sent or finished passes here, and the rules are kept here.
+    # Rule enforcement: all attempts and final answers go through the methods below.
 
-    def _may_send(self, held: PendingRequest, server: Server) -> bool:
-        """Whether the rules allow one more attempt of this request, at this server."""
-        if self.now >= held.deadline or len(held.attempts) >= self.settings.max_attempts or held.bound:
+    def _may_send(self, pending: PendingRequest, server: Server) -> bool:
+        """Whether the rules allow another attempt of this request at this server."""
+        if (
+            self.now >= pending.deadline
+            or len(pending.attempts) >= self.settings.max_attempts
+            or pending.bound
+        ):
             return False
-        if not self._selectable(server):  # drains are kept from the moment they are known
+        if not self._selectable(server):  # a drain takes effect as soon as it is known
             return False
-        if not self.settings.second_copies and any(attempt.open for attempt in held.attempts):
+        if not self.settings.second_copies and any(attempt.open for attempt in pending.attempts):
             return False
-        effect = held.grade.effect
-        if effect is Effect.RETRYABLE:
+        idempotency = pending.grade.effect
+        if idempotency is Effect.RETRYABLE:
             return True
-        ran = [attempt for attempt in held.attempts if attempt.may_have_run]
+        ran = [attempt for attempt in pending.attempts if attempt.may_have_run]
         if not ran:
             return True
-        if effect is Effect.FRAGILE:  # it could take effect twice
+        if idempotency is Effect.FRAGILE:  # it could take effect twice
             return False
-        return self._same_group(held.grade.scope, ran[0].server, server) and self.now < self._ends_by(held)
+        return self._same_dedup_group(
+            pending.grade.scope, ran[0].server, server
+        ) and self.now < self._attempt_deadline(pending)
 
-    def _ends_by(self, held: PendingRequest) -> int:
-        """When the next attempt has to be over: with the client's patience, so that no answer is late.
+    def _attempt_deadline(self, pending: PendingRequest) -> int:
+        """Return when the next attempt has to end: by the request's deadline, so that no answer is late.
 
-        A keyed request that may have run also within the window: a try that comes up late, or that is cut off
-        and gets there once the cut is over, would run for a group that has forgotten the one before.
+        A deduplicated request that may have run also has to end within its dedup window: an attempt that
+        arrives late, or only after a network partition ends, would run at a group that has forgotten the
+        earlier attempt.
         """
-        ran = next((attempt for attempt in held.attempts if attempt.may_have_run), None)
-        if ran is None or held.grade.effect is not Effect.DEDUP:
-            return held.deadline
-        return min(held.deadline, ran.sent_at + int(held.grade.window * WINDOW_PART))
+        ran = next((attempt for attempt in pending.attempts if attempt.may_have_run), None)
+        if ran is None or pending.grade.effect is not Effect.DEDUP:
+            return pending.deadline
+        return min(pending.deadline, ran.sent_at + int(pending.grade.window * DEDUP_WINDOW_SHARE))
 
     @staticmethod
-    def _same_group(scope: Scope, one: Server, other: Server) -> bool:
+    def _same_dedup_group(scope: Scope, one: Server, other: Server) -> bool:
         if scope is Scope.ALL:
             return True
         return one.cell == other.cell if scope is Scope.CELL else one.zone == other.zone
 
-    def _may_refuse(self, held: PendingRequest) -> bool:
-        """A refusal tells the client that trying again is harmless; only then may it be said."""
-        grade = held.grade
-        if grade.effect is Effect.RETRYABLE or not any(a.may_have_run for a in held.attempts):
+    def _may_refuse(self, pending: PendingRequest) -> bool:
+        """Whether a refusal is allowed: it promises the client that a retry is harmless."""
+        request_class = pending.grade
+        if request_class.effect is Effect.RETRYABLE or not any(a.may_have_run for a in pending.attempts):
             return True
-        return grade.effect is Effect.DEDUP and grade.scope is Scope.ALL
+        return request_class.effect is Effect.DEDUP and request_class.scope is Scope.ALL
 
-    def _send_or_finish(self, held: PendingRequest, server: Server | None) -> None:
-        if server is None or not self._may_send(held, server):
-            self._finish(held)
+    def _send_or_finish(self, pending: PendingRequest, server: Server | None) -> None:
+        if server is None or not self._may_send(pending, server):
+            self._finish(pending)
         else:
-            self._send(held, server)
+            self._send(pending, server)
 
-    def _send(self, held: PendingRequest, server: Server) -> None:
-        limit = self._ends_by(held) - self.now
-        held.attempts.append(Attempt(server, self.now))
-        self.out.append(Send(held.id, server.id, limit))
+    def _send(self, pending: PendingRequest, server: Server) -> None:
+        timeout = self._attempt_deadline(pending) - self.now
+        pending.attempts.append(Attempt(server, self.now))
+        self.actions.append(Send(pending.id, server.id, timeout))
 
-    def _come_back(self, held: PendingRequest) -> int:
-        """When a refused client should try again: soon enough to be served in time, not at once.
+    def _retry_after(self, pending: PendingRequest) -> int:
+        """Return the delay after which a refused client should retry, so that it can be served in time.
 
-        What made this one be refused has hardly passed a moment later, and all come back together.
+        An immediate retry would meet the condition that caused the refusal, together with all other retries.
         """
-        return min(self.settings.max_retry_after, max(0, held.aim_at - self.now) // RETRY_PART)
-
-    def _finish(self, held: PendingRequest) -> None:
-        refuse = self._may_refuse(held)
-        refusal = Refuse(held.id, self._come_back(held), held.over_share)
-        self.out.append(refusal if refuse else Fail(held.id))
-        if held.attempts or self.now < held.deadline:  # else it came too late: that must not go on by itself
-            self.unserved_at = self.now
-        self._forget(held)
-
-
-# A class the settings do not name gets the strictest treatment.
-UNKNOWN_GRADE = Grade(aim=0, deadline=0, effect=Effect.FRAGILE, late_value=1.0)
+        return min(self.settings.max_retry_after, max(0, pending.target_at - self.now) // RETRY_AFTER_DIVISOR)
+
+    def _finish(self, pending: PendingRequest) -> None:
+        """End a request without a good answer: refuse it where that is allowed, else fail it."""
+        refuse = self._may_refuse(pending)
+        refusal = Refuse(pending.id, self._retry_after(pending), pending.over_share)
+        self.actions.append(refusal if refuse else Fail(pending.id))
+        # A request that arrived too late does not count as unserved: otherwise requests taken for unmarked
+        # retries would be refused and so keep this sidecar taking requests for unmarked retries.
+        if pending.attempts or self.now < pending.deadline:
+            self.last_unserved_at = self.now
+        self._close_request(pending)
+
+
+# Requests of a class that the settings do not define are treated as never repeatable.
+UNKNOWN_REQUEST_CLASS = Grade(aim=0, deadline=0, effect=Effect.FRAGILE, late_value=1.0)
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -1,4 +1,4 @@
-"""What the decision module remembers of servers, requests and attempts; it decides nothing itself."""
+"""State that the decision module keeps of servers, requests and attempts."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 from garnethaven.interface import Endpoint, Grade, Request
 from garnethaven.turns import Turns
 
-COMING_MOST = 900_000_000_000  # for a request to be whole; who reads it bounds that far closer
+# Deadline of a request whose body is still being received, in nanoseconds; the reader of the body applies
+# much tighter limits.
+COMING_MOST = 900_000_000_000
 
 
 class Server:
-    """What this instance knows of one endpoint."""
+    """State of one endpoint, as this instance has observed it since the endpoint's start."""
 
     __slots__ = (
+        "capacity",
         "cell",
+        "current_weight",
         "entry",
-        "error_at",
         "errors",
+        "errors_updated_at",
         "health",
         "id",
+        "id_hash",
+        "in_rotation",
         "kind",
-        "mark",
         "pace",
         "paces",
-        "seated",
-        "size",
         "started",
         "state",
-        "tally",
         "units",
         "weight",
         "zone",
@@ -36,16 +38,16 @@
 
     def __init__(self, entry: Endpoint) -> None:
         self.id = entry.id
-        self.mark = crc32(b"%d" % entry.id)  # the same at every sidecar, for placing keys
-        self.errors = 0.0
-        self.error_at = 0
-        self.health = 1.0
-        self.weight = 0.0
-        self.tally = 0.0
-        self.seated = False
-        self.size = 0.0
-        self.pace = 0.0  # logarithm of its time as a multiple of its kind's
-        self.paces = 0.0  # answers that it was learned from
+        self.id_hash = crc32(b"%d" % entry.id)  # the same at every sidecar, for key affinity
+        self.errors = 0.0  # consecutive errors, as decayed at `errors_updated_at`
+        self.errors_updated_at = 0
+        self.health = 1.0  # factor on the weight, lowered by errors
+        self.weight = 0.0  # share of all picks, normalised over the pool
+        self.current_weight = 0.0  # of smooth weighted round-robin: rounds that it is ahead of its turn
+        self.in_rotation = False  # False until its first turn
+        self.capacity = 0.0  # listed units divided by the latency ratios of its kind and of the server
+        self.pace = 0.0  # natural logarithm of the ratio of its latency to its kind's
+        self.paces = 0.0  # number of answers behind that ratio, capped at the smoothing window
         self.update(entry)
 
     def update(self, entry: Endpoint) -> None:
@@ -59,64 +61,77 @@
 
 
 class Attempt:
-    __slots__ = ("blamed", "may_have_run", "open", "sent_at", "server")
+    """One attempt of a request at a server."""
+
+    __slots__ = ("counted_as_slow", "may_have_run", "open", "sent_at", "server")
 
     def __init__(self, server: Server, now: int) -> None:
         self.server = server
         self.sent_at = now
-        self.open = True
-        self.blamed = False  # its slowness has been counted
+        self.open = True  # no outcome yet
+        self.counted_as_slow = False  # already counted as an error of the server
         self.may_have_run = True  # until an outcome proves otherwise
 
 
 class PendingRequest:
-    """A request that still owes its client an answer."""
+    """A request that has no final answer yet."""
 
     __slots__ = (
-        "aim_at",
         "attempts",
         "bound",
+        "class_index",
         "coming",
         "deadline",
         "grade",
-        "grade_index",
         "id",
-        "judged",
         "key",
+        "lateness_recorded",
         "over_share",
+        "target_at",
         "tenant",
     )
 
     def __init__(self, request: Request, grade: Grade, now: int, elapsed: int) -> None:
         self.id = request.id
         self.grade = grade
-        self.grade_index = request.grade
+        self.class_index = request.grade
         self.deadline = now + request.budget
-        self.aim_at = now + grade.aim - elapsed  # the client's clock began with its first try
+        # An answer after this time is late. The client measures from its first try, `elapsed` ago.
+        self.target_at = now + grade.aim - elapsed
         if not grade.late_value:
-            self.deadline = min(self.deadline, self.aim_at)  # later answers only take others' room
+            self.deadline = min(self.deadline, self.target_at)  # a late answer would only waste capacity
         self.key = request.key
         self.tenant = request.tenant
         self.attempts: list[Attempt] = []
-        self.over_share = False  # turned away, and its tenant sends more than its share
-        self.judged = elapsed > 0  # counted as in time or late; a later try says little of the servers
-        self.bound = False  # a stream has begun: the attempt is the client's
-        self.coming = request.coming  # its body takes its time: that tells nothing of the servers
+        self.over_share = False  # refused, and its tenant exceeds its share
+        # Reported as in time or late. A retry is not reported: its lateness says little of the servers.
+        self.lateness_recorded = elapsed > 0
+        self.bound = False  # a stream has begun: no other attempt may answer
+        # The request body is incomplete: the duration depends on the client, not on the servers.
+        self.coming = request.coming
         if request.coming:
-            self.aim_at = self.deadline = now + COMING_MOST
-            self.judged = True
+            self.target_at = self.deadline = now + COMING_MOST
+            self.lateness_recorded = True
 
 
-class Many:
-    """The seats of many servers, where their turns are a tree's; empty while there are few."""
+class LargePool:
+    """Round-robin tree of a large pool and the servers at its leaves; empty while the pool is small."""
 
-    __slots__ = ("by_seat", "free", "look_at", "moving", "seats", "touched", "turns")
+    __slots__ = (
+        "changed",
+        "free_leaves",
+        "leaf_by_id",
+        "refresh_at",
+        "scheduler",
+        "servers_by_leaf",
+        "time_varying",
+    )
 
     def __init__(self) -> None:
-        self.turns: Turns | None = None
-        self.by_seat: list[Server | None] = []
-        self.seats: dict[int, int] = {}
-        self.free: list[int] = []
-        self.touched: dict[int, Server] = {}  # whose weight is to be made anew
-        self.moving: dict[int, Server] = {}  # whose weight changes by itself: cold ones and those with errors
-        self.look_at = 0  # when the moving ones are looked at
+        self.scheduler: Turns | None = None
+        self.servers_by_leaf: list[Server | None] = []
+        self.leaf_by_id: dict[int, int] = {}
+        self.free_leaves: list[int] = []
+        self.changed: dict[int, Server] = {}  # servers whose weight has to be recomputed before the next pick
+        self.time_varying: dict[int, Server] = {}  # cold servers and those with errors, by endpoint id
+        self.refresh_at = 0  # when the weights of `time_varying` are recomputed next
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from garnethaven.brain import COPY_BURST, COPY_SHARE, FLOOR, Balancer
+from garnethaven.brain import HEDGES_PER_REQUEST, MAX_HEDGE_TOKENS, MIN_HEALTH, Balancer
 from garnethaven.interface import (
     Cancel,
     ClientLeft,
@@ -63,7 +63,7 @@
         send = sends(driver.ask(grade=1))[0]
         counts[send.endpoint] += 1
         driver.end(send, Outcome.ERROR if send.endpoint == 1 else Outcome.DONE)
-    assert 400 * FLOOR / 4 * 0.5 < counts[1] < 60
+    assert 400 * MIN_HEALTH / 4 * 0.5 < counts[1] < 60
 
 
 def test_success_resets_the_count() -> None:
@@ -89,7 +89,7 @@
     driver = Driver(fleet(3))
     for other in (1, 2, 3):
         driver.balancer.servers[other].errors = float(other)
-        driver.balancer.servers[other].error_at = driver.now
+        driver.balancer.servers[other].errors_updated_at = driver.now
     send = sends(driver.ask())[0]
     again = sends(driver.end(send, Outcome.CONNECT_FAILED))[0]
     assert again.endpoint == min({1, 2, 3} - {send.endpoint})
@@ -100,7 +100,7 @@
     driver = Driver((*fleet(3), Endpoint(4, started=START)))
     for warm in (1, 2, 3):
         driver.balancer.servers[warm].errors = 5.0
-        driver.balancer.servers[warm].error_at = driver.now
+        driver.balancer.servers[warm].errors_updated_at = driver.now
     for _ in range(10):
         send = sends(driver.ask())[0]
         for again in sends(driver.end(send, Outcome.BUSY)):
@@ -440,7 +440,7 @@
     assert overload.refused_share == before[1] and driver.balancer.usual == before[2]
     assert overload.ease < 0.1  # they began at once
     assert overload.answer_gap < 10 * MS  # and that they did is the pace, not when they end
-    assert driver.balancer.lasting == 0
+    assert driver.balancer.streaming_count == 0
 
 
 def test_a_lost_try_is_not_repeated_at_a_server_that_has_gone_since() -> None:
@@ -478,13 +478,13 @@
     for _ in range(40):
         driver.serve()
     driver.serve(Outcome.ERROR, grade=1)
-    driver.balancer._reweigh()
+    driver.balancer._recompute_weights()
     busy = min(server.weight for server in driver.balancer.pool)
     sparse = Driver(fleet(4))
     for _ in range(8):
         sparse.end(sends(sparse.ask(after=5 * S))[0], Outcome.DONE)
     sparse.serve(Outcome.ERROR, grade=1)
-    sparse.balancer._reweigh()
+    sparse.balancer._recompute_weights()
     assert busy > 2 * min(server.weight for server in sparse.balancer.pool)
 
 
@@ -593,4 +593,4 @@
             again += len(more)
             for repeat in more:
                 driver.end(repeat, Outcome.DONE, after=MS, attempt=1)
-    assert 0 < again <= 200 * COPY_SHARE + COPY_BURST
+    assert 0 < again <= 200 * HEDGES_PER_REQUEST + MAX_HEDGE_TOKENS
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnethaven.brain import FLOOR, MANY
+from garnethaven.brain import MANY, MIN_HEALTH
 from garnethaven.interface import Endpoint, Fail, ListKind, Membership, Outcome, Refuse, State
 from garnethaven.limits.retry_budget import RetryBudget
 from tests.helpers import MS, SETTINGS, Driver, S, fleet, of, sends
@@ -20,10 +20,10 @@
 
 def test_many_servers_take_turns_in_a_tree_and_a_few_in_the_ring() -> None:
     driver = many(MANY + 1)
-    assert driver.balancer.many.turns is not None
+    assert driver.balancer.large_pool.scheduler is not None
     driver.feed(Membership(ListKind.DELTA, (Endpoint(1, state=State.REMOVED),)))
     driver.feed(Membership(ListKind.FULL, fleet(MANY)))
-    assert driver.balancer.many.turns is None
+    assert driver.balancer.large_pool.scheduler is None
     assert len({driver.target() for _ in range(MANY)}) >= MANY - 8
 
 
@@ -63,16 +63,16 @@
     for _ in range(600):
         (send,) = sends(driver.ask(after=MS))
         driver.end(send, Outcome.ERROR if send.endpoint == 5 else Outcome.DONE, after=0)
-    seat = balancer.many.seats[5]
-    assert balancer.many.turns is not None
-    held_down = balancer.many.turns.weight(seat)
-    usual = balancer.many.turns.weight(balancer.many.seats[6])
-    assert FLOOR * usual * 0.9 <= held_down < 0.7 * usual
+    seat = balancer.large_pool.leaf_by_id[5]
+    assert balancer.large_pool.scheduler is not None
+    held_down = balancer.large_pool.scheduler.weight(seat)
+    usual = balancer.large_pool.scheduler.weight(balancer.large_pool.leaf_by_id[6])
+    assert MIN_HEALTH * usual * 0.9 <= held_down < 0.7 * usual
     driver.now += 200 * S
     driver.target()
-    assert balancer.many.turns.weight(balancer.many.seats[5]) > 0.95 * balancer.many.turns.weight(
-        balancer.many.seats[6]
-    )
+    assert balancer.large_pool.scheduler.weight(
+        balancer.large_pool.leaf_by_id[5]
+    ) > 0.95 * balancer.large_pool.scheduler.weight(balancer.large_pool.leaf_by_id[6])
 
 
 def test_a_change_touches_its_own_server_only() -> None:
@@ -80,7 +80,7 @@
     driver.target()
     balancer = driver.balancer
     full = []
-    balancer._reweigh = lambda: full.append(1)  # type: ignore[method-assign]
+    balancer._recompute_weights = lambda: full.append(1)  # type: ignore[method-assign]
     for number in range(1, 40):
         driver.feed(Membership(ListKind.DELTA, (Endpoint(number, state=State.REMOVED),)), after=0)
         driver.target(after=0)
@@ -116,8 +116,10 @@
             assert again.endpoint in up, (seed, step)
             driver.end(again, Outcome.DONE, after=0, attempt=1)
     balancer = driver.balancer
-    assert sorted(balancer.many.seats) == sorted(up)
-    assert len(balancer.many.free) + len(balancer.many.seats) == len(balancer.many.by_seat)
+    assert sorted(balancer.large_pool.leaf_by_id) == sorted(up)
+    assert len(balancer.large_pool.free_leaves) + len(balancer.large_pool.leaf_by_id) == len(
+        balancer.large_pool.servers_by_leaf
+    )
 
 
 def test_a_cold_quarter_gets_no_more_than_its_warmth() -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from garnethaven.turns import FAN, Turns
+from garnethaven.turns import FAN_OUT, Turns
 
 
 def plain(weights: list[float], picks: int) -> list[int]:
@@ -47,7 +47,7 @@
         assert abs(count - other) <= 2
 
 
-@pytest.mark.parametrize("size", [1, 2, FAN, FAN + 1, FAN * FAN, 500, 5000])
+@pytest.mark.parametrize("size", [1, 2, FAN_OUT, FAN_OUT + 1, FAN_OUT * FAN_OUT, 500, 5000])
 def test_equal_weights_are_visited_evenly(size: int) -> None:
     turns = made([1.0] * size)
     counts = [0] * size
@@ -102,7 +102,7 @@
     counts: dict[int, int] = {}
     for number in range(640):
         if number % 10 == 0:
-            seat = turns.pick(mark=12345, slack=0.8)
+            seat = turns.pick(key_hash=12345, max_lead=0.8)
             assert seat is not None
             counts[seat] = counts.get(seat, 0) + 1
         else:
