--- a/garnethaven/__init__.py
+++ b/garnethaven/__init__.py
@@ -1,4 +1,4 @@
-"""garnethaven: the decisions of a sidecar balancer, as a library without clock or I/O."""
+"""garnethaven: the decision module of a load-balancing sidecar, a library without clock or I/O."""
 
 from garnethaven.brain import Balancer
 
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -1,4 +1,4 @@
-"""The language of the decision module: settings, events that go in, actions that come out.
+"""The interface of the decision module: its settings, input events and output actions.
 
 All times are whole nanoseconds on one monotonic clock of arbitrary origin.
 """
@@ -10,15 +10,15 @@
 
 
 class Effect(Enum):
-    """What a class of requests tolerates."""
+    """How often a request of a class may run."""
 
     RETRYABLE = "retryable"  # may run any number of times
-    DEDUP = "dedup"  # a group of endpoints drops repeats for a while
-    FRAGILE = "fragile"  # must never run twice
+    DEDUP = "dedup"  # a group of endpoints (Scope) deduplicates it within a window
+    FRAGILE = "fragile"  # must not run twice
 
 
 class Scope(Enum):
-    """Which endpoints drop the repeats of a dedup class."""
+    """Which endpoints share the deduplication of a DEDUP class: all, or those of one zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,78 +26,87 @@
 
 
 class State(Enum):
+    """The state of an endpoint in the list."""
+
     UP = "up"
     DRAINING = "draining"
     REMOVED = "removed"
 
 
 class ListKind(Enum):
-    DELTA = "delta"  # only what changed
+    """What a membership event carries."""
+
+    DELTA = "delta"  # only the changed entries
     FULL = "full"  # the complete list
-    PERSISTED = "persisted"  # the complete list as an earlier life knew it; may be stale
-    FAILED = "failed"  # a discovery call failed or a subscription broke
+    PERSISTED = "persisted"  # the complete list as an earlier process stored it; may be stale
+    FAILED = "failed"  # no entries: a discovery call failed or a watch broke
 
 
 class Outcome(Enum):
+    """How an attempt ended."""
+
     DONE = "done"
     ERROR = "error"
-    BUSY = "busy"
+    BUSY = "busy"  # the server rejected it for want of capacity
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    SKIPPED = "skipped"
-    STALE = "stale"  # a reset of a kept connection before any answer: it may have run all the same
-    BAD_REQUEST = "bad request"  # the endpoint finds fault with the request; only real ones say so
+    SKIPPED = "skipped"  # was not sent
+    STALE = "stale"  # a reused connection was reset before any answer; the request may have run
+    BAD_REQUEST = "bad request"  # the endpoint rejected the request as invalid; real endpoints only
 
 
+# After these outcomes the request has certainly not run.
 NEVER_RAN = frozenset({Outcome.BUSY, Outcome.CONNECT_FAILED, Outcome.SKIPPED})
 
 
 @dataclass(slots=True, frozen=True)
 class Grade:
-    """One class of requests."""
+    """Settings of one request class."""
 
-    aim: int
-    deadline: int
+    aim: int  # latency target: a later answer is late, but may still have a value (`late_value`)
+    deadline: int  # time budget of a client over all its tries
     effect: Effect = Effect.RETRYABLE
-    scope: Scope = Scope.ALL
-    window: int = 0
-    worth: float = 1.0
-    late_value: float = 0.0
+    scope: Scope = Scope.ALL  # of deduplication
+    window: int = 0  # time for which endpoints deduplicate a request
+    worth: float = 1.0  # value of an answer in time; a request of lower value is shed first
+    late_value: float = 0.0  # value of a late answer; 0: a request is not served after its target
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    share: float
+    """What a tenant is entitled to."""
+
+    share: float  # of all requests, 0 to 1
     allowance: float  # requests per second within its share, over all sidecars
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What an instance is told at its start."""
+    """Settings of an instance; they do not change while it runs."""
 
-    grades: tuple[Grade, ...]
-    tenants: tuple[Tenant, ...] = ()
-    slot: int = 0
+    grades: tuple[Grade, ...]  # by class index
+    tenants: tuple[Tenant, ...] = ()  # by tenant index
+    slot: int = 0  # instance index within the fleet; 0 may mean that none is configured
     fleet_size: int = 1
     zone: int = 0
     ask_discovery: bool = False
-    ask_within: int = 10_000_000_000
-    drain_grace: int = 0
-    cold_share: float = 1.0
-    ramp_time: int = 0
-    fall_multiple: float = 3.0  # of its present capacity: a cold server that is sent more falls over
+    ask_within: int = 10_000_000_000  # time in which discovery can answer one call of every instance
+    drain_grace: int = 0  # time for which new attempts may still reach an endpoint that drains
+    cold_share: float = 1.0  # share of its capacity that a server has at its start
+    ramp_time: int = 0  # time from a server's start until it has its full capacity
+    fall_multiple: float = 3.0  # a cold server crashes above this multiple of its present capacity
     dial_timeout: int = 0
-    conn_idle: int = 0
-    streams_per_conn: int = 1
+    conn_idle: int = 0  # time after which an idle connection is closed
+    streams_per_conn: int = 1  # concurrent requests on one connection
     max_attempts: int = 1
-    second_copies: bool = False
-    cancel: bool = False
+    second_copies: bool = False  # whether a request may have several open attempts (hedging)
+    cancel: bool = False  # whether open attempts are cancelled when they are no longer needed
     probes: bool = False
-    warm_keys: bool = False
-    over_share_worth: float = 1.0
-    cross_zone_price: float = 0.0
+    warm_keys: bool = False  # whether servers cache by request key
+    over_share_worth: float = 1.0  # factor on the value of a request of a tenant beyond its share
+    cross_zone_price: float = 0.0  # > 0: the local zone is preferred
     waste_price: float = 0.0
     probe_price: float = 0.0
     retry_after: bool = False
@@ -107,15 +116,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the endpoint list; immutable, so that parsed lists can be shared."""
+    """An entry of the endpoint list; immutable, so that parsed lists can be shared."""
 
     id: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
     state: State = State.UP
-    units: float = 1.0
-    started: int = 0  # 0: long ago
+    units: float = 1.0  # listed capacity, relative to the other endpoints
+    started: int = 0  # time of the start; 0: long ago
 
 
 # Events
@@ -123,56 +132,66 @@
 
 @dataclass(slots=True)
 class Started:
-    """The instance begins."""
+    """The instance has started."""
 
 
 @dataclass(slots=True)
 class Membership:
+    """A result of discovery: a list, a change or a failure."""
+
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Prior:
-    """An attempt that may have run before this life of the sidecar; without fields nothing is known of it."""
+    """An attempt that may have run before this process started; the defaults mean that no more is known."""
 
     endpoint: int = -1
     zone: int = -1
     cell: int = -1
-    age: int = 1 << 62  # since it was sent
+    age: int = 1 << 62  # time since it was sent
 
 
 @dataclass(slots=True)
 class Request:
+    """A client's request has arrived."""
+
     id: str
-    grade: int
-    budget: int  # time until the client gives this try up
+    grade: int  # class index
+    budget: int  # time until the client abandons this try
     tenant: int = 0
-    key: str = ""
-    repeat: bool = False
+    key: str = ""  # key of the data it concerns, by which servers may cache
+    repeat: bool = False  # the client marked it as a retry
     prior: Prior | None = None
-    coming: bool = False  # its last byte is not here yet: no time of it counts, and it may last
+    coming: bool = False  # its body is incomplete: its durations are not measured, and it may take long
 
 
 @dataclass(slots=True)
 class StreamBegan:
+    """The answer of an attempt has begun to stream to the client."""
+
     id: str
     attempt: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has ended."""
+
     id: str
-    attempt: int
+    attempt: int  # index among the request's attempts
     endpoint: int
     outcome: Outcome
     duration: int = 0
     final: bool = False  # the client has its answer
-    report: tuple[float, ...] = ()
+    report: tuple[float, ...] = ()  # load figures of the endpoint, in the order of `Settings.report_fields`
 
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe has ended."""
+
     endpoint: int
     outcome: Outcome
     duration: int = 0
@@ -181,47 +200,51 @@
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer set by SetTimer has expired."""
+
     token: int
 
 
 @dataclass(slots=True)
 class ClientLeft:
+    """The client has disconnected or cancelled the request."""
+
     id: str
 
 
 @dataclass(slots=True)
 class ByHand:
-    """An operator takes an endpoint out, whatever the list says of it, or puts it back."""
+    """An operator cordons or uncordons an endpoint, independently of its state in the list."""
 
     endpoint: int
-    out: bool
+    out: bool  # True: cordon
 
 
 @dataclass(slots=True, frozen=True)
 class Learned:
-    """What an earlier life knew of one server, as far as it is still worth anything."""
+    """State of one server that an earlier process stored, aged by the time since."""
 
     endpoint: int
     errors: float
-    pace: float  # logarithm of its time as a multiple of its kind's
-    paces: float  # answers that it counts as
+    pace: float  # natural logarithm of the ratio of its latency to its kind's
+    paces: float  # number of answers that the ratio still counts as
 
 
 @dataclass(slots=True)
 class Recalled:
-    """What an earlier life of this instance had learned, aged by the time since (state/ageing.py)."""
+    """State that an earlier process of this instance stored, aged by the time since (state/ageing.py)."""
 
     servers: tuple[Learned, ...] = ()
-    kinds: dict[int, float] = field(default_factory=dict)  # pace by kind
-    usual: dict[int, float] = field(default_factory=dict)  # time of a good answer by class
-    copies: float = 0.0  # budgets as they were: a restart refills none
-    retries: float = 0.0
-    gap: float = 0.0  # between two requests, in nanoseconds; 0: not known
+    kinds: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
+    usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
+    copies: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
+    retries: float = 0.0  # retry tokens of the overload control, likewise
+    gap: float = 0.0  # smoothed time between two requests; 0: unknown
 
 
 @dataclass(slots=True)
 class Woke:
-    """The process stood still, and goes on with what it knew before."""
+    """The process was suspended and has resumed with its earlier state."""
 
 
 Event = (
@@ -244,40 +267,48 @@
 
 @dataclass(slots=True)
 class Send:
+    """Start an attempt."""
+
     id: str
     endpoint: int
-    limit: int = 0  # time-out of the attempt, and of those still out before it; 0: until the client gives up
+    limit: int = 0  # timeout of this attempt and of earlier open ones; 0: the client's time budget only
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: trying again is harmless."""
+    """Final: the request is refused, and a retry is harmless."""
 
     id: str
-    retry_after: int = 0
-    over_share: bool = False  # turned away first because its tenant sends more than its share
+    retry_after: int = 0  # delay after which the client should retry; 0: not stated
+    over_share: bool = False  # refused before others because its tenant exceeds its share
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final: nothing is promised of the effect."""
+    """Final: the request failed, and may or may not have taken effect."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an open attempt."""
+
     id: str
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Probe an endpoint."""
+
     endpoint: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send TimerFired with this token after `delay`."""
+
     token: int
     delay: int
 
@@ -289,11 +320,15 @@
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close an idle connection to the endpoint."""
+
     endpoint: int
 
 
 @dataclass(slots=True)
 class Note:
+    """Log a message."""
+
     text: str
 
 
