--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -1,4 +1,4 @@
-"""One small test for each decision and each failure found; none needs the bench."""
+"""Unit tests of the decision module: one for each decision and for each failure found."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 
 def test_equal_servers_take_equal_turns() -> None:
     driver = Driver(fleet(5))
-    turns = [driver.serve() for _ in range(50)]
-    assert set(Counter(turns).values()) == {10}
+    endpoints = [driver.serve() for _ in range(50)]
+    assert set(Counter(endpoints).values()) == {10}
 
 
 def test_turns_follow_units() -> None:
@@ -47,13 +47,13 @@
 
 
 def test_same_seed_and_events_give_the_same_actions() -> None:
-    one, two = Driver(fleet(9), seed=3), Driver(fleet(9), seed=3)
-    assert [one.ask() for _ in range(40)] == [two.ask() for _ in range(40)]
+    first, second = Driver(fleet(9), seed=3), Driver(fleet(9), seed=3)
+    assert [first.ask() for _ in range(40)] == [second.ask() for _ in range(40)]
 
 
 def test_sidecars_do_not_walk_the_list_in_step() -> None:
-    first = Counter(Driver(fleet(10), seed=seed).target() for seed in range(100))
-    assert max(first.values()) < 30
+    first_targets = Counter(Driver(fleet(10), seed=seed).target() for seed in range(100))
+    assert max(first_targets.values()) < 30
 
 
 def test_a_failing_server_loses_turns_but_keeps_the_floor() -> None:
@@ -87,87 +87,90 @@
 
 def test_a_retry_goes_to_the_healthiest_untried_server() -> None:
     driver = Driver(fleet(3))
-    for other in (1, 2, 3):
-        driver.balancer.servers[other].errors = float(other)
-        driver.balancer.servers[other].errors_updated_at = driver.now
+    for endpoint in (1, 2, 3):
+        driver.balancer.servers[endpoint].errors = float(endpoint)
+        driver.balancer.servers[endpoint].errors_updated_at = driver.now
     send = sends(driver.ask())[0]
-    again = sends(driver.end(send, Outcome.CONNECT_FAILED))[0]
-    assert again.endpoint == min({1, 2, 3} - {send.endpoint})
+    retry = sends(driver.end(send, Outcome.CONNECT_FAILED))[0]
+    assert retry.endpoint == min({1, 2, 3} - {send.endpoint})
 
 
 def test_retries_spare_a_cold_server() -> None:
-    # A cold server has no errors: as the healthiest it drew every sidecar's retries and fell over.
+    # A cold server has no errors: picked as the healthiest, it got every sidecar's retries and crashed.
     driver = Driver((*fleet(3), Endpoint(4, started=START)))
-    for warm in (1, 2, 3):
-        driver.balancer.servers[warm].errors = 5.0
-        driver.balancer.servers[warm].errors_updated_at = driver.now
+    for endpoint in (1, 2, 3):
+        driver.balancer.servers[endpoint].errors = 5.0
+        driver.balancer.servers[endpoint].errors_updated_at = driver.now
     for _ in range(10):
         send = sends(driver.ask())[0]
-        for again in sends(driver.end(send, Outcome.BUSY)):
-            assert again.endpoint != 4
+        for retry in sends(driver.end(send, Outcome.BUSY)):
+            assert retry.endpoint != 4
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 2**31), st.integers(4, 24), st.integers(1, 3), st.booleans())
-def test_a_cold_server_is_not_pushed_over(seed: int, warm: int, joiners: int, keyed: bool) -> None:
-    """Rule 4: many sidecars together stay under the budget of a server that starts at the cold share.
+def test_a_cold_server_is_not_pushed_over(seed: int, warm_servers: int, joiners: int, keyed: bool) -> None:
+    """Rule 4: many sidecars together do not overload a server that starts at the cold share of its capacity.
 
-    A warm server is taken to be busy to the full; the budget is a multiple of 3 of what is left when cold.
+    Warm servers are taken to run at full capacity; a cold server may get 3 times its present capacity.
     """
-    tier = replace(SETTINGS, fleet_size=30, warm_keys=keyed)
-    drivers = [Driver(fleet(warm), tier, seed + n) for n in range(tier.fleet_size)]
-    cold = [Endpoint(100 + n, started=START) for n in range(joiners)]
+    fleet_settings = replace(SETTINGS, fleet_size=30, warm_keys=keyed)
+    drivers = [
+        Driver(fleet(warm_servers), fleet_settings, seed + number)
+        for number in range(fleet_settings.fleet_size)
+    ]
+    cold = [Endpoint(100 + number, started=START) for number in range(joiners)]
     for driver in drivers:
         driver.feed(Membership(ListKind.DELTA, tuple(cold)))
-    seen: Counter[int] = Counter()
-    rounds = 4 * warm
-    for n in range(rounds):
+    counts: Counter[int] = Counter()
+    rounds = 4 * warm_servers
+    for number in range(rounds):
         for driver in drivers:
-            seen[driver.serve(key=f"k{n % 3}" if keyed else "", after=1)] += 1
-    usual = rounds * tier.fleet_size / warm
+            counts[driver.serve(key=f"k{number % 3}" if keyed else "", after=1)] += 1
+    warm_count = rounds * fleet_settings.fleet_size / warm_servers
     for endpoint in cold:
-        assert seen[endpoint.id] <= 3 * tier.cold_share * usual
+        assert counts[endpoint.id] <= 3 * fleet_settings.cold_share * warm_count
 
 
 def test_a_newcomer_is_not_the_next_pick_of_many() -> None:
-    # Placed among the others' tallies it was the next pick of every fifth sidecar at once (i246273).
+    # Placed among the others' current weights it was the next pick of every fifth sidecar at once (i246273).
     drivers = [Driver(fleet(20), seed=seed) for seed in range(200)]
     for driver in drivers:
         for _ in range(7):
             driver.serve(Outcome.ERROR, grade=1)
         driver.feed(Membership(ListKind.DELTA, (Endpoint(99, started=driver.now),)))
-    early = sum(driver.serve(grade=1) == 99 for driver in drivers for _ in range(4))
-    likely = 1.0 - (1.0 - SETTINGS.cold_share) ** 2  # the part that it most likely can do
-    assert early <= 1.2 * 200 * 4 / 20 * likely
+    early_picks = sum(driver.serve(grade=1) == 99 for driver in drivers for _ in range(4))
+    likely = 1.0 - (1.0 - SETTINGS.cold_share) ** 2  # its likely share of a warm server's capacity
+    assert early_picks <= 1.2 * 200 * 4 / 20 * likely
 
 
 def test_a_jam_does_not_make_a_newcomer_heavy() -> None:
-    # Penalised peers shrink the sum of weights; a clean count must not win by it (i246273).
+    # Errors shrink the sum of its peers' weights; a newcomer without errors must not gain by that (i246273).
     driver = Driver(fleet(10))
     for _ in range(100):
         driver.serve(Outcome.ERROR, grade=1)
     driver.feed(Membership(ListKind.DELTA, (Endpoint(99, started=driver.now),)))
-    turns = [driver.serve(Outcome.ERROR, grade=1) for _ in range(100)]
-    assert turns.count(99) <= 100 / 11  # no more than a warm one's part
+    endpoints = [driver.serve(Outcome.ERROR, grade=1) for _ in range(100)]
+    assert endpoints.count(99) <= 100 / 11  # no more than the share of a warm server
 
 
 def test_a_stopping_cell_does_not_dump_its_work_on_a_cold_mate() -> None:
-    # All that a stopping server held came back at once and went to its cold cell-mate.
+    # All pending requests of a stopping server were retried at once at the cold server of its cell.
     driver = Driver((*fleet(7), Endpoint(8, cell=3, started=START)))
     for _ in range(30):
         send = sends(driver.ask(grade=2))[0]
         if send.endpoint == 7:
-            (again,) = sends(driver.end(send, Outcome.RESET))
-            assert again.endpoint == 7
-            assert [type(a) for a in driver.end(again, Outcome.CONNECT_FAILED, attempt=1)] == [Fail]
+            (retry,) = sends(driver.end(send, Outcome.RESET))
+            assert retry.endpoint == 7
+            assert [type(action) for action in driver.end(retry, Outcome.CONNECT_FAILED, attempt=1)] == [Fail]
 
 
 def test_a_lost_answer_is_asked_for_once_more_where_no_other_may_give_it() -> None:
     driver = Driver((Endpoint(1), Endpoint(2, cell=1), Endpoint(3, cell=2)))
     send = sends(driver.ask(grade=2))[0]
-    (again,) = sends(driver.end(send, Outcome.RESET))
-    assert again.endpoint == send.endpoint
-    assert [type(a) for a in driver.end(again, Outcome.RESET, attempt=1)] == [Fail]
+    (retry,) = sends(driver.end(send, Outcome.RESET))
+    assert retry.endpoint == send.endpoint
+    assert [type(action) for action in driver.end(retry, Outcome.RESET, attempt=1)] == [Fail]
 
 
 def test_a_refused_client_is_told_when_to_come_back() -> None:
@@ -182,46 +185,47 @@
     assert {driver.serve() for _ in range(6)} == {50, 51}
 
 
-def overdue(driver: Driver, pause: int = 2 * S, **fields: int) -> list[Send]:
-    """A request that stays out until its timers fire; returns what was sent on the way."""
+def hedges_of_overdue_request(driver: Driver, interval: int = 2 * S, **fields: int) -> list[Send]:
+    """Leave a request unanswered until its timers have fired; return the attempts sent by the timers."""
     for _ in range(20):
-        driver.now += pause
+        driver.now += interval
         driver.serve(**fields)
-    driver.now += pause
-    asked = driver.ask(**fields)
-    sent = []
-    for timer in sorted(of(asked, SetTimer), key=lambda t: t.delay):
-        due = driver.now + timer.delay
-        sent += sends(driver.balancer.handle(due, TimerFired(timer.token)))
-    return sent
+    driver.now += interval
+    actions = driver.ask(**fields)
+    hedges = []
+    for timer in sorted(of(actions, SetTimer), key=lambda t: t.delay):
+        fires_at = driver.now + timer.delay
+        hedges += sends(driver.balancer.handle(fires_at, TimerFired(timer.token)))
+    return hedges
 
 
 def test_an_overdue_request_gets_one_second_copy_elsewhere() -> None:
-    (copy,) = overdue(Driver(fleet(4)))
-    assert copy.endpoint in (1, 2, 3, 4)
+    (hedge,) = hedges_of_overdue_request(Driver(fleet(4)))
+    assert hedge.endpoint in (1, 2, 3, 4)
 
 
 def test_fragile_requests_and_overloads_get_no_copies() -> None:
-    assert overdue(Driver(fleet(4)), grade=1) == []
-    busy = Driver(fleet(4))
-    busy.balancer.copies = -100.0
-    assert overdue(busy) == []
+    assert hedges_of_overdue_request(Driver(fleet(4)), grade=1) == []
+    driver = Driver(fleet(4))
+    driver.balancer.copies = -100.0
+    assert hedges_of_overdue_request(driver) == []
 
 
 def test_one_that_meets_its_servers_often_sends_no_copies() -> None:
-    # Each is met 25 times in the half-life of an error: what is overdue is heavy, and its copy as heavy.
-    assert overdue(Driver(fleet(4)), pause=100 * MS) == []
-    assert len(overdue(Driver(fleet(4)), pause=S)) == 1  # 2.5 times
+    # At 25 requests to a server per half-life of an error, an overdue request is expensive, and its hedge too.
+    assert hedges_of_overdue_request(Driver(fleet(4)), interval=100 * MS) == []
+    assert len(hedges_of_overdue_request(Driver(fleet(4)), interval=S)) == 1  # 2.5 requests
 
 
 def test_an_early_repeat_tells_how_long_the_client_has_waited() -> None:
-    grade = replace(SAFE, late_value=0.0)
-    driver = Driver(fleet(3), replace(SETTINGS, grades=(grade,)))
+    request_class = replace(SAFE, late_value=0.0)
+    driver = Driver(fleet(3), replace(SETTINGS, grades=(request_class,)))
     driver.ask()
-    actions = driver.ask(budget=grade.deadline - grade.aim, repeat=True)
-    assert isinstance(actions[-1], Refuse)  # its aim has passed: work for it would earn nothing
-    # Impatient clients give first tries less; taken for late ones, they drove refusals up in a spiral.
-    assert sends(driver.ask(budget=grade.deadline - grade.aim))
+    actions = driver.ask(budget=request_class.deadline - request_class.aim, repeat=True)
+    assert isinstance(actions[-1], Refuse)  # its target has passed: an answer would have no value
+    # Impatient clients send first tries with a smaller time budget. Taken for late retries, they raised the
+    # refused share further and further.
+    assert sends(driver.ask(budget=request_class.deadline - request_class.aim))
 
 
 def test_work_that_can_earn_nothing_more_is_stopped() -> None:
@@ -268,13 +272,15 @@
 def test_a_celled_request_is_resent_in_its_cell_only() -> None:
     driver = Driver(fleet(8))
     send = sends(driver.ask(grade=2))[0]
-    again = sends(driver.end(send, Outcome.ERROR))
-    assert [s.endpoint for s in again] == [send.endpoint - 1 if send.endpoint % 2 == 0 else send.endpoint + 1]
+    retries = sends(driver.end(send, Outcome.ERROR))
+    assert [retry.endpoint for retry in retries] == [
+        send.endpoint - 1 if send.endpoint % 2 == 0 else send.endpoint + 1
+    ]
 
 
 def test_a_celled_request_is_not_resent_past_its_window() -> None:
-    grade = replace(CELLED, window=10 * MS)
-    driver = Driver(fleet(8), replace(SETTINGS, grades=(grade,)))
+    request_class = replace(CELLED, window=10 * MS)
+    driver = Driver(fleet(8), replace(SETTINGS, grades=(request_class,)))
     send = sends(driver.ask())[0]
     assert [type(action) for action in driver.end(send, Outcome.ERROR)] == [Fail]
 
@@ -289,21 +295,21 @@
 
 
 def test_keys_come_back_to_their_server_within_its_share() -> None:
-    tier = replace(SETTINGS, warm_keys=True)
-    hits = Counter(Driver(fleet(12), tier, seed).target(key="acct/7") for seed in range(60))
-    assert hits.most_common(1)[0][1] >= 20  # sidecars agree without talking
-    driver = Driver(fleet(12), tier)
-    turns = Counter(driver.serve(key="acct/7") for _ in range(240))
-    assert max(turns.values()) <= 22 and len(turns) == 12  # a hot key is bounded by the tallies
+    key_settings = replace(SETTINGS, warm_keys=True)
+    first_targets = Counter(Driver(fleet(12), key_settings, seed).target(key="acct/7") for seed in range(60))
+    assert first_targets.most_common(1)[0][1] >= 20  # sidecars agree without communication
+    driver = Driver(fleet(12), key_settings)
+    counts = Counter(driver.serve(key="acct/7") for _ in range(240))
+    assert max(counts.values()) <= 22 and len(counts) == 12  # the current weights bound the load of a hot key
 
 
 def test_sparse_sidecars_close_their_connections() -> None:
     driver = Driver(fleet(6))
-    rare = [driver.ask(after=5 * S) for _ in range(20)]
-    assert of(driver.end(sends(rare[-1])[0], Outcome.DONE), CloseIdle)
-    busy = Driver(fleet(6))
-    often = [busy.ask(after=10 * MS) for _ in range(20)]
-    assert not of(busy.end(sends(often[-1])[0], Outcome.DONE), CloseIdle)
+    rare_requests = [driver.ask(after=5 * S) for _ in range(20)]
+    assert of(driver.end(sends(rare_requests[-1])[0], Outcome.DONE), CloseIdle)
+    busy_driver = Driver(fleet(6))
+    frequent_requests = [busy_driver.ask(after=10 * MS) for _ in range(20)]
+    assert not of(busy_driver.end(sends(frequent_requests[-1])[0], Outcome.DONE), CloseIdle)
 
 
 def test_a_slow_server_loses_turns() -> None:
@@ -319,44 +325,47 @@
 def test_an_attempt_out_past_its_aim_counts_before_its_time_out() -> None:
     driver = Driver(fleet(2))
     actions = driver.ask(grade=1)
-    timer = next(a for a in actions if isinstance(a, SetTimer))
+    timer = next(action for action in actions if isinstance(action, SetTimer))
     driver.feed(TimerFired(timer.token), after=timer.delay)
     assert driver.balancer.servers[sends(actions)[0].endpoint].errors == pytest.approx(1.0)
 
 
-def zoned() -> tuple[Endpoint, ...]:
+def three_zone_fleet() -> tuple[Endpoint, ...]:
     return tuple(Endpoint(n, zone=n % 3) for n in range(1, 13))
 
 
 def test_requests_stay_in_their_zone_where_crossing_costs() -> None:
-    driver = Driver(zoned(), replace(SETTINGS, fleet_size=100, cross_zone_price=0.05, zone=1))
+    driver = Driver(three_zone_fleet(), replace(SETTINGS, fleet_size=100, cross_zone_price=0.05, zone=1))
     assert {driver.serve() % 3 for _ in range(60)} == {1}
 
 
 def test_a_small_fleet_does_not_pile_up_at_home() -> None:
-    # Two sidecars sent half of all requests to the one server of their zone (churn, rude days).
-    tier = replace(SETTINGS, fleet_size=2, cross_zone_price=0.05, zone=1)
-    driver = Driver((Endpoint(1, zone=1), *(Endpoint(n, zone=2 + n % 3) for n in range(2, 7))), tier)
-    turns = [driver.serve() for _ in range(120)]
-    assert 20 <= turns.count(1) <= 30
+    # Two sidecars sent half of all requests to the only server of their zone (churn, rude days).
+    fleet_settings = replace(SETTINGS, fleet_size=2, cross_zone_price=0.05, zone=1)
+    driver = Driver(
+        (Endpoint(1, zone=1), *(Endpoint(number, zone=2 + number % 3) for number in range(2, 7))),
+        fleet_settings,
+    )
+    endpoints = [driver.serve() for _ in range(120)]
+    assert 20 <= endpoints.count(1) <= 30
 
 
 def test_an_ailing_zone_sends_requests_away() -> None:
-    driver = Driver(zoned(), replace(SETTINGS, cross_zone_price=0.05, zone=1))
+    driver = Driver(three_zone_fleet(), replace(SETTINGS, cross_zone_price=0.05, zone=1))
     for _ in range(60):
         send = sends(driver.ask(grade=1))[0]
         driver.end(send, Outcome.ERROR if send.endpoint % 3 == 1 else Outcome.DONE)
-    away = [driver.target(grade=1, after=100 * MS) % 3 for _ in range(60)]
-    assert sum(zone != 1 for zone in away) > 30
+    zones = [driver.target(grade=1, after=100 * MS) % 3 for _ in range(60)]
+    assert sum(zone != 1 for zone in zones) > 30
 
 
 def test_without_a_home_all_zones_serve() -> None:
-    driver = Driver(zoned(), replace(SETTINGS, cross_zone_price=0.05, zone=7))
+    driver = Driver(three_zone_fleet(), replace(SETTINGS, cross_zone_price=0.05, zone=7))
     assert len({driver.serve() for _ in range(24)}) == 12
 
 
-def overload(driver: Driver, rounds: int) -> None:
-    """Requests whose answers all come past their aim."""
+def answer_late(driver: Driver, rounds: int) -> None:
+    """Send requests and answer all of them after their target."""
     for _ in range(rounds):
         for send in sends(driver.ask()):
             driver.end(send, Outcome.DONE, after=SAFE.aim + MS)
@@ -364,7 +373,7 @@
 
 def test_late_answers_everywhere_lead_to_early_refusals() -> None:
     driver = Driver(fleet(4))
-    overload(driver, 100)
+    answer_late(driver, 100)
     refused = sum(bool(of(driver.ask(), Refuse)) for _ in range(100))
     assert 60 < refused < 100
 
@@ -376,10 +385,10 @@
             for send in sends(driver.ask(grade=grade)):
                 driver.end(send, Outcome.DONE, after=SAFE.aim + MS)
     refused: Counter[int] = Counter()
-    for n in range(80):
+    for number in range(80):
         driver.balancer.overload.refused_share = 0.4
-        actions = driver.ask(grade=n % 2)
-        refused[n % 2] += bool(of(actions, Refuse))
+        actions = driver.ask(grade=number % 2)
+        refused[number % 2] += bool(of(actions, Refuse))
         for send in sends(actions):
             driver.end(send, Outcome.DONE)
     assert refused[0] > 25 and refused[1] == 0
@@ -389,15 +398,15 @@
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
     driver = Driver(fleet(4), replace(SETTINGS, tenants=tenants, over_share_worth=0.1))
     refused: Counter[int] = Counter()
-    reasons: Counter[int] = Counter()
-    for n in range(200):
+    over_share_counts: Counter[int] = Counter()
+    for number in range(200):
         driver.balancer.overload.refused_share = 0.15
-        tenant = 0 if n % 4 == 0 else 1
+        tenant = 0 if number % 4 == 0 else 1
         refusals = of(driver.ask(tenant=tenant), Refuse)
         refused[tenant] += len(refusals)
-        reasons[tenant] += sum(refusal.over_share for refusal in refusals)
+        over_share_counts[tenant] += sum(refusal.over_share for refusal in refusals)
     assert refused[1] > 20 and refused[0] <= 2
-    assert reasons[1] > 20 and reasons[0] == 0
+    assert over_share_counts[1] > 20 and over_share_counts[0] == 0
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -407,20 +416,22 @@
         driver.serve()
     newcomer = Endpoint(id=3, cell=2)
     driver.feed(Membership(ListKind.DELTA, (newcomer,)))
-    driver.feed(Membership(ListKind.DELTA, tuple(replace(one, state=State.REMOVED) for one in fleet(2))))
+    driver.feed(
+        Membership(ListKind.DELTA, tuple(replace(endpoint, state=State.REMOVED) for endpoint in fleet(2)))
+    )
     assert [driver.target() for _ in range(5)] == [3] * 5
 
 
 def test_a_stream_that_has_begun_is_not_blamed_for_lasting() -> None:
-    for begins, blamed in ((True, 0.0), (False, 1.0)):
+    for stream_begins, errors in ((True, 0.0), (False, 1.0)):
         driver = Driver(fleet(1))
         actions = driver.ask()
         (send,) = sends(actions)
-        if begins:
+        if stream_begins:
             driver.feed(StreamBegan(send.id, 0))
         for timer in of(actions, SetTimer):
             driver.feed(TimerFired(timer.token), after=S)
-        assert driver.balancer.servers[1].errors == blamed
+        assert driver.balancer.servers[1].errors == errors
 
 
 def test_streams_that_last_are_no_queue_and_their_length_tells_nothing() -> None:
@@ -438,8 +449,8 @@
     for send in streams:
         driver.end(send, Outcome.DONE, after=100 * MS)
     assert overload.refused_share == before[1] and driver.balancer.usual == before[2]
-    assert overload.ease < 0.1  # they began at once
-    assert overload.answer_gap < 10 * MS  # and that they did is the pace, not when they end
+    assert overload.ease < 0.1  # all streams began at once
+    assert overload.answer_gap < 10 * MS  # measured at the starts of the streams, not at their ends
     assert driver.balancer.streaming_count == 0
 
 
@@ -460,14 +471,14 @@
 
 
 def test_a_busy_sidecar_refuses_by_what_it_has_under_way() -> None:
-    # Waiting for answers to be late, it swung between refusing nothing and nearly all (wide+reset+stale).
+    # A sidecar that waited for late answers swung between refusing nothing and nearly all (wide+reset+stale).
     driver = Driver(fleet(4))
     for _ in range(100):
         driver.serve()
-    under_way = [driver.ask(after=MS) for _ in range(100)]
-    refused = [bool(of(actions, Refuse)) for actions in under_way]
+    actions_by_request = [driver.ask(after=MS) for _ in range(100)]
+    refused = [bool(of(actions, Refuse)) for actions in actions_by_request]
     assert not any(refused[:10]) and all(refused[60:])
-    for actions in under_way:
+    for actions in actions_by_request:
         for send in sends(actions):
             driver.end(send, Outcome.DONE, after=MS)
     assert sends(driver.ask())
@@ -479,13 +490,13 @@
         driver.serve()
     driver.serve(Outcome.ERROR, grade=1)
     driver.balancer._recompute_weights()
-    busy = min(server.weight for server in driver.balancer.pool)
-    sparse = Driver(fleet(4))
+    min_busy_weight = min(server.weight for server in driver.balancer.pool)
+    sparse_driver = Driver(fleet(4))
     for _ in range(8):
-        sparse.end(sends(sparse.ask(after=5 * S))[0], Outcome.DONE)
-    sparse.serve(Outcome.ERROR, grade=1)
-    sparse.balancer._recompute_weights()
-    assert busy > 2 * min(server.weight for server in sparse.balancer.pool)
+        sparse_driver.end(sends(sparse_driver.ask(after=5 * S))[0], Outcome.DONE)
+    sparse_driver.serve(Outcome.ERROR, grade=1)
+    sparse_driver.balancer._recompute_weights()
+    assert min_busy_weight > 2 * min(server.weight for server in sparse_driver.balancer.pool)
 
 
 def test_kept_connections_that_end_early_blame_no_server_but_may_have_run() -> None:
@@ -505,34 +516,36 @@
 
 
 def test_discovery_is_asked_in_time_and_not_by_all_at_once() -> None:
-    tier = replace(SETTINGS, fleet_size=100, ask_discovery=True, ask_within=10 * S)
-    assert max(first_calls(tier)) <= tier.ask_within
-    assert max(first_calls(tier)) - min(first_calls(tier)) > S
-    assert max(first_calls(replace(tier, fleet_size=2))) < S // 2  # the known list may be old
+    fleet_settings = replace(SETTINGS, fleet_size=100, ask_discovery=True, ask_within=10 * S)
+    assert max(first_call_delays(fleet_settings)) <= fleet_settings.ask_within
+    assert max(first_call_delays(fleet_settings)) - min(first_call_delays(fleet_settings)) > S
+    assert max(first_call_delays(replace(fleet_settings, fleet_size=2))) < S // 2  # its list may be stale
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_whichever_of_a_fleet_begin_together_spread_their_first_calls_by_their_slots(seed: int) -> None:
-    tier = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S)
-    begun = random.Random(seed).sample(range(24), 20)
-    at = sorted(max(first_calls(replace(tier, slot=slot), seeds=1)) for slot in begun)
-    backlog, last, worst = 0, 0, 0
-    for call in at:  # at a discovery that works through four a second
-        backlog = max(0, backlog - (call - last)) + S // 4
-        last, worst = call, max(worst, backlog)
-    assert worst <= 1.25 * S, (seed, at)
+    fleet_settings = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S)
+    instance_indexes = random.Random(seed).sample(range(24), 20)
+    call_times = sorted(
+        max(first_call_delays(replace(fleet_settings, slot=slot), seeds=1)) for slot in instance_indexes
+    )
+    backlog, last_call, max_backlog = 0, 0, 0
+    for call in call_times:  # a discovery service that answers four calls a second; `backlog` is in ns
+        backlog = max(0, backlog - (call - last_call)) + S // 4
+        last_call, max_backlog = call, max(max_backlog, backlog)
+    assert max_backlog <= 1.25 * S, (seed, call_times)
 
 
 def test_where_no_slot_is_told_first_calls_are_spread_by_luck() -> None:
-    tier = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S, slot=0)
-    assert len(set(first_calls(tier))) == 50
+    fleet_settings = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S, slot=0)
+    assert len(set(first_call_delays(fleet_settings))) == 50
 
 
-def first_calls(tier: Settings, seeds: int = 50) -> list[int]:
-    """When sidecars of a fleet first ask for the list, after their start."""
+def first_call_delays(balancer_settings: Settings, seeds: int = 50) -> list[int]:
+    """Return the delay from its start to its first discovery call, for one sidecar per seed."""
     delays = []
     for seed in range(seeds):
-        balancer = Balancer(tier, seed)
+        balancer = Balancer(balancer_settings, seed)
         (timer,) = of(balancer.handle(START, Started()), SetTimer)
         delays.append(timer.delay)
         assert balancer.handle(START + delays[-1], TimerFired(timer.token)) == [Watch()]
@@ -545,12 +558,12 @@
         (timer,) = driver.feed(Membership(ListKind.FAILED))
         assert isinstance(timer, SetTimer) and timer.delay <= 4 * SETTINGS.ask_within
         assert driver.feed(TimerFired(timer.token), after=timer.delay) == [Watch()]
-    assert driver.serve() in (1, 2)  # the old list stays valid
+    assert driver.serve() in (1, 2)  # the earlier list stays in use
 
 
 def test_cancels_what_is_out_when_the_client_leaves() -> None:
     driver = Driver(fleet(2))
-    send = next(a for a in driver.ask() if isinstance(a, Send))
+    send = next(action for action in driver.ask() if isinstance(action, Send))
     assert driver.feed(ClientLeft(send.id)) == [Cancel(send.id, 0)]
     assert driver.feed(ClientLeft(send.id)) == []
 
@@ -562,12 +575,13 @@
 
 
 def test_turns_follow_the_pace_of_a_kind_of_machine() -> None:
-    # Listed sizes count cores only: the slow kind took as many turns as the fast one and jammed (i47417b).
-    driver = Driver(tuple(Endpoint(n, kind=n % 2) for n in range(1, 9)))
+    # Listed capacities count cores only: the slow kind got as many requests as the fast one and was
+    # overloaded (i47417b).
+    driver = Driver(tuple(Endpoint(number, kind=number % 2) for number in range(1, 9)))
     counts: Counter[int] = Counter()
-    for n in range(400):
+    for number in range(400):
         send = sends(driver.ask())[0]
-        counts[send.endpoint % 2] += n >= 200
+        counts[send.endpoint % 2] += number >= 200
         driver.end(send, Outcome.DONE, after=80 * MS if send.endpoint % 2 else 40 * MS)
     assert counts[0] > 1.6 * counts[1]
 
@@ -579,18 +593,18 @@
         send = sends(driver.ask())[0]
         counts[send.endpoint] += n >= 600
         driver.end(send, Outcome.DONE, after=50 * MS if send.endpoint == 1 else 25 * MS)
-    usual = sum(counts[other] for other in range(2, 7)) / 5
-    assert 0.5 * usual < counts[1] < 0.8 * usual
+    mean_count = sum(counts[endpoint] for endpoint in range(2, 7)) / 5
+    assert 0.5 * mean_count < counts[1] < 0.8 * mean_count
 
 
 def test_a_cold_server_gets_few_repeats() -> None:
     driver = Driver((Endpoint(1), Endpoint(2, cell=1, started=START)))
-    again = 0
+    retry_count = 0
     for _ in range(200):
         for send in sends(driver.ask(grade=2, after=40 * MS)):
             lost = send.endpoint == 2
-            more = sends(driver.end(send, Outcome.RESET if lost else Outcome.DONE, after=MS))
-            again += len(more)
-            for repeat in more:
-                driver.end(repeat, Outcome.DONE, after=MS, attempt=1)
-    assert 0 < again <= 200 * HEDGES_PER_REQUEST + MAX_HEDGE_TOKENS
+            retries = sends(driver.end(send, Outcome.RESET if lost else Outcome.DONE, after=MS))
+            retry_count += len(retries)
+            for retry in retries:
+                driver.end(retry, Outcome.DONE, after=MS, attempt=1)
+    assert 0 < retry_count <= 200 * HEDGES_PER_REQUEST + MAX_HEDGE_TOKENS
