--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: small fleets and short ways to drive a Balancer."""
+"""Helpers that the tests share: small fleets and a driver of a Balancer."""
 
 from __future__ import annotations
 
@@ -47,34 +47,34 @@
 
 
 def fleet(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    """Endpoints 1 to count, two to a cell."""
-    return tuple(Endpoint(id=n, cell=(n - 1) // 2, **changes) for n in range(1, count + 1))
+    """Return the endpoints 1 to `count`, two per cell."""
+    return tuple(Endpoint(id=number, cell=(number - 1) // 2, **changes) for number in range(1, count + 1))
 
 
 class Driver:
-    """A Balancer with a clock of its own and a list to start from."""
+    """A Balancer with a simulated clock and an initial endpoint list."""
 
     def __init__(self, endpoints: tuple[Endpoint, ...], settings: Settings = SETTINGS, seed: int = 7) -> None:
         self.balancer = Balancer(settings, seed)
         self.now = START
-        self.numbers = 0
+        self.request_count = 0
         self.balancer.handle(self.now, Started())
         self.feed(Membership(ListKind.PERSISTED, endpoints))
-        self.balancer.overload.window.most = 0.0  # it has served for a while: no beginner
+        self.balancer.overload.window.most = 0.0  # ends the startup window
 
     def feed(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
 
     def ask(self, grade: int = 0, after: int = 10 * MS, **fields: Any) -> list[Action]:
-        """A new request; returns all actions."""
-        self.numbers += 1
+        """Send a request `after` ns; return all actions."""
+        self.request_count += 1
         budget = fields.pop("budget", 2 * S)
-        request = Request(id=f"r{self.numbers}", grade=grade, budget=budget, **fields)
+        request = Request(id=f"r{self.request_count}", grade=grade, budget=budget, **fields)
         return self.feed(request, after)
 
     def target(self, grade: int = 0, after: int = 10 * MS, **fields: Any) -> int:
-        """A new request; returns the endpoint it went to."""
+        """Send a request; return the endpoint it was sent to."""
         return sends(self.ask(grade, after, **fields))[0].endpoint
 
     def end(self, send: Send, outcome: Outcome, after: int = 20 * MS, attempt: int = 0) -> list[Action]:
@@ -84,7 +84,7 @@
         )
 
     def serve(self, outcome: Outcome = Outcome.DONE, after: int = 20 * MS, **fields: Any) -> int:
-        """A request and its first attempt's end; returns the endpoint."""
+        """Send a request and end its first attempt; return its endpoint."""
         send = sends(self.ask(**fields))[0]
         self.end(send, outcome, after)
         return send.endpoint
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -212,7 +212,7 @@
 
 
 def test_one_that_meets_its_servers_often_sends_no_copies() -> None:
-    # At 25 requests to a server per half-life of an error, an overdue request is expensive, and its hedge too.
+    # At 25 requests to a server per half-life of an error, an overdue request is expensive, as is its hedge.
     assert hedges_of_overdue_request(Driver(fleet(4)), interval=100 * MS) == []
     assert len(hedges_of_overdue_request(Driver(fleet(4)), interval=S)) == 1  # 2.5 requests
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""The decision module with many servers: the same rules, by turns that are a tree's."""
+"""The decision module with a large pool, where round-robin uses a tree: the same rules apply."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.helpers import MS, SETTINGS, Driver, S, fleet, of, sends
 
 
-def many(count: int = 300, seed: int = 7, **changes: object) -> Driver:
+def driver_of(count: int = 300, seed: int = 7, **changes: object) -> Driver:
     return Driver(fleet(count), replace(SETTINGS, **changes), seed)  # type: ignore[arg-type]
 
 
 def test_many_servers_take_turns_in_a_tree_and_a_few_in_the_ring() -> None:
-    driver = many(MANY + 1)
+    driver = driver_of(MANY + 1)
     assert driver.balancer.large_pool.scheduler is not None
     driver.feed(Membership(ListKind.DELTA, (Endpoint(1, state=State.REMOVED),)))
     driver.feed(Membership(ListKind.FULL, fleet(MANY)))
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_every_server_gets_its_share(seed: int) -> None:
-    driver = many(200, seed)
+    driver = driver_of(200, seed)
     counts: Counter[int] = Counter()
     for _ in range(2000):
         (send,) = sends(driver.ask(after=MS))
@@ -40,7 +40,7 @@
 
 
 def test_sizes_are_followed() -> None:
-    servers = tuple(Endpoint(n, units=4.0 if n % 10 == 0 else 1.0) for n in range(1, 201))
+    servers = tuple(Endpoint(number, units=4.0 if number % 10 == 0 else 1.0) for number in range(1, 201))
     driver = Driver(servers)
     counts: Counter[bool] = Counter()
     for _ in range(2600):
@@ -51,23 +51,23 @@
 
 
 def test_equal_seeds_and_events_give_equal_targets_and_others_do_not_walk_in_lockstep() -> None:
-    one, other, third = many(150, 3), many(150, 3), many(150, 4)
-    targets = [[driver.target(after=MS) for _ in range(300)] for driver in (one, other, third)]
+    first, same_seed, other_seed = driver_of(150, 3), driver_of(150, 3), driver_of(150, 4)
+    targets = [[driver.target(after=MS) for _ in range(300)] for driver in (first, same_seed, other_seed)]
     assert targets[0] == targets[1]
     assert sum(a == b for a, b in zip(targets[0], targets[2], strict=True)) < 60
 
 
 def test_a_server_that_fails_keeps_its_floor_and_comes_back() -> None:
-    driver = many(100)
+    driver = driver_of(100)
     balancer = driver.balancer
     for _ in range(600):
         (send,) = sends(driver.ask(after=MS))
         driver.end(send, Outcome.ERROR if send.endpoint == 5 else Outcome.DONE, after=0)
-    seat = balancer.large_pool.leaf_by_id[5]
+    leaf = balancer.large_pool.leaf_by_id[5]
     assert balancer.large_pool.scheduler is not None
-    held_down = balancer.large_pool.scheduler.weight(seat)
-    usual = balancer.large_pool.scheduler.weight(balancer.large_pool.leaf_by_id[6])
-    assert MIN_HEALTH * usual * 0.9 <= held_down < 0.7 * usual
+    penalised_weight = balancer.large_pool.scheduler.weight(leaf)
+    healthy_weight = balancer.large_pool.scheduler.weight(balancer.large_pool.leaf_by_id[6])
+    assert MIN_HEALTH * healthy_weight * 0.9 <= penalised_weight < 0.7 * healthy_weight
     driver.now += 200 * S
     driver.target()
     assert balancer.large_pool.scheduler.weight(
@@ -76,11 +76,11 @@
 
 
 def test_a_change_touches_its_own_server_only() -> None:
-    driver = many(2000)
+    driver = driver_of(2000)
     driver.target()
     balancer = driver.balancer
-    full = []
-    balancer._recompute_weights = lambda: full.append(1)  # type: ignore[method-assign]
+    recomputations = []
+    balancer._recompute_weights = lambda: recomputations.append(1)  # type: ignore[method-assign]
     for number in range(1, 40):
         driver.feed(Membership(ListKind.DELTA, (Endpoint(number, state=State.REMOVED),)), after=0)
         driver.target(after=0)
@@ -88,14 +88,14 @@
             Membership(ListKind.DELTA, (Endpoint(number, cell=number // 2, started=driver.now),)), after=0
         )
         driver.target(after=0)
-    assert not full
-    assert len(balancer.pool) == 2000 and [one.id for one in balancer.pool] == list(range(1, 2001))
+    assert not recomputations
+    assert len(balancer.pool) == 2000 and [server.id for server in balancer.pool] == list(range(1, 2001))
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_under_churn_nothing_goes_to_a_server_that_is_gone_or_drains(seed: int) -> None:
     rng = random.Random(seed)
-    driver = many(120, seed)
+    driver = driver_of(120, seed)
     up = set(range(1, 121))
     for step in range(1500):
         if rng.random() < 0.2:
@@ -107,14 +107,17 @@
             (up.add if state is State.UP else up.discard)(number)
         if step % 400 == 399:
             driver.feed(
-                Membership(ListKind.FULL, tuple(Endpoint(n, cell=n // 2) for n in sorted(up))), after=0
+                Membership(
+                    ListKind.FULL, tuple(Endpoint(endpoint, cell=endpoint // 2) for endpoint in sorted(up))
+                ),
+                after=0,
             )
         (send,) = sends(driver.ask(grade=step % 4, after=MS))
         assert send.endpoint in up, (seed, step)
         outcome = rng.choice((Outcome.DONE, Outcome.DONE, Outcome.DONE, Outcome.RESET, Outcome.BUSY))
-        for again in sends(driver.end(send, outcome, after=0)):
-            assert again.endpoint in up, (seed, step)
-            driver.end(again, Outcome.DONE, after=0, attempt=1)
+        for retry in sends(driver.end(send, outcome, after=0)):
+            assert retry.endpoint in up, (seed, step)
+            driver.end(retry, Outcome.DONE, after=0, attempt=1)
     balancer = driver.balancer
     assert sorted(balancer.large_pool.leaf_by_id) == sorted(up)
     assert len(balancer.large_pool.free_leaves) + len(balancer.large_pool.leaf_by_id) == len(
@@ -123,13 +126,13 @@
 
 
 def test_a_cold_quarter_gets_no_more_than_its_warmth() -> None:
-    driver = many(200)
+    driver = driver_of(200)
     for number in range(1, 51):
         driver.feed(Membership(ListKind.DELTA, (Endpoint(number, state=State.REMOVED),)), after=0)
-    returned = tuple(Endpoint(n, cell=n // 2, started=driver.now) for n in range(1, 51))
+    returned = tuple(Endpoint(endpoint, cell=endpoint // 2, started=driver.now) for endpoint in range(1, 51))
     driver.feed(Membership(ListKind.DELTA, returned), after=0)
     counts: Counter[bool] = Counter()
-    for _ in range(3000):  # within the first second of ten
+    for _ in range(3000):  # within 1 s of the ramp time of 10 s
         (send,) = sends(driver.ask(after=MS // 3))
         counts[send.endpoint <= 50] += 1
         driver.end(send, Outcome.DONE, after=0)
@@ -137,28 +140,28 @@
 
 
 def test_retries_go_to_warm_servers_not_tried_and_a_keyed_one_stays_in_its_rack() -> None:
-    driver = many(200)
+    driver = driver_of(200)
     for _ in range(50):
-        driver.balancer.retry_budget = RetryBudget()  # where they go, not how many there may be
+        driver.balancer.retry_budget = RetryBudget()  # so that the budget allows every retry
         (send,) = sends(driver.ask(grade=2))
         retries = sends(driver.end(send, Outcome.RESET))
-        assert retries and all((one.endpoint - 1) // 2 == (send.endpoint - 1) // 2 for one in retries)
+        assert retries and all((retry.endpoint - 1) // 2 == (send.endpoint - 1) // 2 for retry in retries)
         (send,) = sends(driver.ask(grade=1))
         assert len(of(driver.end(send, Outcome.RESET), Fail)) == 1
 
 
 def test_with_all_gone_requests_are_refused_and_served_when_they_return() -> None:
-    driver = many(100)
-    gone = tuple(replace(one, state=State.REMOVED) for one in fleet(100))
-    for number in range(0, 100, 50):
-        driver.feed(Membership(ListKind.DELTA, gone[number : number + 50]))
+    driver = driver_of(100)
+    removed = tuple(replace(endpoint, state=State.REMOVED) for endpoint in fleet(100))
+    for first in range(0, 100, 50):
+        driver.feed(Membership(ListKind.DELTA, removed[first : first + 50]))
     assert of(driver.ask(), Refuse)
     driver.feed(Membership(ListKind.FULL, fleet(100)))
     assert sends(driver.ask())
 
 
 def test_a_key_goes_to_few_of_many_servers() -> None:
-    driver = many(256, warm_keys=True)
+    driver = driver_of(256, warm_keys=True)
     keyed: Counter[int] = Counter()
     for number in range(2000):
         key = "the-key" if number % 10 == 0 else f"k{number}"
@@ -166,55 +169,58 @@
         if number % 10 == 0:
             keyed[send.endpoint] += 1
         driver.end(send, Outcome.DONE, after=0)
-    assert max(keyed.values()) >= 8  # 200 requests over 256 servers: less than one each by turns alone
+    assert max(keyed.values()) >= 8  # 200 requests over 256 servers: less than one each without key affinity
 
 
-HOME = 75
+LOCAL_SERVERS = 75
 
 
 def two_zones(seed: int) -> Driver:
-    """75 servers at home, which carry all of its traffic, and as many in the other zone."""
-    servers = tuple(Endpoint(n, zone=int(n > HOME), cell=n // 2) for n in range(1, 2 * HOME + 1))
-    settings = replace(
+    """Return a driver with 75 local servers, which get all of its requests, and 75 in another zone."""
+    servers = tuple(
+        Endpoint(number, zone=int(number > LOCAL_SERVERS), cell=number // 2)
+        for number in range(1, 2 * LOCAL_SERVERS + 1)
+    )
+    zone_settings = replace(
         SETTINGS, fleet_size=200, cross_zone_price=0.1, zone=0, ramp_time=24 * S, cold_share=0.2
     )
-    driver = Driver(servers, settings, seed)
+    driver = Driver(servers, zone_settings, seed)
     for _ in range(200):
         send = sends(driver.ask(after=10 * MS))[0]
-        assert send.endpoint <= HOME
+        assert send.endpoint <= LOCAL_SERVERS
         driver.end(send, Outcome.DONE, after=0)
     return driver
 
 
-def lose_home(driver: Driver) -> None:
-    for first in (1, 40):  # in two parts: fewer than `MANY` each
-        last = min(HOME, first + 38)
-        gone = tuple(Endpoint(n, zone=0, state=State.REMOVED) for n in range(first, last + 1))
-        driver.feed(Membership(ListKind.DELTA, gone), after=200 * MS)
+def remove_local_zone(driver: Driver) -> None:
+    for first in (1, 40):  # in two events of fewer than MANY entries, which update the tree one by one
+        last = min(LOCAL_SERVERS, first + 38)
+        removed = tuple(Endpoint(number, zone=0, state=State.REMOVED) for number in range(first, last + 1))
+        driver.feed(Membership(ListKind.DELTA, removed), after=200 * MS)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_sidecar_whose_whole_zone_leaves_the_list_sends_to_the_others(seed: int) -> None:
     driver = two_zones(seed)
-    lose_home(driver)
+    remove_local_zone(driver)
     driver.now += S // 2
     counts: Counter[int] = Counter()
-    for _ in range(4 * HOME):
+    for _ in range(4 * LOCAL_SERVERS):
         send = sends(driver.ask(after=MS))[0]
         counts[send.endpoint] += 1
         driver.end(send, Outcome.DONE, after=0)
-    assert min(counts) > HOME and len(counts) == HOME
+    assert min(counts) > LOCAL_SERVERS and len(counts) == LOCAL_SERVERS
     assert max(counts.values()) <= 8
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_first_cold_server_of_a_lost_zone_gets_its_part_and_not_all(seed: int) -> None:
     driver = two_zones(seed)
-    lose_home(driver)
+    remove_local_zone(driver)
     driver.feed(Membership(ListKind.DELTA, (Endpoint(1, zone=0, started=driver.now + 4 * S),)), after=5 * S)
     counts: Counter[bool] = Counter()
     for _ in range(500):
         send = sends(driver.ask(after=MS))[0]
         counts[send.endpoint == 1] += 1
         driver.end(send, Outcome.DONE, after=0)
-    assert counts[True] <= 1.3 * 500 / HOME  # a warm one's, and what a zone may take more (HOME_SPARE)
+    assert counts[True] <= 1.3 * 500 / LOCAL_SERVERS  # the share of a warm server and LOCAL_ZONE_HEADROOM
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, over arbitrary legal event sequences."""
+"""Property test of the four rules over arbitrary valid sequences of events."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from tests.helpers import ANYWHERE, CELLED, FRAGILE, MS, SAFE, SETTINGS, START, S
 
 GRADES = (SAFE, FRAGILE, CELLED, ANYWHERE, replace(CELLED, scope=Scope.ZONE))
-ENDED = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
+ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
 @dataclass
@@ -57,7 +57,7 @@
 
 
 class World:
-    """Plays clients, servers and discovery by the wire's rules, and checks every action."""
+    """Simulates clients, servers and discovery and checks every action against the rules."""
 
     def __init__(self, seed: int, second_copies: bool, ask: bool) -> None:
         self.settings = replace(
@@ -103,16 +103,16 @@
         assert not client.answered and not client.left
         assert action.endpoint in self.known
         assert len(client.tries) < self.settings.max_attempts
-        left = self.left_at.get(action.endpoint)
-        assert left is None or self.now <= left + self.settings.drain_grace
+        left_at = self.left_at.get(action.endpoint)
+        assert left_at is None or self.now <= left_at + self.settings.drain_grace
         running = [attempt for attempt in client.tries if attempt.outcome is None]
         assert self.settings.second_copies or not running
-        ran = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
+        executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
         if client.grade.effect is Effect.FRAGILE:
-            assert not ran
-        elif client.grade.effect is Effect.DEDUP and ran:
-            assert self.now <= ran[0].sent_at + client.grade.window
-            assert self.group(client.grade, ran[0].endpoint) == self.group(client.grade, action.endpoint)
+            assert not executed
+        elif client.grade.effect is Effect.DEDUP and executed:
+            assert self.now <= executed[0].sent_at + client.grade.window
+            assert self.group(client.grade, executed[0].endpoint) == self.group(client.grade, action.endpoint)
         limit = action.limit or client.deadline - self.now
         assert limit > 0
         ends_at = min(self.now + limit, client.deadline)
@@ -127,9 +127,9 @@
         assert not client.answered and not client.left
         client.answered = True
         if isinstance(action, Refuse) and client.grade.effect is not Effect.RETRYABLE:
-            ran = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
+            executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
             everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
-            assert everywhere or not ran
+            assert everywhere or not executed
 
     def members(self, changes: list[tuple[int, State, bool]], kind: ListKind) -> None:
         entries = {} if kind is not ListKind.DELTA else dict(self.endpoints)
@@ -138,7 +138,7 @@
                 continue
             started = self.now - S if restarted else 0
             entries[number] = Endpoint(number, number % 2, 0, number // 3, state, 1.0, started)
-        told = tuple(entries[n] for n in dict.fromkeys(n for n, _, _ in changes) if n in entries)
+        listed = tuple(entries[n] for n in dict.fromkeys(n for n, _, _ in changes) if n in entries)
         for number in set(self.endpoints) | set(entries):
             up = number in entries and entries[number].state is State.UP
             if up:
@@ -147,64 +147,68 @@
                 self.left_at.setdefault(number, self.now)
         self.known |= set(entries)
         self.endpoints |= entries
-        self.feed(Membership(kind, told))
+        self.feed(Membership(kind, listed))
 
     def request(self, grade: int, budget: int, key: str, tenant: int) -> None:
-        name = f"q{len(self.clients)}"
-        inside = GRADES[grade] if grade < len(GRADES) else FRAGILE
-        self.clients[name] = Client(inside, self.now + budget)
-        self.feed(Request(name, grade, budget, tenant, key))
+        request_id = f"q{len(self.clients)}"
+        request_class = GRADES[grade] if grade < len(GRADES) else FRAGILE
+        self.clients[request_id] = Client(request_class, self.now + budget)
+        self.feed(Request(request_id, grade, budget, tenant, key))
 
     def finish(self, pick: int, outcome: Outcome) -> None:
         running = self.running()
         if running:
-            _, name, number = running[pick % len(running)]
-            self.end(name, number, outcome)
+            _, request_id, number = running[pick % len(running)]
+            self.end(request_id, number, outcome)
 
     def running(self) -> list[tuple[int, str, int]]:
-        """The attempts still out: when each ends at the latest, its request and number."""
+        """Return the open attempts: latest end time, request id and attempt number of each."""
         return [
-            (attempt.ends_at, name, number)
-            for name, client in self.clients.items()
+            (attempt.ends_at, request_id, number)
+            for request_id, client in self.clients.items()
             for number, attempt in enumerate(client.tries)
             if attempt.outcome is None
         ]
 
-    def end(self, name: str, number: int, outcome: Outcome) -> None:
-        client, attempt = self.clients[name], self.clients[name].tries[number]
+    def end(self, request_id: str, number: int, outcome: Outcome) -> None:
+        client, attempt = self.clients[request_id], self.clients[request_id].tries[number]
         attempt.outcome = outcome
         if outcome is Outcome.DONE and not client.left:
             client.answered = True
         duration = self.now - attempt.sent_at
-        self.feed(AttemptEnded(name, number, attempt.endpoint, outcome, duration, client.answered))
+        self.feed(AttemptEnded(request_id, number, attempt.endpoint, outcome, duration, client.answered))
 
     def leave(self, pick: int) -> None:
-        waiting = [name for name, client in self.clients.items() if not client.answered and not client.left]
+        waiting = [
+            request_id
+            for request_id, client in self.clients.items()
+            if not client.answered and not client.left
+        ]
         if waiting:
-            name = waiting[pick % len(waiting)]
-            self.clients[name].left = True
-            self.feed(ClientLeft(name))
+            request_id = waiting[pick % len(waiting)]
+            self.clients[request_id].left = True
+            self.feed(ClientLeft(request_id))
 
     def probe_ends(self, outcome: Outcome) -> None:
         if self.probing:
             self.feed(ProbeEnded(self.probing.pop(0), outcome, 5 * MS))
 
     def advance(self, span: int) -> None:
-        """Let time pass: time-outs and timers come when they are due."""
-        until = self.now + span
+        """Advance the clock by `span`, with the timeouts and timers that are due on the way."""
+        end = self.now + span
         while True:
-            due = [(at, 0, name, number) for at, name, number in self.running()]
-            due += [(at, 1, "", index) for index, (at, _) in enumerate(self.timers)]
-            if not due or min(due)[0] > until:
+            due = [(ends_at, 0, request_id, number) for ends_at, request_id, number in self.running()]
+            due += [(ends_at, 1, "", index) for index, (ends_at, _) in enumerate(self.timers)]
+            if not due or min(due)[0] > end:
                 break
-            at, kind, name, number = min(due)
-            self.now = max(self.now, at)
+            ends_at, kind, request_id, number = min(due)
+            self.now = max(self.now, ends_at)
             if kind:
                 self.feed(TimerFired(self.timers.pop(number)[1]))
             else:
-                self.end(name, number, Outcome.TIMED_OUT)
+                self.end(request_id, number, Outcome.TIMED_OUT)
             self.check_overdue()
-        self.now = until
+        self.now = end
         self.check_overdue()
 
     def check_overdue(self) -> None:
@@ -223,11 +227,11 @@
         st.sampled_from(["", "a", "b"]),
         st.integers(0, 3),
     ),
-    st.tuples(st.just("finish"), st.integers(0, 99), st.sampled_from(ENDED)),
+    st.tuples(st.just("finish"), st.integers(0, 99), st.sampled_from(ATTEMPT_OUTCOMES)),
     st.tuples(st.just("advance"), st.integers(1, S)),
     st.tuples(st.just("members"), changes, st.sampled_from([ListKind.DELTA, ListKind.FULL])),
     st.tuples(st.just("leave"), st.integers(0, 99)),
-    st.tuples(st.just("probe_ends"), st.sampled_from(ENDED)),
+    st.tuples(st.just("probe_ends"), st.sampled_from(ATTEMPT_OUTCOMES)),
 )
 
 
