--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,10 +30,10 @@
 SAFE = Grade(aim=500 * MS, deadline=2 * S, effect=Effect.RETRYABLE, worth=1.0, late_value=0.25)
 FRAGILE = replace(SAFE, effect=Effect.FRAGILE, worth=10.0)
 CELLED = replace(SAFE, effect=Effect.DEDUP, scope=Scope.CELL, window=3 * S)
-ANYWHERE = replace(SAFE, effect=Effect.DEDUP, scope=Scope.ALL, window=1 * S)
+DEDUP_EVERYWHERE = replace(SAFE, effect=Effect.DEDUP, scope=Scope.ALL, window=1 * S)
 
 SETTINGS = Settings(
-    grades=(SAFE, FRAGILE, CELLED, ANYWHERE),
+    grades=(SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
     fleet_size=10,
     drain_grace=500 * MS,
     cold_share=0.2,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,9 +33,9 @@
     State,
     TimerFired,
 )
-from tests.helpers import ANYWHERE, CELLED, FRAGILE, MS, SAFE, SETTINGS, START, S
+from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, SAFE, SETTINGS, START, S
 
-GRADES = (SAFE, FRAGILE, CELLED, ANYWHERE, replace(CELLED, scope=Scope.ZONE))
+GRADES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=Scope.ZONE))
 ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
