--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -138,7 +138,7 @@
         self.retry_budget = RetryBudget()
         self.pace: dict[int, float] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
         self.copies = 1.0  # hedge tokens
-        self.patience: dict[int, int] = {}  # the longest time budget that a client sent, by class index
+        self.patience: dict[int, int] = {}  # the largest time budget that a client sent, by class index
         self.clients_mark_retries = False  # once one is marked, unmarked requests count as first tries
         self.last_unserved_at = DISTANT_PAST  # when a request last ended without a good answer
         self.tenant_credits = [1.0] * len(settings.tenants)
@@ -244,7 +244,7 @@
         self.usual |= event.usual
         self.copies = min(self.copies, event.copies)  # a process that restarts often must not refill it
         self.overload.retries = min(self.overload.retries, event.retries)
-        # Without the request interval the error penalty would be computed for a low request rate.
+        # Otherwise a burst after the restart would look like a high request rate and lower the error penalty.
         self.overload.gap = event.gap or self.overload.gap
         self._recompute_weights()
 
@@ -443,7 +443,7 @@
     def _update_large_pool(self, endpoint: int) -> None:
         """Apply the addition, removal or change of one server without recomputing the others."""
         server = self.servers.get(endpoint)
-        index = bisect_left(self.pool, endpoint, key=lambda one: one.id)
+        index = bisect_left(self.pool, endpoint, key=lambda candidate: candidate.id)
         present = index < len(self.pool) and self.pool[index].id == endpoint
         affected = self.pool[index] if present else server
         is_local = affected is not None and affected.zone == self.settings.zone
@@ -932,8 +932,10 @@
         tenants = self.settings.tenants
         if not 0 <= tenant < len(tenants):
             return False
-        for index, entitled in enumerate(tenants):
-            self.tenant_credits[index] = min(MAX_TENANT_CREDIT, self.tenant_credits[index] + entitled.share)
+        for index, entitlement in enumerate(tenants):
+            self.tenant_credits[index] = min(
+                MAX_TENANT_CREDIT, self.tenant_credits[index] + entitlement.share
+            )
         if self.tenant_credits[tenant] < 1.0:
             return True
         self.tenant_credits[tenant] -= 1.0
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -91,14 +91,14 @@
         "tenant",
     )
 
-    def __init__(self, request: Request, grade: Grade, now: int, elapsed: int) -> None:
+    def __init__(self, request: Request, request_class: Grade, now: int, elapsed: int) -> None:
         self.id = request.id
-        self.grade = grade
+        self.grade = request_class
         self.class_index = request.grade
         self.deadline = now + request.budget
         # An answer after this time is late. The client measures from its first try, `elapsed` ago.
-        self.target_at = now + grade.aim - elapsed
-        if not grade.late_value:
+        self.target_at = now + request_class.aim - elapsed
+        if not request_class.late_value:
             self.deadline = min(self.deadline, self.target_at)  # a late answer would only waste capacity
         self.key = request.key
         self.tenant = request.tenant
--- a/tests/test_growing_fleet.py
+++ b/tests/test_growing_fleet.py
@@ -10,16 +10,17 @@
 from tests.helpers import Driver
 from tests.limits.world import SETTINGS, Clients, S, World
 
-COLD, RAMP = 0.12, 24 * S  # from the settings: no server is colder or warms up more slowly
-FALL_MULTIPLE, FALL = 3.0, 3 * S  # a cold server crashes after FALL ns above this multiple of its capacity
-TIER = replace(SETTINGS, cold_share=COLD, ramp_time=RAMP)
+COLD_SHARE, RAMP_TIME = 0.12, 24 * S  # from the settings: no server is colder or warms up more slowly
+# A cold server crashes after FALL_DURATION ns above this multiple of its capacity.
+FALL_MULTIPLE, FALL_DURATION = 3.0, 3 * S
+FLEET_SETTINGS = replace(SETTINGS, cold_share=COLD_SHARE, ramp_time=RAMP_TIME)
 CAPACITY = 40.0  # requests per second of one server
 
 
-def growing(seed: int, sidecars: int, load: float, servers: int = 60) -> World:
+def simulated_fleet(seed: int, sidecars: int, load: float, servers: int = 60) -> World:
     """Return a simulation at `load`, a share of the servers' total capacity."""
     clients = Clients(rate=load * CAPACITY * servers / sidecars, tries=2)
-    return World(seed, sidecars, servers, clients, settings=TIER)
+    return World(seed, sidecars, servers, clients, settings=FLEET_SETTINGS)
 
 
 @pytest.mark.parametrize(("seed", "sidecars"), [(0, 40), (1, 40), (2, 400)])
@@ -29,9 +30,9 @@
     Weighted at half of the guaranteed capacity they idled at 10 requests per second, where 19 overloaded a
     warm server, while four in ten servers carried the rest.
     """
-    world = growing(seed, sidecars, load=0.62)
+    world = simulated_fleet(seed, sidecars, load=0.62)
     world.run(2)
-    world.replace(list(range(1, 37)), cold=2 * COLD, ramp=RAMP * 2 // 3)
+    world.replace(list(range(1, 37)), cold=2 * COLD_SHARE, ramp=RAMP_TIME * 2 // 3)
     world.run(10)
     assert world.in_time(2, 10) > 0.9
 
@@ -41,18 +42,18 @@
 )
 def test_the_coldest_that_are_granted_are_not_pushed_over(sidecars: int, load: float, replaced: int) -> None:
     """Rule 4 for the load of all instances, in each window, on servers as cold as the settings allow."""
-    world = growing(3, sidecars, load)
+    world = simulated_fleet(3, sidecars, load)
     world.run(2)
-    restarted_hosts = world.replace(list(range(1, replaced + 1)), cold=COLD, ramp=RAMP)
+    restarted_hosts = world.replace(list(range(1, replaced + 1)), cold=COLD_SHARE, ramp=RAMP_TIME)
     world.run(6)
-    max_pressure = max(world.pressure(host, FALL) for host in restarted_hosts)
+    max_pressure = max(world.pressure(host, FALL_DURATION) for host in restarted_hosts)
     assert max_pressure < FALL_MULTIPLE
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_sparse_sidecars_together_spare_servers_that_are_slow(seed: int) -> None:
     """Each sidecar meets a server every few seconds: the small corrections of all sidecars add up."""
-    world = growing(seed, sidecars=40, load=0.4)
+    world = simulated_fleet(seed, sidecars=40, load=0.4)
     slow_hosts = range(1, 16)
     for host in slow_hosts:
         world.hosts[host].slow = 2.0  # of the same kind as the others; another program uses half of it
@@ -72,7 +73,7 @@
     endpoints = tuple(Endpoint(endpoint, zone=endpoint % 4) for endpoint in range(60))
     served = [0] * 4
     for index, zone in enumerate([0] * 14 + [1] * 12 + [2] * 8 + [3] * 6):
-        sidecar_settings = replace(TIER, fleet_size=40, cross_zone_price=0.03, zone=zone)
+        sidecar_settings = replace(FLEET_SETTINGS, fleet_size=40, cross_zone_price=0.03, zone=zone)
         driver = Driver(endpoints, sidecar_settings, seed=index)
         for _ in range(120):
             served[driver.serve(Outcome.DONE, budget=3 * S) % 4] += 1
@@ -81,5 +82,5 @@
 
 def test_a_large_fleet_stays_in_its_zones() -> None:
     endpoints = tuple(Endpoint(number, zone=number % 4) for number in range(60))
-    driver = Driver(endpoints, replace(TIER, fleet_size=1000, cross_zone_price=0.03, zone=2))
+    driver = Driver(endpoints, replace(FLEET_SETTINGS, fleet_size=1000, cross_zone_price=0.03, zone=2))
     assert {driver.serve(Outcome.DONE, budget=3 * S) % 4 for _ in range(120)} == {2}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -35,12 +35,14 @@
 )
 from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, SAFE, SETTINGS, START, S
 
-GRADES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=Scope.ZONE))
+REQUEST_CLASSES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=Scope.ZONE))
 ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
 @dataclass
-class Try:
+class SentAttempt:
+    """An attempt that the balancer started; `outcome` is None while it is open."""
+
     endpoint: int
     sent_at: int
     ends_at: int
@@ -49,9 +51,11 @@
 
 @dataclass
 class Client:
+    """The client of one request, and the attempts made for it."""
+
     grade: Grade
     deadline: int
-    tries: list[Try] = field(default_factory=list)
+    tries: list[SentAttempt] = field(default_factory=list)
     answered: bool = False
     left: bool = False
 
@@ -59,12 +63,12 @@
 class World:
     """Simulates clients, servers and discovery and checks every action against the rules."""
 
-    def __init__(self, seed: int, second_copies: bool, ask: bool) -> None:
+    def __init__(self, seed: int, hedging: bool, calls_discovery: bool) -> None:
         self.settings = replace(
             SETTINGS,
-            grades=GRADES,
-            second_copies=second_copies,
-            ask_discovery=ask,
+            grades=REQUEST_CLASSES,
+            second_copies=hedging,
+            ask_discovery=calls_discovery,
             probes=True,
             warm_keys=True,
         )
@@ -72,10 +76,10 @@
         self.now = START
         self.clients: dict[str, Client] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.left_at: dict[int, int] = {}
-        self.known: set[int] = set()
-        self.timers: list[tuple[int, int]] = []
-        self.probing: list[int] = []
+        self.unavailable_since: dict[int, int] = {}  # endpoints that drain or are removed
+        self.ever_listed: set[int] = set()
+        self.timers: list[tuple[int, int]] = []  # due time and token
+        self.open_probes: list[int] = []
         self.feed(Started())
 
     def feed(self, event: Event) -> None:
@@ -95,16 +99,16 @@
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, Probe):
-            assert action.endpoint in self.known
-            self.probing.append(action.endpoint)
+            assert action.endpoint in self.ever_listed
+            self.open_probes.append(action.endpoint)
 
     def check_send(self, action: Send) -> None:
         client = self.clients[action.id]
         assert not client.answered and not client.left
-        assert action.endpoint in self.known
+        assert action.endpoint in self.ever_listed
         assert len(client.tries) < self.settings.max_attempts
-        left_at = self.left_at.get(action.endpoint)
-        assert left_at is None or self.now <= left_at + self.settings.drain_grace
+        unavailable_since = self.unavailable_since.get(action.endpoint)
+        assert unavailable_since is None or self.now <= unavailable_since + self.settings.drain_grace
         running = [attempt for attempt in client.tries if attempt.outcome is None]
         assert self.settings.second_copies or not running
         executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
@@ -116,7 +120,7 @@
         limit = action.limit or client.deadline - self.now
         assert limit > 0
         ends_at = min(self.now + limit, client.deadline)
-        client.tries.append(Try(action.endpoint, self.now, ends_at))
+        client.tries.append(SentAttempt(action.endpoint, self.now, ends_at))
 
     def group(self, grade: Grade, endpoint: int) -> int:
         entry = self.endpoints[endpoint]
@@ -128,8 +132,8 @@
         client.answered = True
         if isinstance(action, Refuse) and client.grade.effect is not Effect.RETRYABLE:
             executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
-            everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
-            assert everywhere or not executed
+            dedup_everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
+            assert dedup_everywhere or not executed
 
     def members(self, changes: list[tuple[int, State, bool]], kind: ListKind) -> None:
         entries = {} if kind is not ListKind.DELTA else dict(self.endpoints)
@@ -142,16 +146,16 @@
         for number in set(self.endpoints) | set(entries):
             up = number in entries and entries[number].state is State.UP
             if up:
-                self.left_at.pop(number, None)
+                self.unavailable_since.pop(number, None)
             else:
-                self.left_at.setdefault(number, self.now)
-        self.known |= set(entries)
+                self.unavailable_since.setdefault(number, self.now)
+        self.ever_listed |= set(entries)
         self.endpoints |= entries
         self.feed(Membership(kind, listed))
 
     def request(self, grade: int, budget: int, key: str, tenant: int) -> None:
         request_id = f"q{len(self.clients)}"
-        request_class = GRADES[grade] if grade < len(GRADES) else FRAGILE
+        request_class = REQUEST_CLASSES[grade] if grade < len(REQUEST_CLASSES) else FRAGILE
         self.clients[request_id] = Client(request_class, self.now + budget)
         self.feed(Request(request_id, grade, budget, tenant, key))
 
@@ -190,8 +194,8 @@
             self.feed(ClientLeft(request_id))
 
     def probe_ends(self, outcome: Outcome) -> None:
-        if self.probing:
-            self.feed(ProbeEnded(self.probing.pop(0), outcome, 5 * MS))
+        if self.open_probes:
+            self.feed(ProbeEnded(self.open_probes.pop(0), outcome, 5 * MS))
 
     def advance(self, span: int) -> None:
         """Advance the clock by `span`, with the timeouts and timers that are due on the way."""
@@ -222,7 +226,7 @@
 steps = st.one_of(
     st.tuples(
         st.just("request"),
-        st.integers(0, len(GRADES)),
+        st.integers(0, len(REQUEST_CLASSES)),
         st.integers(1, 2 * S),
         st.sampled_from(["", "a", "b"]),
         st.integers(0, 3),
@@ -237,8 +241,10 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 2**32), st.booleans(), st.booleans(), st.lists(steps, max_size=60))
-def test_rules_hold_whatever_happens(seed: int, copies: bool, ask: bool, script: list[tuple]) -> None:
-    world = World(seed, copies, ask)
+def test_rules_hold_whatever_happens(
+    seed: int, hedging: bool, calls_discovery: bool, script: list[tuple]
+) -> None:
+    world = World(seed, hedging, calls_discovery)
     world.members([(n, State.UP, False) for n in range(1, 7)], ListKind.PERSISTED)
     for name, *arguments in script:
         getattr(world, name)(*arguments)
