--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -81,8 +81,8 @@
 # answers received in SERVER_RATIO_WINDOW_S: other load on a server's machine comes and goes.
 MAX_SERVER_RATIO_WINDOW = 64
 MIN_SERVER_RATIO_WINDOW = 8.0
-# Answers of one server that count as much as the ratio of its kind. A sidecar that meets a server rarely uses
-# this low value: its error averages out over the sidecars of the fleet.
+# Answers of one server that count as much as the ratio of its kind. A sidecar that rarely sends to a server
+# uses this low value: its errors average out over the sidecars of the fleet.
 MIN_SHRINKAGE_SAMPLES = 2.0
 SERVER_RATIO_WINDOW_S = 16.0
 REWEIGHTS_PER_RAMP = 50  # maximum; cold weights change slowly
@@ -214,7 +214,7 @@
             return
         if event.kind is not ListKind.DELTA:
             listed = {entry.id for entry in event.endpoints}
-            for removed in [known for known in self.servers if known not in listed]:
+            for removed in [endpoint_id for endpoint_id in self.servers if endpoint_id not in listed]:
                 self._remove_endpoint(removed)
         for entry in event.endpoints:
             self._update_endpoint(entry)
@@ -329,7 +329,7 @@
     def _error_penalty(self) -> float:
         """Return the share of weight that one error costs; it shrinks as the rate per server grows.
 
-        A sidecar that meets a server twice a minute must act on one error. At dozens of requests a second a
+        A sidecar that sends a server two requests a minute must act on one error. At dozens a second a
         dead server fails many times in a row, while single errors are chance: acting on each of them
         swung all traffic from server to server (weights from 0.02 to 0.9 within a second).
         """
@@ -371,12 +371,12 @@
             server.weight /= self.total_weight
         if len(self.pool) > MANY:
             self._rebuild_large_pool()
-            reweights = LARGE_POOL_REWEIGHTS_PER_RAMP  # changing weights are refreshed in between
+            reweights_per_ramp = LARGE_POOL_REWEIGHTS_PER_RAMP  # changing weights are refreshed in between
         else:
             self.large_pool.scheduler = None
             self._rebuild_rotation()
-            reweights = REWEIGHTS_PER_RAMP if changing else STEADY_REWEIGHTS_PER_RAMP
-        self.reweight_at = self.now + max(1, self.settings.ramp_time // reweights)
+            reweights_per_ramp = REWEIGHTS_PER_RAMP if changing else STEADY_REWEIGHTS_PER_RAMP
+        self.reweight_at = self.now + max(1, self.settings.ramp_time // reweights_per_ramp)
 
     def _update_capacity_and_health(self, server: Server) -> None:
         server.capacity = server.units / self.pace.get(server.kind, 1.0) / self._server_latency_ratio(server)
@@ -412,7 +412,9 @@
             for server in self.pool:
                 server.in_rotation = True  # its random start is within the first round
         pooled = {server.id for server in self.pool}
-        for removed in [known for known in self.large_pool.leaf_by_id if known not in pooled]:
+        for removed in [
+            endpoint_id for endpoint_id in self.large_pool.leaf_by_id if endpoint_id not in pooled
+        ]:
             self._release_leaf(removed)
         for server in self.pool:
             self._assign_leaf(server)
@@ -481,7 +483,9 @@
         if self.now >= self.large_pool.refresh_at:
             self.large_pool.refresh_at = self.now + max(1, self.settings.ramp_time // REWEIGHTS_PER_RAMP)
             self.large_pool.time_varying = {
-                known: s for known, s in self.large_pool.time_varying.items() if self._weight_varies(s)
+                endpoint_id: s
+                for endpoint_id, s in self.large_pool.time_varying.items()
+                if self._weight_varies(s)
             }
             changed |= self.large_pool.time_varying
         for endpoint, server in changed.items():
@@ -724,10 +728,10 @@
     def _send_hedge(self, pending: PendingRequest) -> None:
         """Hedge an overdue request where its class allows it and hedge tokens are left.
 
-        A sidecar that meets a server twice a minute notices the server's trouble by losing a request; the
-        hedge saves that request. A sidecar that meets it several times before an error decays has noticed
-        already: a request that is overdue there is expensive, and its hedge as expensive. The tokens keep
-        hedges from feeding an overload.
+        A sidecar that sends a server two requests a minute detects a fault of the server only by losing a
+        request; the hedge saves that request. A sidecar that sends it several requests before an error decays
+        has detected the fault already: a request that is overdue there is expensive, and so is its hedge. The
+        tokens keep hedges from adding to an overload.
         """
         if self.copies < 1.0 or self.overload.refused_share > 0.0 or len(pending.attempts) != 1:
             return
@@ -847,8 +851,8 @@
         """Return the estimated ratio of the server's latency to its kind's, shrunk towards 1 for few samples.
 
         Machines of a kind differ, and another program may use part of one for a while. One answer is weak
-        evidence, so that a server starts with its kind's ratio. A sidecar that meets a server twice a minute
-        is one of many: the small corrections of all of them add up.
+        evidence, so that a server starts with its kind's ratio. A sidecar that sends a server two requests a
+        minute is one of many: the small corrections of all of them add up.
         """
         return math.exp(server.pace * server.paces / (server.paces + self.shrinkage_samples))
 
@@ -865,9 +869,8 @@
             self.streaming_count += not pending.coming
             # The duration of the stream from here on says nothing about lateness.
             self._record_lateness(pending, late=self.now > pending.target_at)
-            if (
-                event.attempt < len(pending.attempts) and not pending.coming
-            ):  # the time to the start of the stream counts as the latency of the answer
+            if event.attempt < len(pending.attempts) and not pending.coming:
+                # The time to the start of the stream counts as the latency of the answer.
                 duration = self.now - pending.attempts[event.attempt].sent_at
                 self.overload.answered(self.now, duration / max(1, pending.grade.aim))
 
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -111,7 +111,7 @@
     probe_price: float = 0.0
     retry_after: bool = False
     max_retry_after: int = 0
-    report_fields: tuple[str, ...] = ()
+    report_fields: tuple[str, ...] = ()  # names of the figures in an endpoint's load report
 
 
 @dataclass(slots=True, frozen=True)
@@ -120,8 +120,8 @@
 
     id: int
     zone: int = 0
-    kind: int = 0
-    cell: int = 0
+    kind: int = 0  # kind of machine: endpoints of one kind are expected to be equally fast per unit
+    cell: int = 0  # group of endpoints within which Scope.CELL deduplicates
     state: State = State.UP
     units: float = 1.0  # listed capacity, relative to the other endpoints
     started: int = 0  # time of the start; 0: long ago
--- a/tests/test_growing_fleet.py
+++ b/tests/test_growing_fleet.py
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_sparse_sidecars_together_spare_servers_that_are_slow(seed: int) -> None:
-    """Each sidecar meets a server every few seconds: the small corrections of all sidecars add up."""
+    """Each sidecar sends to a server every few seconds: the small corrections of all sidecars add up."""
     world = simulated_fleet(seed, sidecars=40, load=0.4)
     slow_hosts = range(1, 16)
     for host in slow_hosts:
