--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, over arbitrary legal event sequences."""
+"""Property test of the four rules over arbitrary valid sequences of events."""
 
 from __future__ import annotations
 
@@ -33,14 +33,16 @@
     State,
     TimerFired,
 )
-from tests.helpers import ANYWHERE, CELLED, FRAGILE, MS, SAFE, SETTINGS, START, S
+from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, SAFE, SETTINGS, START, S
 
-GRADES = (SAFE, FRAGILE, CELLED, ANYWHERE, replace(CELLED, scope=Scope.ZONE))
-ENDED = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
+REQUEST_CLASSES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=Scope.ZONE))
+ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
 @dataclass
-class Try:
+class SentAttempt:
+    """An attempt that the balancer started; `outcome` is None while it is open."""
+
     endpoint: int
     sent_at: int
     ends_at: int
@@ -49,22 +51,24 @@
 
 @dataclass
 class Client:
+    """The client of one request, and the attempts made for it."""
+
     grade: Grade
     deadline: int
-    tries: list[Try] = field(default_factory=list)
+    tries: list[SentAttempt] = field(default_factory=list)
     answered: bool = False
     left: bool = False
 
 
 class World:
-    """Plays clients, servers and discovery by the wire's rules, and checks every action."""
+    """Simulates clients, servers and discovery and checks every action against the rules."""
 
-    def __init__(self, seed: int, second_copies: bool, ask: bool) -> None:
+    def __init__(self, seed: int, hedging: bool, calls_discovery: bool) -> None:
         self.settings = replace(
             SETTINGS,
-            grades=GRADES,
-            second_copies=second_copies,
-            ask_discovery=ask,
+            grades=REQUEST_CLASSES,
+            second_copies=hedging,
+            ask_discovery=calls_discovery,
             probes=True,
             warm_keys=True,
         )
@@ -72,10 +76,10 @@
         self.now = START
         self.clients: dict[str, Client] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.left_at: dict[int, int] = {}
-        self.known: set[int] = set()
-        self.timers: list[tuple[int, int]] = []
-        self.probing: list[int] = []
+        self.unavailable_since: dict[int, int] = {}  # endpoints that drain or are removed
+        self.ever_listed: set[int] = set()
+        self.timers: list[tuple[int, int]] = []  # due time and token
+        self.open_probes: list[int] = []
         self.feed(Started())
 
     def feed(self, event: Event) -> None:
@@ -95,28 +99,28 @@
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, Probe):
-            assert action.endpoint in self.known
-            self.probing.append(action.endpoint)
+            assert action.endpoint in self.ever_listed
+            self.open_probes.append(action.endpoint)
 
     def check_send(self, action: Send) -> None:
         client = self.clients[action.id]
         assert not client.answered and not client.left
-        assert action.endpoint in self.known
+        assert action.endpoint in self.ever_listed
         assert len(client.tries) < self.settings.max_attempts
-        left = self.left_at.get(action.endpoint)
-        assert left is None or self.now <= left + self.settings.drain_grace
+        unavailable_since = self.unavailable_since.get(action.endpoint)
+        assert unavailable_since is None or self.now <= unavailable_since + self.settings.drain_grace
         running = [attempt for attempt in client.tries if attempt.outcome is None]
         assert self.settings.second_copies or not running
-        ran = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
+        executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
         if client.grade.effect is Effect.FRAGILE:
-            assert not ran
-        elif client.grade.effect is Effect.DEDUP and ran:
-            assert self.now <= ran[0].sent_at + client.grade.window
-            assert self.group(client.grade, ran[0].endpoint) == self.group(client.grade, action.endpoint)
+            assert not executed
+        elif client.grade.effect is Effect.DEDUP and executed:
+            assert self.now <= executed[0].sent_at + client.grade.window
+            assert self.group(client.grade, executed[0].endpoint) == self.group(client.grade, action.endpoint)
         limit = action.limit or client.deadline - self.now
         assert limit > 0
         ends_at = min(self.now + limit, client.deadline)
-        client.tries.append(Try(action.endpoint, self.now, ends_at))
+        client.tries.append(SentAttempt(action.endpoint, self.now, ends_at))
 
     def group(self, grade: Grade, endpoint: int) -> int:
         entry = self.endpoints[endpoint]
@@ -127,9 +131,9 @@
         assert not client.answered and not client.left
         client.answered = True
         if isinstance(action, Refuse) and client.grade.effect is not Effect.RETRYABLE:
-            ran = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
-            everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
-            assert everywhere or not ran
+            executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
+            dedup_everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
+            assert dedup_everywhere or not executed
 
     def members(self, changes: list[tuple[int, State, bool]], kind: ListKind) -> None:
         entries = {} if kind is not ListKind.DELTA else dict(self.endpoints)
@@ -138,73 +142,77 @@
                 continue
             started = self.now - S if restarted else 0
             entries[number] = Endpoint(number, number % 2, 0, number // 3, state, 1.0, started)
-        told = tuple(entries[n] for n in dict.fromkeys(n for n, _, _ in changes) if n in entries)
+        listed = tuple(entries[n] for n in dict.fromkeys(n for n, _, _ in changes) if n in entries)
         for number in set(self.endpoints) | set(entries):
             up = number in entries and entries[number].state is State.UP
             if up:
-                self.left_at.pop(number, None)
+                self.unavailable_since.pop(number, None)
             else:
-                self.left_at.setdefault(number, self.now)
-        self.known |= set(entries)
+                self.unavailable_since.setdefault(number, self.now)
+        self.ever_listed |= set(entries)
         self.endpoints |= entries
-        self.feed(Membership(kind, told))
+        self.feed(Membership(kind, listed))
 
     def request(self, grade: int, budget: int, key: str, tenant: int) -> None:
-        name = f"q{len(self.clients)}"
-        inside = GRADES[grade] if grade < len(GRADES) else FRAGILE
-        self.clients[name] = Client(inside, self.now + budget)
-        self.feed(Request(name, grade, budget, tenant, key))
+        request_id = f"q{len(self.clients)}"
+        request_class = REQUEST_CLASSES[grade] if grade < len(REQUEST_CLASSES) else FRAGILE
+        self.clients[request_id] = Client(request_class, self.now + budget)
+        self.feed(Request(request_id, grade, budget, tenant, key))
 
     def finish(self, pick: int, outcome: Outcome) -> None:
         running = self.running()
         if running:
-            _, name, number = running[pick % len(running)]
-            self.end(name, number, outcome)
+            _, request_id, number = running[pick % len(running)]
+            self.end(request_id, number, outcome)
 
     def running(self) -> list[tuple[int, str, int]]:
-        """The attempts still out: when each ends at the latest, its request and number."""
+        """Return the open attempts: latest end time, request id and attempt number of each."""
         return [
-            (attempt.ends_at, name, number)
-            for name, client in self.clients.items()
+            (attempt.ends_at, request_id, number)
+            for request_id, client in self.clients.items()
             for number, attempt in enumerate(client.tries)
             if attempt.outcome is None
         ]
 
-    def end(self, name: str, number: int, outcome: Outcome) -> None:
-        client, attempt = self.clients[name], self.clients[name].tries[number]
+    def end(self, request_id: str, number: int, outcome: Outcome) -> None:
+        client, attempt = self.clients[request_id], self.clients[request_id].tries[number]
         attempt.outcome = outcome
         if outcome is Outcome.DONE and not client.left:
             client.answered = True
         duration = self.now - attempt.sent_at
-        self.feed(AttemptEnded(name, number, attempt.endpoint, outcome, duration, client.answered))
+        self.feed(AttemptEnded(request_id, number, attempt.endpoint, outcome, duration, client.answered))
 
     def leave(self, pick: int) -> None:
-        waiting = [name for name, client in self.clients.items() if not client.answered and not client.left]
+        waiting = [
+            request_id
+            for request_id, client in self.clients.items()
+            if not client.answered and not client.left
+        ]
         if waiting:
-            name = waiting[pick % len(waiting)]
-            self.clients[name].left = True
-            self.feed(ClientLeft(name))
+            request_id = waiting[pick % len(waiting)]
+            self.clients[request_id].left = True
+            self.feed(ClientLeft(request_id))
 
     def probe_ends(self, outcome: Outcome) -> None:
-        if self.probing:
-            self.feed(ProbeEnded(self.probing.pop(0), outcome, 5 * MS))
+        if self.open_probes:
+            self.feed(ProbeEnded(self.open_probes.pop(0), outcome, 5 * MS))
 
     def advance(self, span: int) -> None:
-        """Let time pass: time-outs and timers come when they are due."""
-        until = self.now + span
+        """Advance the clock by `span`, with the timeouts and timers that are due on the way."""
+        end = self.now + span
         while True:
-            due = [(at, 0, name, number) for at, name, number in self.running()]
-            due += [(at, 1, "", index) for index, (at, _) in enumerate(self.timers)]
-            if not due or min(due)[0] > until:
+            due = [(ends_at, 0, request_id, number) for ends_at, request_id, number in self.running()]
+            due += [(ends_at, 1, "", index) for index, (ends_at, _) in enumerate(self.timers)]
+            if not due or min(due)[0] > end:
                 break
-            at, kind, name, number = min(due)
-            self.now = max(self.now, at)
+            ends_at, kind, request_id, number = min(due)
+            self.now = max(self.now, ends_at)
             if kind:
                 self.feed(TimerFired(self.timers.pop(number)[1]))
             else:
-                self.end(name, number, Outcome.TIMED_OUT)
+                self.end(request_id, number, Outcome.TIMED_OUT)
             self.check_overdue()
-        self.now = until
+        self.now = end
         self.check_overdue()
 
     def check_overdue(self) -> None:
@@ -218,23 +226,25 @@
 steps = st.one_of(
     st.tuples(
         st.just("request"),
-        st.integers(0, len(GRADES)),
+        st.integers(0, len(REQUEST_CLASSES)),
         st.integers(1, 2 * S),
         st.sampled_from(["", "a", "b"]),
         st.integers(0, 3),
     ),
-    st.tuples(st.just("finish"), st.integers(0, 99), st.sampled_from(ENDED)),
+    st.tuples(st.just("finish"), st.integers(0, 99), st.sampled_from(ATTEMPT_OUTCOMES)),
     st.tuples(st.just("advance"), st.integers(1, S)),
     st.tuples(st.just("members"), changes, st.sampled_from([ListKind.DELTA, ListKind.FULL])),
     st.tuples(st.just("leave"), st.integers(0, 99)),
-    st.tuples(st.just("probe_ends"), st.sampled_from(ENDED)),
+    st.tuples(st.just("probe_ends"), st.sampled_from(ATTEMPT_OUTCOMES)),
 )
 
 
 @settings(derandomize=True, max_examples=400, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 2**32), st.booleans(), st.booleans(), st.lists(steps, max_size=60))
-def test_rules_hold_whatever_happens(seed: int, copies: bool, ask: bool, script: list[tuple]) -> None:
-    world = World(seed, copies, ask)
+def test_rules_hold_whatever_happens(
+    seed: int, hedging: bool, calls_discovery: bool, script: list[tuple]
+) -> None:
+    world = World(seed, hedging, calls_discovery)
     world.members([(n, State.UP, False) for n in range(1, 7)], ListKind.PERSISTED)
     for name, *arguments in script:
         getattr(world, name)(*arguments)
