--- a/garnethaven/net/__init__.py
+++ b/garnethaven/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets round the decision module."""
+"""HTTP/1.1 on sockets: client connections, connections to endpoints, and the transport between them."""
--- a/garnethaven/net/answers.py
+++ b/garnethaven/net/answers.py
@@ -23,7 +23,7 @@
 
 
 def answer_head(status: int, headers: list[Header], framing: bytes, keep_alive: bool) -> bytes:
-    """All of it behind the version, which may have been sent before."""
+    """The head without the version, which may have been sent before."""
     parts = [b"%d " % status, PHRASES[status], b"\r\n"]
     for name, value in headers:
         if name.lower() not in DROPPED_HEADERS:
--- a/garnethaven/net/body_memory.py
+++ b/garnethaven/net/body_memory.py
@@ -1,26 +1,26 @@
-"""What one connection takes from the memory for bodies while a long one flows through it."""
+"""The memory that one connection reserves from the budget for bodies while it streams one."""
 
 from __future__ import annotations
 
 from garnethaven.limits.budgets import AnswerMemory
-from garnethaven.net.flow import FLOW_COST
+from garnethaven.net.flow import STREAM_MEMORY_BYTES
 
 
 class BodyReservation:
-    """A fixed part of the memory, taken once for a request's body and its answer's together."""
+    """A fixed amount of memory, reserved once for a request's body and its answer's together."""
 
     def __init__(self, memory: AnswerMemory) -> None:
         self.memory = memory
-        self.size = 0  # bytes that are taken
+        self.size = 0  # bytes that are reserved
 
-    def can_be_had(self) -> bool:
-        """Whether a long body may begin."""
+    def is_available(self) -> bool:
+        """Whether a body may be streamed: the budget is not used up."""
         return not self.memory.full()
 
     def take(self) -> None:
         if not self.size:
-            self.size = FLOW_COST
-            self.memory.grows(FLOW_COST)
+            self.size = STREAM_MEMORY_BYTES
+            self.memory.grows(STREAM_MEMORY_BYTES)
 
     def release(self) -> None:
         if self.size:
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -1,6 +1,6 @@
-"""One client's connection: hands its requests to the engine one at a time and writes their answers in turn.
+"""One client's connection: passes its requests to the engine one at a time and writes the answers in order.
 
-Parsing, writing, the close and the client's presence each have a module of their own beside this one.
+Parsing, writing, the lingering close and the detection of clients that left are in modules of their own.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from garnethaven.engine.calls import Call
 from garnethaven.limits.places import FIRST_S, Usage
 from garnethaven.net.body_memory import BodyReservation
-from garnethaven.net.call_making import call_of
+from garnethaven.net.call_making import make_call
 from garnethaven.net.client_presence import ClientPresence
 from garnethaven.net.exchange import Answer, Header
-from garnethaven.net.flow import BODY_MOST, STALL_S
-from garnethaven.net.lingering_close import LINGER_BYTES, LINGER_FLOW_S, LINGER_S, LingeringClose
+from garnethaven.net.flow import MAX_BODY_BYTES, STREAM_STALL_S
+from garnethaven.net.lingering_close import LINGER_S, MAX_LINGER_BYTES, STREAM_LINGER_S, LingeringClose
 from garnethaven.net.local_paths import local_status
 from garnethaven.net.owner import Owner
 from garnethaven.net.presence import has_unread, reset_at_close
 from garnethaven.net.request_reader import RequestReader, UnreadableRequest
-from garnethaven.net.requests import IncomingRequest, RequestHead, head_of
-from garnethaven.net.response_writer import BodyFraming, ResponseWriter, framing_of
+from garnethaven.net.requests import IncomingRequest, RequestHead, parse_head
+from garnethaven.net.response_writer import BodyFraming, ResponseWriter, choose_framing
 from garnethaven.net.transport import HttpAttempt
 
-DEFERRED_READ_S = 0.02  # some iterations of the event loop
-MAX_UNREAD_BYTES = 64 * 1024  # bytes behind a request that is under way; then reading pauses
-# After an invalid request the connection is not read for a while: a client that repeats it at once would take
-# the time of all others. The answer itself is not delayed. To close the connection instead would cost more,
-# for the client would connect again.
+DEFERRED_READ_S = 0.02  # a few iterations of the event loop
+MAX_UNREAD_BYTES = 64 * 1024  # received while a request is in progress; above it, reading pauses
+# After an invalid request the connection is not read for this long: a client that repeats the request at once
+# would take processing time from all others. The answer itself is not delayed. Closing the connection instead
+# would cost more, because the client would reconnect.
 PENALTY_S = 0.2
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection: the engine's client of its calls, and the source of their long bodies.
+    """One client's connection: the engine's client of its calls, and the source of their streamed bodies.
 
-    `over_limit` is set on a connection that is accepted only to be refused.
+    `over_limit` is set on a connection that is accepted only to answer its requests with 503.
     """
 
     def __init__(self, owner: Owner, sock: socket.socket, over_limit: bool) -> None:
@@ -45,12 +45,18 @@
         self.engine = owner.engine
         self.sock = sock
         self.over_limit = over_limit
-        self.deferred = bytearray()  # received after the process was stopped; waits for discovery's updates
-        self.unread = bytearray()  # received while a request was under way
-        self.unconfirmed: IncomingRequest | None = None  # its client may have gone
+        self.deferred = (
+            bytearray()
+        )  # received after the process was suspended; read after discovery's updates
+        self.unread = bytearray()  # received while a request was in progress
+        self.unconfirmed: IncomingRequest | None = (
+            None  # its client may have left; handled once it is found present
+        )
         self.call: Call | None = None
-        self.streamed_request: IncomingRequest | None = None  # under way, its body still comes
-        self.streamed_answer: HttpAttempt | None = None  # whose answer goes to the client as it comes
+        self.streamed_request: IncomingRequest | None = None  # in progress; its body is still being received
+        self.streamed_answer: HttpAttempt | None = (
+            None  # the attempt whose answer is being streamed to the client
+        )
         self.body_memory = BodyReservation(owner.transport.pool.memory)
         self.keep_alive = True
         self.closing = False
@@ -63,7 +69,7 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own, of no common class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class, which does not inherit from it
         self.writer = ResponseWriter(self.transport)
         self.presence = ClientPresence(self.sock, self.transport, self.writer, self.owner.loop)
         self.lingering_close = LingeringClose(self.transport, self.owner)
@@ -71,7 +77,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.active_at = self.owner.loop.time()
-        if self.deferred or self.owner.defers_reading(self.active_at):
+        if self.deferred or self.owner.should_defer_reading(self.active_at):
             if not self.deferred:
                 self.owner.loop.call_later(DEFERRED_READ_S, self._read_deferred)
             self.deferred += data
@@ -79,15 +85,15 @@
         self._read(data)
 
     def _read_deferred(self) -> None:
-        """Read what was deferred after the process was stopped."""
+        """Read the bytes that were deferred after the process was suspended."""
         data, self.deferred = bytes(self.deferred), bytearray()
         if data and not self.transport.is_closing():
             self._read(data)
 
     def _read(self, data: bytes) -> None:
         if self.closing:
-            most = BODY_MOST if self.streamed_request is not None else LINGER_BYTES
-            self.lingering_close.swallow(len(data), most)
+            max_bytes = MAX_BODY_BYTES if self.streamed_request is not None else MAX_LINGER_BYTES
+            self.lingering_close.discard(len(data), max_bytes)
         elif self.streamed_request is not None:
             self._parse(data)
         elif self._has_request() or self.penalised:
@@ -98,15 +104,16 @@
             self._parse(data)
 
     def eof_received(self) -> bool:
-        """The client writes no more; it may still read."""
+        """The client has closed its writing side; it may still read."""
         if self.deferred:
             self._read_deferred()
         if not self._has_begun_request() or self.closing or self.streamed_request is not None:
             return False
-        self.presence.half_close(self._check_gone)
+        self.presence.half_close(self._recheck_presence)
         return True
 
-    def _check_gone(self) -> None:
+    def _recheck_presence(self) -> None:
+        """Handle the unconfirmed request, unless its client turns out to have left."""
         if not self._has_begun_request() or self.has_left():
             return
         incoming, self.unconfirmed = self.unconfirmed, None
@@ -114,8 +121,8 @@
             self._handle(incoming)
 
     def has_left(self) -> bool:
-        """Whether the client is known to have gone; called before each further attempt for it."""
-        return self.presence.has_left(self._check_gone)
+        """Whether the client is known to have left; called before each further attempt."""
+        return self.presence.has_left(self._recheck_presence)
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.closing = True
@@ -128,7 +135,7 @@
             self.engine.left(call)
         self.owner.forget(self)
 
-    # Reading: the handler of the reader
+    # Reading: callbacks of the RequestReader
 
     def _parse(self, data: bytes) -> None:
         try:
@@ -146,8 +153,8 @@
 
     def request_completed(self, incoming: IncomingRequest) -> None:
         self.owner.request_received(self.usage, self.active_at)
-        if incoming.flow is not None:
-            incoming.flow.end()
+        if incoming.streamed_body is not None:
+            incoming.streamed_body.end()
         if self.streamed_request is not incoming:
             self.reader.ready.append(incoming)
             return
@@ -155,10 +162,10 @@
         if self.call is not None:
             self.engine.whole(self.call)
 
-    # Bodies that are too long to be buffered
+    # Streamed bodies
 
     def _handle_long_body(self) -> None:
-        """Handle a request whose body is still being received, once it is known to be long."""
+        """Handle a request whose body is still being received, once the body is too long to buffer."""
         incoming = self.reader.incoming
         if incoming is None or not self.reader.has_long_body():
             return
@@ -179,7 +186,7 @@
             self.transport.resume_reading()
 
     def _abandon_call(self) -> None:
-        """Fail the call whose request will not be received whole."""
+        """Fail the call whose request will not be received completely."""
         call, self.call = self.call, None
         if call is not None:
             self.engine.left(call, End.FAILED)
@@ -187,13 +194,13 @@
     # Complete requests
 
     def _handle_ready(self) -> None:
-        """Handle the next complete request, if there is one and none is under way."""
+        """Handle the next complete request, if there is one and no other is in progress."""
         while self.reader.ready and self._is_free():
             incoming = self.reader.ready.popleft()
             self.keep_alive = incoming.keep_alive
-            if self.owner.is_late() and self.presence.has_ended_writing():
-                self.unconfirmed = incoming  # handled once the client is known to be there
-                self.presence.half_close(self._check_gone)
+            if self.owner.is_lagging() and self.presence.has_ended_writing():
+                self.unconfirmed = incoming  # handled once the client is known to be present
+                self.presence.half_close(self._recheck_presence)
             else:
                 self._handle(incoming)
 
@@ -204,7 +211,7 @@
         return not self.transport.is_closing()
 
     def _has_begun_request(self) -> bool:
-        """Whether a request is being handled, or waits until its client is known to be there."""
+        """Whether a request is being handled or waits for the check that its client is present."""
         return self.call is not None or self.unconfirmed is not None
 
     def _handle(self, incoming: IncomingRequest) -> None:
@@ -215,51 +222,51 @@
         if status is not None:
             self._answer_status(status)
             return
-        head = head_of(incoming, self.owner.classes)
+        head = parse_head(incoming, self.owner.classes)
         if head is None:
             self._answer_with_penalty(400)
             return
         self._begin_call(incoming, head)
 
     def _begin_call(self, incoming: IncomingRequest, head: RequestHead) -> None:
-        if self.over_limit or (self.streamed_request is not None and not self.body_memory.can_be_had()):
+        if self.over_limit or (self.streamed_request is not None and not self.body_memory.is_available()):
             self.engine.account.at_once(head.request_class, End.REFUSED)
             self._answer_status(503)
             return
-        self.call = call_of(self, incoming, head, self.owner.transport, self.engine.settings)
+        self.call = make_call(self, incoming, head, self.owner.transport, self.engine.settings)
         if not self.engine.take(self.call):
             self.call = None
             self.engine.account.at_once(head.request_class, End.FAILED)
             self._answer_with_penalty(409)
 
-    # Answers: the client of the engine's calls (engine/calls.py, net/transport.py)
+    # Answers: callbacks of the engine (engine/calls.py) and of the transport (net/transport.py)
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         self._write_answer(200, b"".join(answer.body), answer.headers)
 
-    def began(self, attempt: HttpAttempt, answer: Answer) -> None:
-        """The first part of a streamed answer, which has status 200."""
+    def begin_answer(self, attempt: HttpAttempt, answer: Answer) -> None:
+        """Write the head of a streamed answer, which has status 200."""
         self.streamed_answer = attempt
         self.body_memory.take()
-        framing = framing_of(answer.length, self.reader.accepts_chunked())
+        framing = choose_framing(answer.length, self.reader.accepts_chunked())
         if framing is BodyFraming.UNTIL_CLOSE:
             self.keep_alive = False
         self.writer.begin_body(answer.headers, framing, answer.length, self._decide_keep_alive())
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.writer.write_body(data)
 
-    def ended(self) -> None:
+    def end_answer(self) -> None:
         if not self.transport.is_closing():
             self.writer.end_body()
             self._answer_written()
 
-    def broke(self) -> None:
-        """Abort: the rest of a streamed answer is missing, and the client can tell by its framing."""
+    def abort_answer(self) -> None:
+        """Abort a streamed answer whose rest is missing; the client detects it by the framing."""
         self.call = None
         if self.writer.framing is BodyFraming.UNTIL_CLOSE:
-            reset_at_close(self.sock)  # to the client, an orderly close would be the end of the answer
+            reset_at_close(self.sock)  # an orderly close would mark the answer as complete
         self.transport.abort()
 
     def pause_writing(self) -> None:
@@ -278,7 +285,7 @@
         self._write_answer(status, b"", [])
 
     def _answer_status(self, status: int) -> None:
-        """Answer a request that the engine does not see."""
+        """Answer a request that is not passed to the engine."""
         self._write_answer(status, b"", [])
 
     def _answer_with_penalty(self, status: int) -> None:
@@ -300,13 +307,13 @@
             self.call = None
             return
         if self.streamed_answer is not None:
-            self.broke()
+            self.abort_answer()
             return
         self.writer.write_answer(status, headers, body, self._decide_keep_alive())
         self._answer_written()
 
     def _decide_keep_alive(self) -> bool:
-        """Decide whether the connection persists after the answer that is about to be written."""
+        """Decide whether the connection stays open after the answer that is about to be written."""
         if self.half_closed or self.over_limit or self.owner.draining or self.streamed_request is not None:
             self.keep_alive = False
         elif self.keep_alive and not self.reader.ready and not self.unread:
@@ -320,9 +327,9 @@
         self.writer.answer_ended()
         self.active_at = self.usage.since = self.owner.loop.time()
         if not self.keep_alive:
-            self._close_lingering(LINGER_FLOW_S if self.streamed_request is not None else LINGER_S)
+            self._close_lingering(STREAM_LINGER_S if self.streamed_request is not None else LINGER_S)
         elif (self.unread or self.reader.ready or self.reader.has_long_body()) and not self.penalised:
-            # Not at once: a client that pipelines requests must not delay the others.
+            # In a later iteration: a client that pipelines requests must not delay the others.
             self.owner.loop.call_soon(self._continue_reading)
 
     def _continue_reading(self) -> None:
@@ -336,10 +343,10 @@
         if data:
             self._parse(data)
         else:
-            self._handle_long_body()  # reading may have paused in it behind the last request
+            self._handle_long_body()  # reading may have paused within it during the last request
 
     def _reject_and_close(self, status: int) -> None:
-        """Answer a request that can't be read any further, and close."""
+        """Answer a request whose remaining bytes are not read, and close the connection."""
         self.keep_alive = False
         if self.streamed_request is not None:
             self._abandon_call()
@@ -348,29 +355,29 @@
         self._answer_status(status)
 
     def _account_incomplete(self) -> None:
-        """Account for a request that is answered before it was complete, where its class is known."""
+        """Count a request that is answered before it was complete as failed, if its class is known."""
         if self.incoming is None:
             return
         request_class = self.owner.classes.grades.get(self.incoming.class_name())
         if request_class is not None:
             self.engine.account.at_once(request_class, End.FAILED)
 
-    def _close_lingering(self, most_s: float) -> None:
-        """Close after the client's own end, or after `most_s` seconds (lingering_close.py)."""
+    def _close_lingering(self, max_s: float) -> None:
+        """Close once the client has closed its side, or after `max_s` seconds (lingering_close.py)."""
         self.closing = True
         if self.transport.is_closing():
             return
         if self.half_closed:
-            self.transport.close()  # the client has ended its side already
+            self.transport.close()  # the client has already closed its side
             return
-        self.owner.lingers(self)
-        self.lingering_close.begin(most_s)
+        self.owner.linger_started(self)
+        self.lingering_close.begin(max_s)
 
-    # Managed by the listener (owner.py)
+    # Called by the listener (owner.py)
 
     @property
-    def waits_since(self) -> float:
-        return self.reader.deadlines.waits_since
+    def waiting_since(self) -> float:
+        return self.reader.deadlines.waiting_since
 
     @property
     def incoming(self) -> IncomingRequest | None:
@@ -379,28 +386,28 @@
 
     @property
     def half_closed(self) -> bool:
-        """Whether the client has ended its writing."""
+        """Whether the client has closed its writing side."""
         return self.presence.half_closed
 
-    def waits_for_request(self) -> bool:
-        """Whether nothing of a request has been received yet."""
+    def is_awaiting_request(self) -> bool:
+        """Whether no byte of the next request has been received yet."""
         busy = self._has_request() or self.incoming is not None or self.unread
         return not busy and not self.closing
 
     def _has_request(self) -> bool:
-        """Whether a complete request is being handled or waits for its turn."""
+        """Whether a complete request is being handled or queued."""
         return self._has_begun_request() or bool(self.reader.ready)
 
     def is_idle(self) -> bool:
-        if not self.waits_for_request():
+        if not self.is_awaiting_request():
             return False
         return not has_unread(self.sock) and not self.transport.get_write_buffer_size()
 
-    def takes_room(self, now: float) -> bool:
-        """Whether it is silent or slow, or its last request was invalid."""
+    def is_evictable(self, now: float) -> bool:
+        """Whether the client is silent or slow, or its last request was invalid."""
         if self.closing or self._has_request():
             return False
-        silent = self.waits_since > 0.0 and now - self.waits_since >= FIRST_S
+        silent = self.waiting_since > 0.0 and now - self.waiting_since >= FIRST_S
         return self.penalised or silent
 
     def _is_overdue(self, now: float) -> bool:
@@ -410,8 +417,8 @@
             return False
         return self.reader.is_overdue(now)
 
-    def look_after(self, now: float) -> None:
-        """End a request that is not received in time, an answer that is not read, an idle connection."""
+    def check_timeouts(self, now: float) -> None:
+        """End the connection if a request arrives too slowly, an answer is not read, or it is idle."""
         unsent = self.transport.get_write_buffer_size()
         if unsent:
             self._check_write_progress(unsent, now)
@@ -424,7 +431,7 @@
     def _check_write_progress(self, unsent: int, now: float) -> None:
         if unsent != self.unsent:
             self.active_at = now
-        elif now - self.active_at > STALL_S:
+        elif now - self.active_at > STREAM_STALL_S:
             self.transport.abort()
 
     def _end_overdue(self) -> None:
@@ -434,16 +441,16 @@
             self.stop_reading()
 
     def stop_reading(self) -> None:
-        """Close, unless there is a complete request: one that is not complete has no effect yet."""
+        """Close, unless there is a complete request; an incomplete one has had no effect yet."""
         if not self.closing and not self._has_request():
             self._close_lingering(LINGER_S)
 
     def abort(self) -> None:
         self.transport.abort()
 
-    def make_room(self) -> None:
-        """Close at once, unless there is a complete request: the descriptor is needed."""
+    def evict(self) -> None:
+        """Close at once to free the descriptor, unless there is a complete request."""
         if not self.closing and not self._has_request():
             self.closing = True
-            self.owner.closes(self)
+            self.owner.close_started(self)
             self.transport.close()
--- a/garnethaven/net/client_presence.py
+++ b/garnethaven/net/client_presence.py
@@ -1,7 +1,7 @@
-"""Whether the client of a connection is still there, also where it has ended its writing.
+"""Whether the client of a connection is still present, also after it has closed its writing side.
 
-Whether a client that writes no more has gone away altogether shows only when something is written to it.
-Every answer begins alike, so its beginning is sent at once: a client that is gone answers with a reset.
+After a half-close, a client that has left can be recognised only by writing to it. Every answer begins with
+the same bytes, so these are sent at once: the kernel of a client that has left answers with a reset.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from garnethaven.net.presence import has_ended_writing, is_reset
 from garnethaven.net.response_writer import ResponseWriter
 
-HALF_CLOSED_CHECK_S = 0.005  # the client is on this machine: a reset is back at once
+HALF_CLOSED_CHECK_S = 0.005  # clients run on this machine, so a reset arrives at once
 
 
 class ClientPresence:
-    """What is known of the client's side of one connection; a reset that is found closes the transport."""
+    """Tracks whether the client of one connection is present; closes the transport after a reset."""
 
     def __init__(
         self,
@@ -30,10 +30,10 @@
         self.transport = transport
         self.writer = writer
         self.loop = loop
-        self.half_closed = False  # the client has ended its writing
+        self.half_closed = False  # the client has closed its writing side
 
     def has_ended_writing(self) -> bool:
-        """Whether the client has ended its writing, also where the end lies unread in the kernel."""
+        """Whether the client has closed its writing side, even if its FIN is unread in the kernel."""
         if self.transport.is_closing():
             return True
         try:
@@ -43,17 +43,17 @@
             return True
 
     def half_close(self, check: Callable[[], None]) -> None:
-        """The client writes no more: provoke a reset if it is gone, and `check` once one would be back."""
+        """Provoke a reset from a client that has left, and call `check` when a reset would have arrived."""
         self.half_closed = True
         if not self.writer.version_sent and not self.transport.is_closing():
             self.writer.write_version()
             self.loop.call_later(HALF_CLOSED_CHECK_S, check)
 
     def has_left(self, check: Callable[[], None]) -> bool:
-        """Whether the client is known to have gone.
+        """Whether the client is known to have left.
 
-        Its end may lie unread in the kernel, where this process stood still or does not read just now; then
-        `check` is called as by `half_close`.
+        If its FIN is unread in the kernel, because this process was suspended or has paused reading, `check`
+        is called later as by `half_close`.
         """
         if not self.half_closed and self.has_ended_writing():
             self.half_close(check)
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -1,7 +1,7 @@
-"""One connection to an endpoint or to discovery: one exchange at a time, and the answer as it comes.
+"""One connection to an endpoint or to discovery: carries one exchange at a time and parses its answer.
 
-What happened to an exchange is told by *when* its connection broke: with the last byte still in our
-own buffer the request cannot have run, after that it may have.
+The outcome of an exchange whose connection breaks depends on *when* it breaks: while the last byte of the
+request is still in this process's write buffer the request cannot have run; after that it may have.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net import flow
 from garnethaven.net.exchange import BODY_LIMIT, Answer, Exchange
-from garnethaven.net.flow import BODY_MOST, HELD_LIMIT, LAST_CHUNK, chunk
+from garnethaven.net.flow import LAST_CHUNK, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, chunk
 from garnethaven.net.presence import has_unread, has_unread_bytes, unacknowledged_bytes
 from garnethaven.net.reuse import ReusePolicy
 
-# All that is not body together: 1xx answers ahead, the head, chunk sizes, trailers.
-FRAMING_LIMIT = 32 * 1024
-FRAMING_MOST = 8  # times the body, for chunks of a byte each
-# An answer that has begun comes whole or has broken: an endpoint that spoils the framing keeps the
-# connection open and says nothing more. It also ends answers from a machine that vanishes halfway. It
-# would do harm to endpoints that stop for longer within an answer; they may pause for 0.1 s.
+# Limit for all bytes of an answer that are not body: 1xx answers, the head, chunk sizes, trailers.
+MAX_FRAMING_BYTES = 32 * 1024
+MAX_FRAMING_RATIO = 8  # framing bytes per byte of body that are allowed beyond it, for chunks of one byte
+# Longest pause within a buffered answer; after it the answer counts as broken. An endpoint that sends wrong
+# framing keeps the connection open and sends nothing more; a machine may vanish in the middle of an answer.
+# Limitation: answers with a longer pause fail. Endpoints may pause for 0.1 s.
 STALL_S = 0.3
 OK = 200
 
 
 class SharedPool(Protocol):
-    """What all connections of a pool share."""
+    """The state that all connections of a pool share."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop: ...
@@ -44,7 +44,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The target that a connection leads to (upstream.py)."""
+    """The target that a connection belongs to (upstream.py)."""
 
     @property
     def pool(self) -> SharedPool: ...
@@ -52,84 +52,84 @@
         """Keep the connection for the next exchange."""
 
     def forget(self, connection: Connection) -> None:
-        """The connection has ended."""
+        """Remove a connection that has ended."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection; carries one exchange at a time and goes back to its target's pool."""
+    """One connection; carries one exchange at a time and returns to its target's idle list in between."""
 
     def __init__(self, target: ConnectionOwner, address: Address, sock: socket.socket) -> None:
         self.target = target
         self.address = address
         self.sock = sock
         self.exchange: Exchange | None = None
-        self.passing = False  # the answer goes on as it comes
+        self.streaming = False  # whether the answer is passed on as it is received
         self.paused = False
-        self.held = 0  # bytes of the answer that are held here
+        self.buffered_bytes = 0  # of the answer's body, not yet passed on
         self.answer = Answer()
         self.parser: HttpResponseParser | None = HttpResponseParser(self)
-        self.flushed = True  # the last byte of the request has left our buffer
-        self.received = 0
-        self.request_size = 0  # of what has been written of the request
+        self.flushed = True  # the last byte of the request has left the write buffer
+        self.received = 0  # bytes since the request was written
+        self.request_bytes_written = 0
         self.in_body = False
         self.complete = False
-        self.extra = False  # more has come than the answer
+        self.has_surplus = False  # bytes followed the end of the answer
         self.reusable = False
-        self.stall: asyncio.TimerHandle | None = None
-        self.heard_at = 0.0
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.last_received_at = 0.0
         self.opened_at = time.monotonic_ns()
         self.idle_since = 0.0
-        self.idle_for = 0.0  # before the exchange that it carries
-        self.asked_at = 0.0
-        self.answered_at = 0.0  # the end of the latest whole answer
+        self.idle_for = 0.0  # seconds without an exchange, before the current one
+        self.request_at = 0.0
+        self.answered_at = 0.0  # when the last complete answer ended
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own, of no common class
-        # With no slack an empty write buffer means that the kernel has the last byte.
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class, which does not inherit from it
+        # With a limit of 0, `resume_writing` is called when the kernel has taken the last byte.
         self.transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
         exchange = self.exchange
-        if exchange is not None and exchange.body is not None and not exchange.body.whole:
-            exchange.body.go_on()
+        if exchange is not None and exchange.body is not None and not exchange.body.complete:
+            exchange.body.resume()
         else:
-            self._went_out()
+            self._request_written()
 
-    def _check_went_out(self) -> None:
+    def _check_request_written(self) -> None:
         body = self.exchange.body if self.exchange is not None else None
         written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
-        if written and (body is None or body.whole):
-            self._went_out()
+        if written and (body is None or body.complete):
+            self._request_written()
 
-    def _went_out(self) -> None:
+    def _request_written(self) -> None:
         if not self.flushed:
             self.flushed = True
             if self.exchange is not None:
-                self.exchange.went_out()
+                self.exchange.request_written()
 
-    # A request's body that comes in parts
+    # A streamed request body (BodySink)
 
-    def body_came(self, data: bytes) -> bool:
+    def write_part(self, data: bytes) -> bool:
         assert self.exchange is not None and self.exchange.body is not None
         if self.transport.is_closing():
             return True
         chunked = self.exchange.body.length is None
-        self._write_more(chunk(data) if chunked else data)
+        self._write_request_bytes(chunk(data) if chunked else data)
         return not self.transport.get_write_buffer_size()
 
-    def body_ended(self) -> None:
+    def finish_body(self) -> None:
         assert self.exchange is not None and self.exchange.body is not None
         if self.exchange.body.length is None and not self.transport.is_closing():
-            self._write_more(LAST_CHUNK)
-        self._check_went_out()
+            self._write_request_bytes(LAST_CHUNK)
+        self._check_request_written()
 
-    def _write_more(self, data: bytes) -> None:
-        self.request_size += len(data)
+    def _write_request_bytes(self, data: bytes) -> None:
+        self.request_bytes_written += len(data)
         self.transport.write(data)
 
-    # An answer that is read no faster than the client takes it
+    # Backpressure: an answer is read no faster than the client takes it
 
     def pause(self) -> None:
         if not self.paused and not self.transport.is_closing():
@@ -139,20 +139,20 @@
     def resume(self) -> None:
         if self.paused:
             self.paused = False
-            self.heard_at = self.target.pool.loop.time()
+            self.last_received_at = self.target.pool.loop.time()
             if not self.transport.is_closing():
                 self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None or self.parser is None:
-            self.note_unasked()
-            self.drop()  # nothing was asked: whatever this is, the next request must not be given it
+            self.report_unsolicited()
+            self.drop()  # no request is pending: these bytes must not become the next request's answer
             return
-        unasked = not self.received and self._came_unasked()
+        unsolicited = not self.received and self._is_unsolicited()
         self.received += len(data)
-        self.heard_at = self.target.pool.loop.time()
-        if unasked:
-            self.note_unasked()
+        self.last_received_at = self.target.pool.loop.time()
+        if unsolicited:
+            self.report_unsolicited()
             self._break()
             return
         try:
@@ -162,28 +162,28 @@
             if not self.complete:
                 self._break()
                 return
-            self.extra = True
+            self.has_surplus = True
         if not self.complete:
-            if self._is_long():
-                self._pass_on()
-            if self._too_large():
+            if self._should_stream():
+                self._begin_streaming()
+            if self._is_too_large():
                 if self.exchange is not None:
                     self.exchange.oversized = True
                 self._break()
         if self.complete:
             self._finish()
-        if self.exchange is not None and self.stall is None:
-            self.stall = self.target.pool.loop.call_later(STALL_S, self._stalled)
+        if self.exchange is not None and self.stall_timer is None:
+            self.stall_timer = self.target.pool.loop.call_later(STALL_S, self._check_stall)
 
     def eof_received(self) -> None:
-        self._ended(clean=True)
+        self._connection_ended(clean=True)
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.target.forget(self)
-        self._ended(clean=problem is None)
-        self.parser = None  # it holds this object: a cycle that only a full collection would free
+        self._connection_ended(clean=problem is None)
+        self.parser = None  # breaks a reference cycle that only a full collection would free
 
-    def _ended(self, clean: bool) -> None:
+    def _connection_ended(self, clean: bool) -> None:
         if self.exchange is None:
             return
         if clean and self.in_body and self._ends_with_connection():
@@ -193,49 +193,49 @@
             self._break()
 
     def _ends_with_connection(self) -> bool:
-        """Whether the end of the connection is the end of the body, as the answer itself must say.
+        """Whether the end of the connection ends the body; the answer must state `Connection: close`.
 
-        An answer that only lost its length to noise would else be taken for whole wherever it breaks off.
+        Otherwise an answer whose length was lost to corruption would count as complete where it breaks off.
         """
         answer = self.answer
         if answer.length is not None or answer.header(b"transfer-encoding") is not None:
             return False
         return (answer.header(b"connection") or b"").lower() == b"close"
 
-    def _too_large(self) -> bool:
-        """Guards against heads, 1xx answers, trailers and bodies without end, whatever they hold."""
+    def _is_too_large(self) -> bool:
+        """Whether the head, the 1xx answers, the trailers or the body exceed their limits."""
         size, limit = self.answer.size, self._body_limit()
-        if self.target.pool.memory.too_much(self.held):
+        if self.target.pool.memory.too_much(self.buffered_bytes):
             return True
-        framing = FRAMING_LIMIT + FRAMING_MOST * size  # a chunk may hold a single byte
+        framing = MAX_FRAMING_BYTES + MAX_FRAMING_RATIO * size  # a chunk may hold a single byte
         return size > limit or (self.answer.length or 0) > limit or self.received - size > framing
 
-    def _is_long(self) -> bool:
-        """Whether more of the answer has come, or is announced, than is held."""
+    def _should_stream(self) -> bool:
+        """Whether more of the answer's body is received or announced than is buffered."""
         answer = self.answer
         length = answer.length or 0
-        long = answer.size > HELD_LIMIT or HELD_LIMIT < length <= BODY_MOST
-        return self.in_body and long and not self.passing and answer.status == OK
+        long = answer.size > MAX_BUFFERED_BYTES or MAX_BUFFERED_BYTES < length <= MAX_BODY_BYTES
+        return self.in_body and long and not self.streaming and answer.status == OK
 
-    def _pass_on(self) -> None:
-        """Let the answer go on as it comes, where its user wants that."""
+    def _begin_streaming(self) -> None:
+        """Pass the answer on as it is received, if the exchange accepts that."""
         exchange, answer = self.exchange, self.answer
         assert exchange is not None
-        if not exchange.begins(answer):
+        if not exchange.begin_streaming(answer):
             return
-        self.passing = True
-        self.target.pool.memory.shrinks(self.held)
-        self.held = 0
+        self.streaming = True
+        self.target.pool.memory.shrinks(self.buffered_bytes)
+        self.buffered_bytes = 0
         parts, answer.body = answer.body, []
         for part in parts:
-            exchange.more(part)
+            exchange.body_received(part)
 
     # HttpResponseParser
 
     def on_message_begin(self) -> None:
         if self.complete:
-            self.reusable = False  # an answer to no request follows the one that was due
-            self.extra = True
+            self.reusable = False  # an answer without a request follows the expected one
+            self.has_surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.complete:
@@ -257,113 +257,113 @@
             return
         answer = self.answer
         answer.size += len(body)
-        if self.passing:
+        if self.streaming:
             if self.exchange is not None:
-                self.exchange.more(body)
+                self.exchange.body_received(body)
             return
         answer.body.append(body)
-        self.held += len(body)
+        self.buffered_bytes += len(body)
         self.target.pool.memory.grows(len(body))
 
     def on_message_complete(self) -> None:
         if self.complete or self.parser is None:
             return
         if not self.in_body:
-            self.answer = Answer()  # an interim answer (1xx): the real one follows
+            self.answer = Answer()  # an interim answer (1xx): the final one follows
             return
         self.complete = True
         self.reusable = self.parser.should_keep_alive()
 
-    # What the exchange and the pool ask for
+    # Called by the exchange and the pool
 
     def carry(self, exchange: Exchange) -> None:
-        """Write the request of `exchange`; its answer or its end is told to it."""
+        """Write the request of `exchange`, and report its answer or failure to it."""
         self.exchange = exchange
         exchange.connection = self
-        self.asked_at = self.target.pool.loop.time()
-        self.idle_for = self.asked_at - self.idle_since if self.idle_since else 0.0
+        self.request_at = self.target.pool.loop.time()
+        self.idle_for = self.request_at - self.idle_since if self.idle_since else 0.0
         self.answer = Answer()
         self.received = 0
-        self.in_body = self.complete = self.extra = self.reusable = False
-        self.flushed = self.passing = False
+        self.in_body = self.complete = self.has_surplus = self.reusable = False
+        self.flushed = self.streaming = False
         message = exchange.message()
-        self.request_size = sum(map(len, message))
+        self.request_bytes_written = sum(map(len, message))
         self.transport.writelines(message)
         if exchange.body is not None:
-            exchange.body.lead_to(self)
-            self._check_went_out()
+            exchange.body.attach(self)
+            self._check_request_written()
         elif not self.transport.is_closing() and not self.transport.get_write_buffer_size():
-            self._went_out()
+            self._request_written()
 
     def usable(self) -> bool:
         """Whether the endpoint has neither closed this idle connection nor written to it.
 
-        The loop may be behind the kernel; a request written to a closed connection is a reset.
+        Asks the kernel, since the event loop may lag; a request written to a closed connection is reset.
         """
         return not self.transport.is_closing() and not self._unread()
 
     def _unread(self) -> bool:
         return has_unread(self.sock)
 
-    # Bytes that belong to no request
+    # Unsolicited bytes: those that belong to no request
 
-    def note_unasked(self) -> None:
-        """Let the pool know that this endpoint has written what nobody asked for, just now."""
+    def report_unsolicited(self) -> None:
+        """Record in the pool's reuse policy that this endpoint has just written unsolicited bytes."""
         if self.answered_at:
             now = self.target.pool.loop.time()
             self.target.pool.reuse.unasked(now, now - self.answered_at)
 
-    def _came_unasked(self) -> bool:
-        """Whether the first bytes after a request were written before the endpoint had any of it.
+    def _is_unsolicited(self) -> bool:
+        """Whether the first bytes after a request were sent before the endpoint had received any of it.
 
-        An answer acknowledges the request, or what of it has come. A new connection is not asked: an
-        endpoint may turn it away at once.
+        TCP segments with an answer acknowledge the received part of the request. False on a new connection,
+        where an endpoint may answer with a rejection at once.
         """
         if not self.answered_at:
             return False
         unacknowledged = unacknowledged_bytes(self.sock)
         if unacknowledged is None:
             return False
-        return unacknowledged + self.transport.get_write_buffer_size() >= self.request_size
+        return unacknowledged + self.transport.get_write_buffer_size() >= self.request_bytes_written
 
     def drop_unusable(self) -> None:
-        """Close what was idle and can't be reused."""
+        """Close an idle connection that can't be reused."""
         if has_unread_bytes(self.sock):
-            self.note_unasked()
+            self.report_unsolicited()
         self.drop()
 
     def drop(self) -> None:
-        """Close at once; what is still in our buffer never goes out."""
+        """Close at once; bytes that are still in the write buffer are never sent."""
         if self.exchange is not None and self.exchange.body is not None:
-            self.exchange.body.leave(self)
+            self.exchange.body.detach(self)
         self.exchange = None
-        self._let_go()
-        self._end_stall()
+        self._release_answer()
+        self._cancel_stall_timer()
         if not self.flushed:
             # The transport may go on writing until it is torn down.
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
-    def _stalled(self) -> None:
-        """Nothing more may have come for so long; an answer that only comes slowly goes on."""
+    def _check_stall(self) -> None:
+        """Fail the exchange if nothing was received for the stall time, else check again when that ends."""
         loop = self.target.pool.loop
-        most = flow.STALL_S if self.passing else STALL_S
-        left = most if self.paused or self._unread() else self.heard_at + most - loop.time()
-        if left > 0.0:  # also where this side is late, not the endpoint
-            self.stall = loop.call_later(left, self._stalled)
+        max_s = flow.STREAM_STALL_S if self.streaming else STALL_S
+        left_s = max_s if self.paused or self._unread() else self.last_received_at + max_s - loop.time()
+        if left_s > 0.0:  # also if this process lags behind the kernel, not the endpoint
+            self.stall_timer = loop.call_later(left_s, self._check_stall)
         else:
             self._break()
 
-    def _end_stall(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+    def _cancel_stall_timer(self) -> None:
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
 
     def _body_limit(self) -> int:
         if self.exchange is None:
             return BODY_LIMIT
-        return self.exchange.body_limit if not self.passing else BODY_MOST
+        return self.exchange.body_limit if not self.streaming else MAX_BODY_BYTES
 
     def _finish(self) -> None:
         exchange, self.exchange = self.exchange, None
@@ -371,29 +371,29 @@
         exchange.connection = None
         exchange.over = True
         if exchange.body is not None:
-            exchange.body.leave(self)
-        self._end_stall()
+            exchange.body.detach(self)
+        self._cancel_stall_timer()
         self.resume()
         answer = self.answer
-        self._let_go()
-        self._note_answered()
-        # Before the outcome is told: the decisions that follow may close idle connections.
+        self._release_answer()
+        self._record_answer()
+        # Before the outcome is reported: the decisions that follow may close idle connections.
         if self.reusable and self.flushed and not self.transport.is_closing():
             self.target.release(self)
         else:
             self.drop()
         exchange.answered(answer)
 
-    def _note_answered(self) -> None:
+    def _record_answer(self) -> None:
         self.answered_at = self.target.pool.loop.time()
-        self.target.pool.reuse.answered(self.answered_at - self.asked_at)
-        if self.extra:
-            self.note_unasked()
-
-    def _let_go(self) -> None:
-        """The answer is held here no longer."""
-        self.target.pool.memory.shrinks(self.held)
-        self.held = 0
+        self.target.pool.reuse.answered(self.answered_at - self.request_at)
+        if self.has_surplus:
+            self.report_unsolicited()
+
+    def _release_answer(self) -> None:
+        """Drop the buffered answer and release its memory."""
+        self.target.pool.memory.shrinks(self.buffered_bytes)
+        self.buffered_bytes = 0
         self.answer = Answer()
 
     def _break(self) -> None:
--- a/garnethaven/net/exchange.py
+++ b/garnethaven/net/exchange.py
@@ -5,16 +5,17 @@
 import asyncio
 from typing import Protocol
 
-from garnethaven.net.flow import Body
+from garnethaven.net.flow import StreamedBody
 
 Header = tuple[bytes, bytes]
 
-# Of an answer that can't go on as it comes: another attempt's has, or it is no 200. Larger ones break off.
+# Maximum body of an answer that can't be streamed, because another attempt's answer is streamed or the status
+# is not 200. A longer answer fails the exchange.
 BODY_LIMIT = 512 * 1024
 
 
 class Answer:
-    """A response, as far as it has come."""
+    """A response, as far as it has been received."""
 
     __slots__ = ("body", "headers", "length", "size", "status")
 
@@ -22,8 +23,8 @@
         self.status = 0
         self.headers: list[Header] = []
         self.body: list[bytes] = []
-        self.size = 0
-        self.length: int | None = None  # of the body, where its framing says so
+        self.size = 0  # bytes of the body received
+        self.length: int | None = None  # of the body in bytes, if the head states it
 
     def header(self, wanted: bytes) -> bytes | None:
         for name, value in self.headers:
@@ -32,10 +33,10 @@
         return None
 
 
-class Carrier(Protocol):
+class ExchangeConnection(Protocol):
     """The connection that an exchange is on."""
 
-    flushed: bool  # the last byte of its request is with the kernel
+    flushed: bool  # the kernel has taken the last byte of the request
 
     def drop(self) -> None: ...
     def pause(self) -> None: ...
@@ -43,62 +44,62 @@
 
 
 class Exchange:
-    """One request to one address and what comes of it; its user overrides what it wants to know."""
+    """One request to one address and its outcome; subclasses override the callbacks that they need."""
 
     body_limit = BODY_LIMIT
 
     def __init__(self, payload: tuple[bytes | bytearray, ...]) -> None:
         self.payload = payload
-        self.connection: Carrier | None = None
+        self.connection: ExchangeConnection | None = None
         self.dial: asyncio.Task[None] | None = None
-        self.over = False
-        self.refused = False  # no connection came up, through no shortage of this side
-        self.oversized = False  # its answer was longer than may be held
-        self.stale = False  # a kept connection ended under it before anything came back
-        self.careful = False  # it must not be lost: no connection in doubt is good enough
-        self.again = False  # it repeats a try that was lost, perhaps on a connection in doubt
-        self.skipped = False  # nothing was tried, through no fault of the endpoint
-        self.hindered = False  # it waits because calls of this machine's own fail just now
-        self.body: Body | None = None  # that comes behind the payload, as it comes from the client
-        self.redone = False  # it has been moved to another connection once, for it had not been written
+        self.over = False  # its outcome is known, or nothing waits for it any more
+        self.refused = False  # the endpoint could not be connected to; not set for a local resource shortage
+        self.oversized = False  # the answer exceeded its size limit
+        self.stale = False  # its reused connection ended before any byte of an answer was received
+        self.careful = False  # must not be lost: is not sent on a connection that may be dead
+        self.again = False  # a retry of an attempt that may have failed because its connection was dead
+        self.skipped = False  # was not attempted, for a reason that is not the endpoint's failure
+        self.hindered = False  # waits because system calls on this machine fail at present
+        self.body: StreamedBody | None = None  # follows the payload, streamed from the client
+        self.redone = False  # was moved to another connection once, before it had been written
 
     def message(self) -> tuple[bytes | bytearray, ...]:
-        """The bytes to write, as of the moment of writing."""
+        """The bytes to write, computed at the time of writing."""
         return self.payload
 
     def answered(self, answer: Answer) -> None:
-        """The whole answer has come; all of its body, or what was not passed on."""
+        """The answer is complete; `answer.body` has the parts that were not streamed."""
 
-    def begins(self, answer: Answer) -> bool:
-        """Whether an answer that is too long to be held goes on as it comes, by `more`, from now on."""
+    def begin_streaming(self, answer: Answer) -> bool:
+        """Whether to stream an answer that is too long to be buffered, by `body_received`, from now on."""
         return False
 
-    def more(self, data: bytes) -> None:
-        """More of the body of an answer that has begun."""
+    def body_received(self, data: bytes) -> None:
+        """The next part of the body of a streamed answer."""
 
     def broken(self, written: bool) -> None:
-        """No answer will come; `written` tells whether the last byte of the request went out."""
+        """The exchange failed; `written` is whether the kernel had taken the whole request."""
 
-    def went_out(self) -> None:
-        """The request's last byte is with the kernel."""
+    def request_written(self) -> None:
+        """The kernel has taken the last byte of the request."""
 
     def may_begin(self) -> bool:
-        """Whether what was decided before a dial or a wait still holds at the moment of writing."""
+        """Whether the request may still be written, after a dial or a wait."""
         return True
 
     def patience_s(self) -> float:
-        """Seconds it may wait at this target while calls of this machine's own fail; 0: a dial's."""
+        """Seconds to wait at this target while local system calls fail; at least the dial timeout applies."""
         return 0.0
 
-    def may_open_spare(self) -> bool:
-        """Whether a new connection may be opened for it in place of one that has rested for a short time."""
+    def may_open_extra(self) -> bool:
+        """Whether a new connection may be opened for it instead of reusing one that has rested briefly."""
         return False
 
     def written(self) -> bool:
         return self.connection is not None and self.connection.flushed
 
     def give_up(self) -> bool:
-        """Stop waiting; tells whether the request had been written and so may have run."""
+        """Cancel; returns whether the request had been written and so may have run."""
         self.over = True
         if self.dial is not None:
             self.dial.cancel()
--- a/garnethaven/net/flow.py
+++ b/garnethaven/net/flow.py
@@ -1,28 +1,28 @@
 """Streams a request's body that is too long to be buffered from the client's connection to an endpoint's.
 
 Backpressure: when the write buffer of one side is full, reading from the other side pauses, so a body takes a
-bounded amount of memory whatever its length. Up to `KEPT` bytes stay buffered and can be replayed to another
-endpoint; once more than that has been passed on, the body can't be sent again.
+bounded amount of memory whatever its length. Up to `REPLAY_BUFFER_BYTES` stay buffered and can be replayed to
+another endpoint; once more than that has been passed on, the body can't be sent again.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-# Bytes of a body that are buffered for a retry, or until there is a connection. Large enough that a failed
-# dial or an endpoint that rejects the request can be retried. Each client connection may hold that much, and
-# the bytes of one read (RECEIVE_BUFFER) beyond it.
-KEPT = 64 * 1024
-HELD_LIMIT = 64 * 1024  # a body or an answer up to this size is buffered whole; a longer one is streamed
+# Bytes of a body that are buffered for a retry, or until there is a connection. Large enough for a retry
+# after a failed dial or after an endpoint rejected the request. Each client connection may hold that much,
+# and the bytes of one read (RECEIVE_BUFFER_BYTES) beyond it.
+REPLAY_BUFFER_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024  # up to this size a body or an answer is buffered; a longer one is streamed
 LAST_CHUNK = b"0\r\n\r\n"
-RECEIVE_BUFFER = 64 * 1024  # bytes; SO_RCVBUF, which the kernel doubles: an upper bound for one read
-# The most memory that one streamed body or answer takes: the replay buffer, one read, and as much in the
+RECEIVE_BUFFER_BYTES = 64 * 1024  # SO_RCVBUF, which the kernel doubles: an upper bound for one read
+# The maximum memory that one streamed body or answer takes: the replay buffer, one read, and as much in the
 # other side's write buffer. Reserved in the budget for bodies (limits/budgets.py) while it is streamed.
-FLOW_COST = KEPT + 4 * RECEIVE_BUFFER
-BODY_MOST = 40 * 1024 * 1024  # bytes of a request's or an answer's body; the largest expected has 32 MB
-# The longest time without progress on a streamed answer, in either direction, after which the peer counts as
-# gone. Peers may pause for seconds.
-STALL_S = 8.0
+STREAM_MEMORY_BYTES = REPLAY_BUFFER_BYTES + 4 * RECEIVE_BUFFER_BYTES
+MAX_BODY_BYTES = 40 * 1024 * 1024  # of a request's or an answer's body; the largest expected has 32 MB
+# Longest time without progress on a streamed answer, on either side; after it the peer counts as gone. Peers
+# may pause for seconds.
+STREAM_STALL_S = 8.0
 
 
 def chunk(data: bytes) -> bytes:
@@ -30,89 +30,89 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Source(Protocol):
+class BodySource(Protocol):
     """The connection that a body is read from."""
 
     def pause_reading(self) -> None:
         """Stop reading until `resume_reading`; may be called on a closed connection."""
 
     def resume_reading(self) -> None:
-        """Read on; may be called on a closed connection."""
+        """Resume reading; may be called on a closed connection."""
 
 
-class Sink(Protocol):
+class BodySink(Protocol):
     """The connection that a body is written to."""
 
-    def body_came(self, data: bytes) -> bool:
+    def write_part(self, data: bytes) -> bool:
         """Write the next part of the body; returns False when the write buffer is full."""
 
-    def body_ended(self) -> None:
-        """The body is complete."""
+    def finish_body(self) -> None:
+        """Finish the body after its last part."""
 
 
-class Body:
-    """One request's body; `length` is its size in bytes, None where the framing does not state it."""
+class StreamedBody:
+    """One request's body; `length` is its size in bytes, None if the framing does not state it."""
 
-    def __init__(self, source: Source, length: int | None) -> None:
+    def __init__(self, source: BodySource, length: int | None) -> None:
         self.source = source
         self.length = length
-        self.kept: list[bytes] = []  # the replay buffer
+        self.replay_buffer: list[bytes] = []
         self.size = 0  # bytes received
-        self.whole = False
-        self.lost = False  # a part is buffered no longer: the body can't be replayed
-        self.paused = False  # reading from the source
-        self.sink: Sink | None = None
+        self.complete = False
+        self.lost = False  # the replay buffer was dropped: the body can't be sent again
+        self.paused = False  # whether reading from the source is paused
+        self.sink: BodySink | None = None
 
     # Called by the source
 
-    def came(self, data: bytes) -> None:
-        """Pass on the next part, or buffer it while there is no sink; pauses the source when that is full."""
+    def add(self, data: bytes) -> None:
+        """Pass on the next part, or buffer it while there is no sink; pauses the source if that is full."""
         self.size += len(data)
         if not self.lost:
-            self.kept.append(data)
+            self.replay_buffer.append(data)
         if self.sink is None:
-            if self.size > KEPT and not self.lost:
+            if self.size > REPLAY_BUFFER_BYTES and not self.lost:
                 self._pause()
             return
-        if self.size > KEPT:
-            self.lost, self.kept = True, []
-        if not self.sink.body_came(data):
+        if self.size > REPLAY_BUFFER_BYTES:
+            self.lost, self.replay_buffer = True, []
+        if not self.sink.write_part(data):
             self._pause()
 
     def end(self) -> None:
-        """The last part has been received."""
-        self.whole = True
+        """Mark the body as complete."""
+        self.complete = True
         if self.sink is not None:
-            self.sink.body_ended()
+            self.sink.finish_body()
 
     # Called by the sink
 
-    def lead_to(self, sink: Sink) -> None:
-        """Write the buffered parts to this sink, and from now on all that follow."""
+    def attach(self, sink: BodySink) -> None:
+        """Write the buffered parts to this sink, and from now on all further parts."""
         self.sink = sink
         room = True
-        for data in self.kept:
-            room = sink.body_came(data)
-        if self.size > KEPT:
-            self.lost, self.kept = True, []
-        if self.whole:
-            sink.body_ended()
+        for data in self.replay_buffer:
+            room = sink.write_part(data)
+        if self.size > REPLAY_BUFFER_BYTES:
+            self.lost, self.replay_buffer = True, []
+        if self.complete:
+            sink.finish_body()
         elif room:
-            self.go_on()
+            self.resume()
 
-    def leave(self, sink: Sink) -> None:
+    def detach(self, sink: BodySink) -> None:
         """Detach a sink whose connection has ended or carries another request."""
         if self.sink is sink:
             self.sink = None
-            self.go_on()  # what follows is buffered for the next sink, or dropped
+            self.resume()  # further parts are buffered for the next sink, or dropped
 
-    def go_on(self) -> None:
-        """The sink's write buffer has room again."""
+    def resume(self) -> None:
+        """Resume the source; called when the sink's write buffer has room again."""
         if self.paused:
             self.paused = False
             self.source.resume_reading()
 
     def _pause(self) -> None:
-        if not self.paused and not self.whole:
+        if not self.paused and not self.complete:
             self.paused = True
             self.source.pause_reading()
--- a/garnethaven/net/lingering_close.py
+++ b/garnethaven/net/lingering_close.py
@@ -1,9 +1,9 @@
-"""A close that waits for the client's end.
+"""A close that waits until the client has closed its side.
 
-This side's writing ends, what still comes is read and dropped, and the connection goes with the client's own
-end, or after a time. Bytes that nobody reads would make the close a reset, which may cost the client its last
-answer; nothing read after the end is sent on. It would do harm only by its descriptors, so that the listener
-ends it at once where these are short.
+The writing side is closed, bytes that still arrive are read and discarded, and the connection is closed after
+the client's own close or a timeout. Without this, unread bytes would turn the close into a reset, which may
+lose the client's last answer. Bytes read after the close are not forwarded. Limitation: a lingering
+connection keeps its descriptor, so the listener aborts it at once if descriptors are short.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from garnethaven.net.owner import Owner
 
 LINGER_S = 0.5
-LINGER_BYTES = 256 * 1024
-LINGER_FLOW_S = 6.0  # the same for a long body, whose client may read only once it has written all
+MAX_LINGER_BYTES = 256 * 1024
+STREAM_LINGER_S = 6.0  # for a streamed body, whose client may read only after it has written all of it
 
 
 class LingeringClose:
@@ -23,34 +23,34 @@
     def __init__(self, transport: asyncio.Transport, owner: Owner) -> None:
         self.transport = transport
         self.owner = owner
-        self.swallowed = 0  # bytes that were read and dropped
+        self.swallowed = 0  # bytes that were read and discarded
         self.timer: asyncio.TimerHandle | None = None
 
-    def begin(self, most_s: float) -> None:
-        """End this side's writing, and the connection after so long."""
+    def begin(self, max_s: float) -> None:
+        """Close the writing side, and the connection after at most `max_s` seconds."""
         self.transport.resume_reading()
         self.transport.write_eof()
-        self._wait(most_s)
+        self._wait(max_s)
 
-    def swallow(self, size: int, most: int) -> None:
-        """Drop so many bytes that came; abort where they are more than `most` in all."""
+    def discard(self, size: int, max_bytes: int) -> None:
+        """Count `size` received bytes as discarded; abort if the total exceeds `max_bytes`."""
         self.swallowed += size
-        if self.swallowed > most:
+        if self.swallowed > max_bytes:
             self.transport.abort()
 
     def cancel(self) -> None:
-        """The connection is gone."""
+        """Cancel the timeout; the connection is closed."""
         if self.timer is not None:
             self.timer.cancel()
 
-    def _wait(self, most_s: float) -> None:
-        until = min(self.owner.loop.time() + most_s, self.owner.lingers_until)
+    def _wait(self, max_s: float) -> None:
+        until = min(self.owner.loop.time() + max_s, self.owner.linger_deadline)
         self.timer = self.owner.loop.call_at(until, self._end)
 
     def _end(self) -> None:
-        """Close, unless the client still takes its answer; one that stops is ended by `look_after`."""
+        """Close, unless the client is still reading its answer; `check_timeouts` ends one that stops."""
         unsent = self.transport.get_write_buffer_size()
-        if unsent and self.owner.loop.time() < self.owner.lingers_until:
+        if unsent and self.owner.loop.time() < self.owner.linger_deadline:
             self._wait(LINGER_S)
         else:
             self.transport.abort()
--- a/garnethaven/net/own_failures.py
+++ b/garnethaven/net/own_failures.py
@@ -1,16 +1,16 @@
-"""Which failures of a connect are this machine's own, and say nothing of the server. No I/O.
+"""Which failures of a connect are local to this machine and not the server's. No I/O.
 
-They pass, as a rule within moments: a new try after a short rest costs nobody anything.
+They usually pass within moments, so the connect is retried after a short pause.
 
-| errno | what it tells |
+| errno | cause |
 | --- | --- |
-| EMFILE, ENFILE, ENOBUFS, ENOMEM, EAGAIN | this process or machine has no room |
-| EADDRNOTAVAIL, EADDRINUSE | no local port is free just now |
-| EINTR | a signal came |
-| ENETUNREACH, ENETDOWN, EPERM, EACCES | no way there just now, here or on the path |
+| EMFILE, ENFILE, ENOBUFS, ENOMEM, EAGAIN | this process or machine is out of descriptors or memory |
+| EADDRNOTAVAIL, EADDRINUSE | no local port is free |
+| EINTR | a signal was received |
+| ENETUNREACH, ENETDOWN, EPERM, EACCES | no route at present, on this machine or on the path |
 
-The last row may be the path to one server alone. It is waited out like the others; where it lasts it counts
-against the server, so that others are preferred.
+The last row may concern the path to one server only. It is retried like the others; a failure that persists
+counts against the server, so that others are preferred.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 import errno
 
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-NO_ROOM = OUT_OF_RESOURCES | {errno.EAGAIN, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EINTR}
-NO_PATH = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM, errno.EACCES})
+LOCAL_SHORTAGE = OUT_OF_RESOURCES | {errno.EAGAIN, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EINTR}
+NO_ROUTE = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM, errno.EACCES})
 
-FIRST_PAUSE_SECONDS = 0.01  # before the next try; doubled each time
+FIRST_PAUSE_SECONDS = 0.01  # before the first retry; doubled for each further one
 MAX_PAUSE_SECONDS = 0.08
 
 
-def is_own(problem: OSError) -> bool:
-    """Whether a connect that failed like this is worth another try."""
-    return problem.errno in NO_ROOM or problem.errno in NO_PATH
+def is_local_failure(problem: OSError) -> bool:
+    """Whether a connect that failed with `problem` should be retried."""
+    return problem.errno in LOCAL_SHORTAGE or problem.errno in NO_ROUTE
 
 
-def blames_server(problem: OSError) -> bool:
-    """Whether a failure that lasts counts against the server."""
-    return problem.errno not in NO_ROOM
+def counts_against_server(problem: OSError) -> bool:
+    """Whether `problem` counts against the server if it persists."""
+    return problem.errno not in LOCAL_SHORTAGE
 
 
 def next_pause(pause_s: float) -> float:
-    """The pause after one of `pause_s` seconds."""
+    """The pause that follows a pause of `pause_s` seconds."""
     return min(2 * pause_s, MAX_PAUSE_SECONDS)
--- a/garnethaven/net/owner.py
+++ b/garnethaven/net/owner.py
@@ -1,4 +1,4 @@
-"""What a client's connection and the listener that owns it ask of each other (client.py, listener.py)."""
+"""The interfaces between a client's connection (client.py) and the listener that owns it (listener.py)."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 
 
 class OwnedConnection(Protocol):
-    """A client's connection as its owner manages it; times are seconds of the loop's clock."""
+    """A client's connection as the listener uses it; times are seconds of the loop's clock."""
 
     sock: socket.socket
     usage: Usage
 
     @property
-    def waits_since(self) -> float:
-        """Since when a whole request has been due; 0 where none is."""
+    def waiting_since(self) -> float:
+        """Since when a complete request has been awaited; 0 if none is."""
 
-    def waits_for_request(self) -> bool:
-        """Whether nothing of a request has been received yet."""
+    def is_awaiting_request(self) -> bool:
+        """Whether no byte of the next request has been received yet."""
 
     def is_idle(self) -> bool:
-        """The same, and nothing lies unread in the kernel or is still to be written."""
+        """Whether it awaits a request, nothing is unread in the kernel and nothing remains to be written."""
 
-    def takes_room(self, now: float) -> bool:
-        """Whether it is silent, slow or has been turned away."""
+    def is_evictable(self, now: float) -> bool:
+        """Whether the client is silent or slow, or its last request was invalid."""
 
-    def look_after(self, now: float) -> None:
-        """End what has made no progress within its time."""
+    def check_timeouts(self, now: float) -> None:
+        """End the connection if a timeout has expired."""
 
     def stop_reading(self) -> None:
-        """End the connection, unless a whole request is under way."""
+        """Close the connection with a lingering close, unless a complete request is in progress."""
 
-    def make_room(self) -> None:
-        """End it at once, unless a whole request is under way: its descriptor is needed."""
+    def evict(self) -> None:
+        """Close the connection at once to free its descriptor, unless a complete request is in progress."""
 
     def abort(self) -> None:
-        """Close it, whatever is still to be written."""
+        """Close the connection at once; bytes that are not yet written are dropped."""
 
 
 class Owner(Protocol):
-    """The listener as its connections see it."""
+    """The listener as its connections use it."""
 
     engine: Engine
     transport: HttpTransport
@@ -53,28 +53,28 @@
     loop: asyncio.AbstractEventLoop
     calm_idle_s: float
     draining: bool
-    lingers_until: float  # by the loop's clock; a planned end ends what lingers
+    linger_deadline: float  # by the loop's clock; a shutdown closes lingering connections then
 
-    def defers_reading(self, now: float) -> bool:
-        """Whether received bytes must wait, because the process stood still."""
+    def should_defer_reading(self, now: float) -> bool:
+        """Whether received bytes must wait, because the process was suspended."""
 
-    def is_late(self) -> bool:
-        """Whether the event loop lags, so that a client may have left since it wrote."""
+    def is_lagging(self) -> bool:
+        """Whether the event loop lags, so that a client may have left since it sent its request."""
 
     def opened(self, connection: OwnedConnection) -> None:
         """The connection is established."""
 
     def request_received(self, usage: Usage, now: float) -> None:
-        """A whole request came on the connection of this usage."""
+        """A complete request was received on the connection with this usage."""
 
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
         """Whether the answer that is about to be written should be the connection's last."""
 
-    def lingers(self, connection: OwnedConnection) -> None:
-        """The connection has ended its writing and waits for the client's end."""
+    def linger_started(self, connection: OwnedConnection) -> None:
+        """The connection has closed its writing side and waits for the client to close its own."""
 
-    def closes(self, connection: OwnedConnection) -> None:
-        """The connection is being closed and takes no place any more."""
+    def close_started(self, connection: OwnedConnection) -> None:
+        """The connection is being closed and no longer counts against the limit."""
 
     def forget(self, connection: OwnedConnection) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
--- a/garnethaven/net/presence.py
+++ b/garnethaven/net/presence.py
@@ -1,4 +1,4 @@
-"""Queries of a socket's state in the kernel, ahead of the event loop, and a close with a reset."""
+"""Queries of a socket's state in the kernel, ahead of the event loop, and the close with a reset."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether bytes wait to be read, not only an end or an error."""
+    """Whether bytes can be read, not only the end of the stream or an error."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
@@ -32,24 +32,24 @@
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int | None:
-    """Written bytes that the other side's system has not acknowledged; None where this one doesn't tell."""
+    """Sent bytes that the peer's kernel has not acknowledged; None if this system can't report them."""
     try:
-        told = fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(COUNT.size))
+        queued = fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(COUNT.size))
     except (OSError, ValueError):
         return None
-    (count,) = COUNT.unpack(told)
+    (count,) = COUNT.unpack(queued)
     return int(count)
 
 
 def has_ended_writing(sock: socket.socket) -> bool:
     """Whether the peer has sent its FIN, even when that has not been read; raises OSError after a reset."""
     try:
-        return not sock.recv(1, socket.MSG_PEEK) or end_has_come(sock)
+        return not sock.recv(1, socket.MSG_PEEK) or has_received_fin(sock)
     except BlockingIOError:
         return False
 
 
-def end_has_come(sock: socket.socket) -> bool:
+def has_received_fin(sock: socket.socket) -> bool:
     """Whether the peer has sent its FIN, even behind unread bytes.
 
     False on systems without TCP_INFO.
@@ -66,5 +66,5 @@
 
 
 def reset_at_close(sock: socket.socket) -> None:
-    """Make the close of this socket send a reset, which no client mistakes for the end of an answer."""
+    """Make the close of this socket send a reset, which no client takes for the end of an answer."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
--- a/garnethaven/net/request_reader.py
+++ b/garnethaven/net/request_reader.py
@@ -1,4 +1,4 @@
-"""Parses what a client's connection receives into requests, within bounds."""
+"""Parses the bytes that a client's connection receives into requests, within size limits."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from garnethaven.net.flow import BODY_MOST, HELD_LIMIT, Body, Source
+from garnethaven.net.flow import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, BodySource, StreamedBody
 from garnethaven.net.request_deadlines import RequestDeadlines
 from garnethaven.net.requests import MAX_HEAD_BYTES, MAX_HEADERS, IncomingRequest
 
-MAX_PIPELINED_REQUESTS = 16  # whole requests that may wait behind one; clients send one at a time
+MAX_PIPELINED_REQUESTS = 16  # complete requests that may be queued; clients send one at a time
 
 
-class UnreadableRequest(Exception):  # noqa: N818  the client's fault, answered as any other request
-    """Nothing that follows can be read as a request; `status` is that of the answer."""
+class UnreadableRequest(Exception):  # noqa: N818  the client's fault; is answered
+    """The bytes that follow can't be parsed as requests; `status` is that of the answer."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
         self.status = status
 
 
-class RequestHandler(Source, Protocol):
-    """The connection that requests are parsed for; also the source of streamed bodies."""
+class RequestHandler(BodySource, Protocol):
+    """The connection that requests are parsed for; also the source of their streamed bodies."""
 
     def continue_expected(self) -> None:
         """The client waits for 100 Continue before it sends the body."""
@@ -42,9 +42,9 @@
         self.handler: RequestHandler | None = handler
         self.parser: HttpRequestParser | None = HttpRequestParser(self)
         self.incoming: IncomingRequest | None = None  # the request that is being received
-        self.ready: deque[IncomingRequest] = deque()  # completed ones that nobody has taken up, in turn
+        self.ready: deque[IncomingRequest] = deque()  # complete requests that are not handled yet, in order
         self.deadlines = RequestDeadlines(now)
-        self.now = now  # when what is being parsed came
+        self.now = now  # when the bytes that are being parsed were received
         self.in_head = False
         self.head_size = 0
 
@@ -55,10 +55,7 @@
         self.ready.clear()
 
     def feed(self, data: bytes, now: float) -> bytes:
-        """Parse what came; returns the part that has to be parsed later.
-
-        Raises UnreadableRequest.
-        """
+        """Parse received bytes; returns the part that has to be parsed later. Raises UnreadableRequest."""
         if self.parser is None:
             return b""
         self.now = now
@@ -73,42 +70,42 @@
         try:
             parser.feed_data(data)
         except HttpParserUpgrade as upgrade:
-            # The offer of another protocol is declined by going on with this one.
+            # Decline the upgrade to another protocol by continuing with HTTP/1.1.
             self.parser = HttpRequestParser(self)
             return data[upgrade.args[0] :]
         except HttpParserError:
             if not self.ready:
                 raise UnreadableRequest(400) from None
-            self.ready[-1].keep_alive = False  # answered first, then the connection ends
+            self.ready[-1].keep_alive = False  # answered first, then the connection is closed
         return b""
 
     def _check_limits(self) -> None:
         if self.in_head and self.head_size > MAX_HEAD_BYTES:
             raise UnreadableRequest(431)
         if self.incoming is not None and self.incoming.status and not self.ready:
-            raise UnreadableRequest(self.incoming.status)  # the rest of it need not be read
+            raise UnreadableRequest(self.incoming.status)  # its rest need not be read
         if len(self.ready) > MAX_PIPELINED_REQUESTS:
             raise UnreadableRequest(400)
 
     def has_long_body(self) -> bool:
-        """Whether the request that is being received has a body too long to be held."""
-        return self.incoming is not None and self.incoming.flow is not None
+        """Whether the request that is being received has a body that is streamed."""
+        return self.incoming is not None and self.incoming.streamed_body is not None
 
     def should_keep_alive(self) -> bool:
         return self.parser is not None and self.parser.should_keep_alive()
 
     def accepts_chunked(self) -> bool:
-        """Whether the client understands an answer in chunks."""
+        """Whether the client supports chunked transfer coding (HTTP/1.1)."""
         return self.parser is not None and self.parser.get_http_version() != "1.0"
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the request that is due takes too long to arrive."""
+        """Whether the awaited request takes too long to arrive."""
         incoming = self.incoming
         if incoming is None or self.in_head:
             return self.deadlines.head_is_overdue(now)
-        if incoming.flow is None:
+        if incoming.streamed_body is None:
             return self.deadlines.body_is_overdue(now, len(incoming.body), paused=False)
-        return self.deadlines.body_is_overdue(now, incoming.flow.size, incoming.flow.paused)
+        return self.deadlines.body_is_overdue(now, incoming.streamed_body.size, incoming.streamed_body.paused)
 
     # The parser's callbacks
 
@@ -124,7 +121,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         assert self.incoming is not None
         if len(self.incoming.headers) < MAX_HEADERS:
-            self.incoming.headers.append((name, value.rstrip()))  # the parser leaves white space there
+            self.incoming.headers.append((name, value.rstrip()))  # the parser leaves trailing white space
         else:
             self.incoming.status = 431
 
@@ -132,9 +129,9 @@
         assert self.incoming is not None and self.parser is not None and self.handler is not None
         self.in_head = False
         self.deadlines.head_received(self.now)
-        expects = self.incoming.complete_head(self.parser.get_method(), self.head_size)
+        expects_continue = self.incoming.complete_head(self.parser.get_method(), self.head_size)
         self.head_size = 0
-        if expects:
+        if expects_continue:
             self.handler.continue_expected()
 
     def on_body(self, body: bytes) -> None:
@@ -143,22 +140,22 @@
         self.deadlines.body_received(self.now)
         if incoming.status:
             return
-        if incoming.flow is None and len(incoming.body) + len(body) > HELD_LIMIT:
-            self._begin_flow(incoming)
-        if incoming.flow is None:
+        if incoming.streamed_body is None and len(incoming.body) + len(body) > MAX_BUFFERED_BYTES:
+            self._begin_streaming(incoming)
+        if incoming.streamed_body is None:
             incoming.body += body
             return
-        incoming.flow.came(body)
-        if incoming.flow.size > BODY_MOST:
+        incoming.streamed_body.add(body)
+        if incoming.streamed_body.size > MAX_BODY_BYTES:
             incoming.status = 413
 
-    def _begin_flow(self, incoming: IncomingRequest) -> None:
-        """Pass the body on as it comes from here on."""
+    def _begin_streaming(self, incoming: IncomingRequest) -> None:
+        """Stream the body from here on."""
         assert self.handler is not None
-        incoming.flow = Body(self.handler, incoming.length)
-        held, incoming.body = bytes(incoming.body), bytearray()
-        if held:
-            incoming.flow.came(held)
+        incoming.streamed_body = StreamedBody(self.handler, incoming.length)
+        buffered, incoming.body = bytes(incoming.body), bytearray()
+        if buffered:
+            incoming.streamed_body.add(buffered)
 
     def on_message_complete(self) -> None:
         incoming, self.incoming = self.incoming, None
--- a/garnethaven/net/requests.py
+++ b/garnethaven/net/requests.py
@@ -6,33 +6,33 @@
 
 from garnethaven.engine.classes import Classes, key_of
 from garnethaven.net.exchange import Header
-from garnethaven.net.flow import BODY_MOST, Body
+from garnethaven.net.flow import MAX_BODY_BYTES, StreamedBody
 
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADERS = 128
-# Hop-by-hop headers, and those that this side sets itself.
+# Headers that are not forwarded: hop-by-hop headers, and those that the sidecar sets itself.
 DROPPED_HEADERS = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length"
     b" x-budget-ms proxy-authenticate proxy-authorization x-load-report".split()
 )
 # Headers that are forwarded even if `Connection` lists them: endpoints identify requests and retries by them.
-KEPT_HEADERS = frozenset(b"host x-call-id x-call-class x-caller idempotency-key".split())
+PRESERVED_HEADERS = frozenset(b"host x-call-id x-call-class x-caller idempotency-key".split())
 
 
 class IncomingRequest:
     """A request while it is received."""
 
-    __slots__ = ("body", "flow", "headers", "keep_alive", "length", "method", "status", "url")
+    __slots__ = ("body", "headers", "keep_alive", "length", "method", "status", "streamed_body", "url")
 
     def __init__(self) -> None:
         self.url = b""
         self.method = b""
         self.headers: list[Header] = []
-        self.length: int | None = None  # of the body in bytes, where the head states it
+        self.length: int | None = None  # of the body in bytes, if the head states it
         self.body = bytearray()
-        self.flow: Body | None = None  # a body that is too long to be buffered
+        self.streamed_body: StreamedBody | None = None  # a body that is too long to be buffered
         self.keep_alive = False
-        self.status = 0  # of the error answer that the request gets; 0: no error so far
+        self.status = 0  # of the error answer to the request; 0: no error so far
 
     def complete_head(self, method: bytes, head_size: int) -> bool:
         """Check the head, which has `head_size` bytes; returns whether the client waits for 100 Continue."""
@@ -40,18 +40,18 @@
         self.url = origin_form(self.url)
         if head_size > MAX_HEAD_BYTES and self.head_bytes() > MAX_HEAD_BYTES:
             self.status = 431
-        expects = False
+        expects_continue = False
         for name, value in self.headers:
             lower = name.lower()
             if lower == b"content-length":
                 self.length = int(value)
             elif lower == b"expect":
-                expects = value.lower() == b"100-continue"
+                expects_continue = value.lower() == b"100-continue"
         if method not in (b"GET", b"POST"):
             self.status = 501
-        if (self.length or 0) > BODY_MOST:
+        if (self.length or 0) > MAX_BODY_BYTES:
             self.status = 413
-        return expects and not self.status
+        return expects_continue and not self.status
 
     def head_bytes(self) -> int:
         return len(self.url) + sum(len(name) + len(value) + 4 for name, value in self.headers)
@@ -63,17 +63,17 @@
 
 
 def origin_form(url: bytes) -> bytes:
-    """A request target in origin form: path and query, without the scheme and host of the absolute form."""
+    """Convert a request target to origin form: the path and query, without the scheme and host."""
     if url[:7].lower() != b"http://":
         return url
     rest = url[7:]
-    at = min((i for i in (rest.find(b"/"), rest.find(b"?")) if i >= 0), default=len(rest))
-    return rest[at:] if rest[at : at + 1] == b"/" else b"/" + rest[at:]
+    start = min((i for i in (rest.find(b"/"), rest.find(b"?")) if i >= 0), default=len(rest))
+    return rest[start:] if rest[start : start + 1] == b"/" else b"/" + rest[start:]
 
 
 @dataclass(slots=True)
 class RequestHead:
-    """The parsed head of a request: what the engine needs, and the head that is forwarded.
+    """The parsed head of a request: the values that the engine needs, and the head that is forwarded.
 
     `caller` is the tenant's number, `tenant` its name as the client states it; `forwarded` is the forwarded
     head before and after the value of X-Budget-Ms.
@@ -90,10 +90,10 @@
     forwarded: tuple[bytes, bytes]
 
 
-def head_of(incoming: IncomingRequest, classes: Classes) -> RequestHead | None:
-    """The parsed head of a request, or None for one that lacks a required header.
+def parse_head(incoming: IncomingRequest, classes: Classes) -> RequestHead | None:
+    """Parse the head of a request; None if a required header is missing or invalid.
 
-    None also for a class that the settings don't define: endpoints would reject the request, and the
+    Also None for a class that the settings don't define: endpoints would reject the request, and the
     rejections would count against them.
     """
     call_id = class_name = caller = idempotency = budget = b""
@@ -117,7 +117,7 @@
         elif lower == b"x-again":
             is_retry = value == b"1"
         elif lower == b"connection" and value.lower() not in (b"keep-alive", b"close"):
-            dropped = dropped | {part.strip() for part in value.lower().split(b",")} - KEPT_HEADERS
+            dropped = dropped | {part.strip() for part in value.lower().split(b",")} - PRESERVED_HEADERS
         if lower not in dropped:
             forwarded += (name, b": ", value, b"\r\n")
     if not call_id or not budget.isdigit() or len(budget) > 12 or not int(budget):
@@ -142,9 +142,9 @@
 
 
 def _framing(incoming: IncomingRequest) -> bytes:
-    if incoming.flow is not None and incoming.flow.length is None:
+    if incoming.streamed_body is not None and incoming.streamed_body.length is None:
         return b"Transfer-Encoding: chunked\r\n"
-    length = incoming.flow.length if incoming.flow is not None else len(incoming.body)
+    length = incoming.streamed_body.length if incoming.streamed_body is not None else len(incoming.body)
     if length or incoming.method != b"GET":
         return b"Content-Length: %d\r\n" % (length or 0)
     return b""
--- a/garnethaven/net/response_writer.py
+++ b/garnethaven/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes the answers of one client's connection: their heads, and bodies whole or as they come."""
+"""Writes the answers to one client's connection: heads, and complete or streamed bodies."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 
 class BodyFraming(Enum):
-    """How a client can tell where the body of an answer ends."""
+    """How the end of an answer's body is marked for the client."""
 
     CONTENT_LENGTH = "content length"
     CHUNKED = "chunked"
     UNTIL_CLOSE = "until close"
 
 
-def framing_of(length: int | None, accepts_chunked: bool) -> BodyFraming:
-    """The framing of a body of so many bytes; None: not known before its end."""
+def choose_framing(length: int | None, accepts_chunked: bool) -> BodyFraming:
+    """The framing of a body of `length` bytes; None: the length is not known before its end."""
     if length is not None:
         return BodyFraming.CONTENT_LENGTH
     return BodyFraming.CHUNKED if accepts_chunked else BodyFraming.UNTIL_CLOSE
 
 
 def framing_header(framing: BodyFraming, length: int | None) -> bytes:
-    """The header field that states the framing, without its line end; empty where there is none."""
+    """The header field that states the framing, without its line end; empty if there is none."""
     if framing is BodyFraming.CONTENT_LENGTH:
         return b"Content-Length: %d" % (length or 0)
     return b"Transfer-Encoding: chunked" if framing is BodyFraming.CHUNKED else b""
 
 
 class ResponseWriter:
-    """One answer after another; the caller makes sure that the transport is open."""
+    """Writes one answer after another; the caller makes sure that the transport is open."""
 
     def __init__(self, transport: asyncio.WriteTransport) -> None:
         self.transport = transport
         self.framing = BodyFraming.CONTENT_LENGTH  # of the body that is being written
-        self.version_sent = False
+        self.version_sent = False  # whether the next answer's version has been written ahead of it
 
     def write_version(self) -> None:
-        """Begin the next answer, whatever it will be: all begin alike."""
+        """Write the start of the next answer, which is the same for all answers."""
         self.version_sent = True
         self.transport.write(VERSION)
 
     def write_answer(self, status: int, headers: list[Header], body: bytes, keep_alive: bool) -> None:
-        """Write an answer that is here as a whole."""
+        """Write a complete answer."""
         field = framing_header(BodyFraming.CONTENT_LENGTH, len(body))
         self.transport.write(self._head(status, headers, field, keep_alive) + body)
 
     def begin_body(
         self, headers: list[Header], framing: BodyFraming, length: int | None, keep_alive: bool
     ) -> None:
-        """Begin an answer with status 200 whose body follows by `write_body`."""
+        """Begin a streamed answer with status 200; its body follows by `write_body`."""
         self.framing = framing
         self.transport.write(self._head(200, headers, framing_header(framing, length), keep_alive))
 
@@ -65,7 +65,7 @@
             self.transport.write(LAST_CHUNK)
 
     def answer_ended(self) -> None:
-        """Make ready for the next answer."""
+        """Prepare for the next answer."""
         self.version_sent = False
         self.framing = BodyFraming.CONTENT_LENGTH
 
--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -1,18 +1,19 @@
 """When a connection that has carried an answer may carry the next request. No clock, no I/O; seconds.
 
-An endpoint may write a second answer some milliseconds behind a good one. HTTP/1.1 gives answers no id: on
-a connection that carries the next request by then, the second answer would be taken for that request's. A
-connection therefore rests before it is reused, and bytes that come while it rests condemn it.
+A faulty endpoint may write a second answer some milliseconds after a good one. HTTP/1.1 answers have no id:
+if the connection already carries the next request, the second answer would be taken for that request's. A
+connection therefore rests before it is reused, and is closed if bytes arrive while it rests.
 
 | connections that have rested for | are used | because |
 | --- | --- | --- |
-| less than the required rest | never | a second answer is likely still to come |
-| the required rest | if none has rested for longer | a new connection would cost more than it is worth |
-| the preferred rest | before the above | one of several connections costs nothing more than another |
-| the full rest | before the above, while the allowance lasts | few new connections are worth the caution |
-
-The required rest is `min_rest_s` until unasked bytes are seen anywhere in the pool: from then on it is twice
-the latest arrival seen, `MIN_PREFERRED_REST_S` at the least. It is forgotten after `MEMORY_S`.
+| less than the required rest | never | a second answer may still arrive |
+| the required rest | if none has rested for longer | a new connection would cost more than it gains |
+| the preferred rest | before the above | choosing among several idle connections costs nothing |
+| the full rest | before the above, while the allowance lasts | the safety is worth a few new connections |
+
+The required rest is `min_rest_s` until unsolicited bytes are seen on any connection of the pool; from then on
+it is twice the latest arrival seen, at least `MIN_PREFERRED_REST_S`. The arrival is forgotten after
+`MEMORY_S`.
 """
 
 from __future__ import annotations
@@ -20,87 +21,90 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-MIN_REST_S = 0.002  # before anything is known of the endpoints
+MIN_REST_S = 0.002  # until unsolicited bytes are seen
 MIN_PREFERRED_REST_S = 0.005
-# Of the usual answer's time: a connection that answers and then rests is taken for that much longer, so
-# the share bounds how many more connections stay open (benchmarks/reuse.py has the figures).
+# Of the mean answer time: each exchange occupies its connection for that much longer, so the share bounds how
+# many more connections stay open (benchmarks/reuse.py has the figures).
 PREFERRED_REST_SHARE = 0.15
 FULL_REST_SHARE = 0.01  # of the time after which endpoints close idle connections
-DEFAULT_FULL_REST_S = 0.1  # where that time is not known
-ARRIVAL_FACTOR = 2.0  # the latest of a few arrivals is about half of the latest possible
+DEFAULT_FULL_REST_S = 0.1  # if that time is not known
+ARRIVAL_FACTOR = 2.0  # the latest of a few observed arrivals is about half of the latest possible
 MEMORY_S = 600.0
-ANSWERS_SMOOTHED = 32
-# New connections beyond those that are needed: so many at first, and so many for each that is needed.
+ANSWER_TIME_SAMPLES = 32  # 1/32 is the smoothing factor of the mean answer time
+# The allowance counts connections that may be opened although an idle one could be reused. It starts with
+# INITIAL_ALLOWANCE and grows by ALLOWANCE_SHARE for each connection that is opened.
 INITIAL_ALLOWANCE = 2.0
 MAX_ALLOWANCE = 8.0
 ALLOWANCE_SHARE = 0.03
 
 
-class Resting(Protocol):
+class IdleConnection(Protocol):
     """An idle connection."""
 
     idle_since: float
 
 
 class ReusePolicy:
-    """What one pool of connections has learned of its endpoints; a few figures, whatever their number."""
+    """Decides for one pool which idle connection to reuse; its state is constant in size."""
 
     __slots__ = ("allowance", "answer_s", "full_rest_s", "latest_arrival_s", "min_rest_s", "unasked_at")
 
     def __init__(self, idle_timeout_s: float, min_rest_s: float = MIN_REST_S) -> None:
-        """`idle_timeout_s` is when endpoints close idle connections (0: not known).
+        """`idle_timeout_s` is the time after which endpoints close idle connections (0: not known).
 
-        With a `min_rest_s` of 0 every connection is reused at once, whatever has been seen.
+        With a `min_rest_s` of 0 every connection is reused at once, even after unsolicited bytes.
         """
         self.min_rest_s = min_rest_s
         self.full_rest_s = idle_timeout_s * FULL_REST_SHARE if idle_timeout_s > 0.0 else DEFAULT_FULL_REST_S
-        self.answer_s = 0.0  # the usual time from a request's writing to the end of its answer
+        self.answer_s = 0.0  # EWMA of the time from writing a request to the end of its answer
         self.allowance = INITIAL_ALLOWANCE
-        self.unasked_at: float | None = None  # when unasked bytes were seen last
-        self.latest_arrival_s = 0.0  # of unasked bytes, after the answer before them
+        self.unasked_at: float | None = None  # when unsolicited bytes were last seen
+        self.latest_arrival_s = 0.0  # longest delay of unsolicited bytes after the answer before them
 
-    # What happens
+    # Events
 
     def answered(self, took_s: float) -> None:
-        """A request that was written `took_s` ago has its whole answer."""
-        self.answer_s += (took_s - self.answer_s) / (ANSWERS_SMOOTHED if self.answer_s else 1)
+        """Record that an answer was completed `took_s` after its request was written."""
+        self.answer_s += (took_s - self.answer_s) / (ANSWER_TIME_SAMPLES if self.answer_s else 1)
 
     def opened(self) -> None:
-        """A connection is being opened."""
+        """Record that a connection is being opened."""
         self.allowance = min(MAX_ALLOWANCE, self.allowance + ALLOWANCE_SHARE)
 
     def unasked(self, now: float, after_s: float) -> None:
-        """Bytes that belong to no request came `after_s` after the answer before them.
+        """Record unsolicited bytes that were received `after_s` after the answer before them.
 
-        What comes later than the full rest is no second answer, but a notice before a close, for example.
+        Bytes later than the full rest are ignored: they are no second answer, but a notice before a close,
+        for example.
         """
         if after_s > self.full_rest_s:
             return
-        if not self._remembers(now):
+        if not self._is_recent(now):
             self.latest_arrival_s = 0.0
         self.unasked_at = now
         self.latest_arrival_s = max(self.latest_arrival_s, after_s)
 
-    def _remembers(self, now: float) -> bool:
+    def _is_recent(self, now: float) -> bool:
         return self.unasked_at is not None and now - self.unasked_at <= MEMORY_S
 
-    # What follows
+    # Decisions
 
     def required_rest_s(self, now: float) -> float:
-        """How long a connection has to rest before it may be reused at all."""
-        if not self.min_rest_s or not self._remembers(now):
+        """How long a connection must rest before it may be reused."""
+        if not self.min_rest_s or not self._is_recent(now):
             return self.min_rest_s
-        learned = max(MIN_PREFERRED_REST_S, ARRIVAL_FACTOR * self.latest_arrival_s)
-        return max(self.min_rest_s, min(self.full_rest_s, learned))
+        measured_s = max(MIN_PREFERRED_REST_S, ARRIVAL_FACTOR * self.latest_arrival_s)
+        return max(self.min_rest_s, min(self.full_rest_s, measured_s))
 
     def preferred_rest_s(self) -> float:
-        """How long a connection should have rested where there is a choice."""
+        """How long a connection should have rested if there is a choice."""
         return min(self.full_rest_s, max(MIN_PREFERRED_REST_S, PREFERRED_REST_SHARE * self.answer_s))
 
-    def pick(self, now: float, idle: Sequence[Resting], may_open: Callable[[], bool]) -> int | None:
+    def pick(self, now: float, idle: Sequence[IdleConnection], may_open: Callable[[], bool]) -> int | None:
         """The index of the connection to reuse, or None for a new one.
 
-        `idle` holds the freshest last; `may_open` tells whether one may be opened that is not needed.
+        `idle` is ordered, the freshest last; `may_open` returns whether a new connection may be opened
+        although an idle one could be reused.
         """
         if not idle:
             return None
@@ -117,8 +121,8 @@
         self.allowance -= 1.0
         return None
 
-    def _cheapest(self, now: float, idle: Sequence[Resting]) -> int | None:
-        """The index of the connection to reuse where no new one is affordable; None if none has rested."""
+    def _cheapest(self, now: float, idle: Sequence[IdleConnection]) -> int | None:
+        """The index of the connection to reuse if none may be opened; None if no connection has rested."""
         required = self.required_rest_s(now)
         preferred = _freshest(now, idle, max(required, self.preferred_rest_s()))
         if preferred is not None:
@@ -126,8 +130,8 @@
         return 0 if now - idle[0].idle_since >= required else None
 
 
-def _freshest(now: float, idle: Sequence[Resting], rest_s: float) -> int | None:
-    """The index of the freshest connection that has rested for so long."""
+def _freshest(now: float, idle: Sequence[IdleConnection], rest_s: float) -> int | None:
+    """The index of the freshest connection that has rested for `rest_s`; None if there is none."""
     for index in range(len(idle) - 1, -1, -1):
         if now - idle[index].idle_since >= rest_s:
             return index
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 transport: attempts as exchanges with endpoints, probes, and the endpoints' addresses."""
+"""The HTTP/1.1 transport: sends attempts and probes to endpoints, and holds the endpoints' addresses."""
 
 from __future__ import annotations
 
@@ -27,49 +27,52 @@
 )
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.exchange import Answer, Exchange
-from garnethaven.net.flow import Body
+from garnethaven.net.flow import StreamedBody
 from garnethaven.net.upstream import Pool, Target
 
-PROBE_LIMIT = S
+PROBE_TIMEOUT = S
 MakePool = Callable[[asyncio.AbstractEventLoop, Callable[[], int], float, AnswerMemory], Pool]
-REPORT_NAMES = {"active": "inflight", "waiting": "queue", "cpu": "util"}  # the module's names, on sockets
-REPORT_NAMES |= {"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
+# Fields of a load report: the name in the settings, and the name that an endpoint may use instead.
+ALTERNATIVE_REPORT_NAMES = {"active": "inflight", "waiting": "queue", "cpu": "util"}
+ALTERNATIVE_REPORT_NAMES |= {"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
 
 
-class Served(Protocol):
-    """A client that takes an endpoint's answer."""
+class AnswerReceiver(Protocol):
+    """The client's side of a call, which takes an endpoint's answer whole or streamed."""
 
     def has_left(self) -> bool: ...
-    def served(self, answer: Answer) -> None: ...
-    def began(self, attempt: HttpAttempt, answer: Answer) -> None: ...
-    def more(self, data: bytes) -> None: ...
-    def ended(self) -> None: ...
-    def broke(self) -> None: ...
+    def send_answer(self, answer: Answer) -> None: ...
+    def begin_answer(self, attempt: HttpAttempt, answer: Answer) -> None: ...
+    def send_body(self, data: bytes) -> None: ...
+    def end_answer(self) -> None: ...
+    def abort_answer(self) -> None: ...
 
 
 class HttpRequest:
-    """What this transport needs of a call: its head around the value of X-Budget-Ms, and its body."""
+    """The request of a call: its head, split around the value of X-Budget-Ms, and its body."""
 
-    __slots__ = ("after", "before", "body", "client")
+    __slots__ = ("body", "client", "head_after_budget", "head_before_budget")
 
-    def __init__(self, client: Served, head: tuple[bytes, bytes], body: bytes | bytearray | Body) -> None:
+    def __init__(
+        self, client: AnswerReceiver, head: tuple[bytes, bytes], body: bytes | bytearray | StreamedBody
+    ) -> None:
         self.client = client
-        self.before, self.after = head
+        self.head_before_budget, self.head_after_budget = head
         self.body = body
 
 
 class HttpAttempt(Exchange):
-    """One try of a call at one endpoint; the engine's `Attempt`."""
+    """One attempt of a call at one endpoint; the engine's `Attempt`."""
 
     def __init__(self, transport: HttpTransport, call: Call, endpoint: int, limit: int, now: int) -> None:
         request: HttpRequest = call.request
         super().__init__(())
         self.request = request
-        if isinstance(request.body, Body):
+        if isinstance(request.body, StreamedBody):
             self.body = request.body
         self.transport = transport
         self.call = call
-        self.client: Served = request.client
+        self.client: AnswerReceiver = request.client
         self.endpoint = endpoint
         self.number = len(call.attempts)
         self.sent_at = now
@@ -78,15 +81,19 @@
         self.careful = transport.engine.settings.grades[call.grade].effect is Effect.FRAGILE
 
     def message(self) -> tuple[bytes | bytearray, ...]:
-        """Head and body; the time that the endpoint is told of is what is left now, after any dial.
+        """Head and body; X-Budget-Ms states the time that is left now, after any dial.
 
-        Where the body is still to come, the client's time has not begun.
+        While the body is being received, the client's time has not begun; the budget bounds the value.
         """
         now = time.monotonic_ns()
-        left = min(self.ends_at - now, self.call.deadline - now, self.call.budget)
-        head = b"%s%d%s" % (self.request.before, max(1, left // MS), self.request.after)
+        left_ns = min(self.ends_at - now, self.call.deadline - now, self.call.budget)
+        head = b"%s%d%s" % (
+            self.request.head_before_budget,
+            max(1, left_ns // MS),
+            self.request.head_after_budget,
+        )
         body = self.request.body
-        if isinstance(body, Body):
+        if isinstance(body, StreamedBody):
             return (head,)
         return (head + body,) if len(body) <= len(head) else (head, body)
 
@@ -96,7 +103,7 @@
             transport.engine.left(self.call)
             return
         target = transport.targets.get(self.endpoint)
-        self.skipped = self.body is not None and self.body.lost  # it can't be sent again
+        self.skipped = self.body is not None and self.body.lost  # the body can't be sent again
         if target is not None and target.would_dial():
             self.skipped = self.skipped or not transport.may_dial(self.endpoint)
         if target is None or self.skipped:
@@ -110,42 +117,42 @@
         return takes_new and time.monotonic_ns() < self.ends_at and not self.client.has_left()
 
     def patience_s(self) -> float:
-        """An equal part of the time that is left for each attempt that is left."""
+        """The remaining time, divided equally among the remaining attempts."""
         attempts = max(1, self.transport.settings.max_attempts - self.number)
         return max(0, self.ends_at - time.monotonic_ns()) / attempts / S
 
-    def may_open_spare(self) -> bool:
+    def may_open_extra(self) -> bool:
         return self.transport.is_warm(self.endpoint)
 
-    def went_out(self) -> None:
+    def request_written(self) -> None:
         self.transport.engine.account.attempts += 1
 
     def answered(self, answer: Answer) -> None:
         outcome = outcome_of(answer.status, answer.header(b"x-rejected") == b"1")
         engine, report = self.transport.engine, self.transport.report(answer)
         if self.call.bound is self:
-            engine.attempt_ended(self, outcome, report, self.client.ended)
+            engine.attempt_ended(self, outcome, report, self.client.end_answer)
         elif outcome is Outcome.DONE and not self.call.answered:
-            engine.attempt_ended(self, outcome, report, lambda: self.client.served(answer))
+            engine.attempt_ended(self, outcome, report, lambda: self.client.send_answer(answer))
         else:
             engine.attempt_ended(self, outcome, report)
 
     def broken(self, written: bool) -> None:
-        lost = Outcome.STALE if self.stale else Outcome.RESET
-        never = Outcome.SKIPPED if self.skipped else Outcome.CONNECT_FAILED
-        say = self.client.broke if self.call.bound is self else None
-        self.transport.engine.attempt_ended(self, lost if written else never, say=say)
+        if_written = Outcome.STALE if self.stale else Outcome.RESET
+        if_unwritten = Outcome.SKIPPED if self.skipped else Outcome.CONNECT_FAILED
+        notify = self.client.abort_answer if self.call.bound is self else None
+        self.transport.engine.attempt_ended(self, if_written if written else if_unwritten, say=notify)
 
-    # An answer too long to be held
+    # Streamed answers
 
-    def begins(self, answer: Answer) -> bool:
+    def begin_streaming(self, answer: Answer) -> bool:
         if not self.transport.engine.began(self):
             return False
-        self.client.began(self, answer)
+        self.client.begin_answer(self, answer)
         return True
 
-    def more(self, data: bytes) -> None:
-        self.client.more(data)
+    def body_received(self, data: bytes) -> None:
+        self.client.send_body(data)
 
     def pause(self) -> None:
         if self.connection is not None:
@@ -171,7 +178,7 @@
 
 
 class HttpTransport:
-    """Carries attempts over pooled connections; knows where endpoints are. The engine's prober."""
+    """Sends attempts over pooled connections, and holds the endpoints' addresses. The engine's prober."""
 
     def __init__(
         self,
@@ -186,7 +193,7 @@
         self.settings = settings
         self.pool = make_pool(loop, connections, settings.conn_idle / S, AnswerMemory(memory_mb))
         self.targets: dict[int, Target] = {}
-        self.out: set[int] = set()  # by hand: these take nothing new, whatever the list says
+        self.cordoned: set[int] = set()  # cordoned by an operator: get nothing new, whatever the list says
         self.pool.targets = self.targets.values
         self.dial_timeout = (settings.dial_timeout or S) / S
         engine.prober = self
@@ -195,7 +202,7 @@
         return HttpAttempt(self, call, action.endpoint, limit, now)
 
     def may_dial(self, endpoint: int) -> bool:
-        """Whether a connection may be opened there now: dials to one that has just started are bounded."""
+        """Whether a connection may be opened now: dials to a cold server are rate-limited."""
         spending = self.engine.spending
         if spending is None or self.is_warm(endpoint):
             return True
@@ -207,17 +214,19 @@
     # Load reports
 
     def report(self, answer: Answer) -> tuple[float, ...]:
-        """The load report that an answer carries, where the settings name its fields."""
+        """The values of an answer's load report, in the order of the settings' fields; empty if none."""
         text = answer.header(b"x-load-report") if self.settings.report_fields else None
         return self._read_report(text) if text else ()
 
     def _read_report(self, text: bytes) -> tuple[float, ...]:
         try:
-            told = json.loads(text)
+            values = json.loads(text)
             fields = self.settings.report_fields
-            return tuple(float(told.get(name, told.get(REPORT_NAMES.get(name)))) for name in fields)
+            return tuple(
+                float(values.get(name, values.get(ALTERNATIVE_REPORT_NAMES.get(name)))) for name in fields
+            )
         except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
-            return ()  # whatever it holds, the answer that carried it stays good
+            return ()  # an unreadable report does not invalidate the answer that carried it
 
     # Probes and idle connections
 
@@ -229,7 +238,7 @@
             probe.over = True
             probe.broken(written=False)
             return
-        self.engine.at(probe.sent_at + PROBE_LIMIT, self._probe_time_out, probe)
+        self.engine.at(probe.sent_at + PROBE_TIMEOUT, self._probe_time_out, probe)
         target.start(probe, self.dial_timeout)
 
     def _probe_time_out(self, probe: ProbeCall) -> None:
@@ -252,40 +261,44 @@
     # Membership
 
     def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Address | None]]) -> None:
-        """Take in a list: addresses stay here, the rest is the module's."""
+        """Apply a list of endpoints: addresses are kept here, the rest goes to the decision module."""
         for entry, address in entries:
             if entry.state is not State.REMOVED:
-                self._learn_target(entry, address)
-        told = {entry.id: entry.state for entry, _ in entries}
+                self._update_target(entry, address)
+        states = {entry.id: entry.state for entry, _ in entries}
         if kind is not ListKind.DELTA:
-            told = dict.fromkeys(self.targets, State.REMOVED) | told
-        stopped = [known for known, state in told.items() if state is not State.UP and known in self.targets]
+            states = dict.fromkeys(self.targets, State.REMOVED) | states
+        stopped = [
+            endpoint
+            for endpoint, state in states.items()
+            if state is not State.UP and endpoint in self.targets
+        ]
         self.engine.post(Membership(kind, tuple(entry for entry, _ in entries)))
-        # After the module knows, for it is asked for another endpoint at once.
-        for known in stopped:
-            target = self.targets[known]
-            if told[known] is State.REMOVED:
-                del self.targets[known]
-                target.move(None)  # what is still in use there is closed when it comes back
+        # After the module has the list: stopping an exchange asks it at once for another endpoint.
+        for endpoint in stopped:
+            target = self.targets[endpoint]
+            if states[endpoint] is State.REMOVED:
+                del self.targets[endpoint]
+                target.move(None)  # connections in use are closed when they are released
             target.stop()
 
-    def by_hand(self, endpoint: int, out: bool) -> None:
-        """An operator takes an endpoint out or puts it back; what it works on ends as ever."""
-        (self.out.add if out else self.out.discard)(endpoint)
-        self.engine.post(ByHand(endpoint, out))
+    def by_hand(self, endpoint: int, cordoned: bool) -> None:
+        """Cordon or uncordon an endpoint for an operator; exchanges in progress continue."""
+        (self.cordoned.add if cordoned else self.cordoned.discard)(endpoint)
+        self.engine.post(ByHand(endpoint, cordoned))
         target = self.targets.get(endpoint)
         if target is None:
             return
-        target.stop()  # also where it comes back: what is idle leads to the process that has gone
-        if not out:
+        target.stop()  # also when uncordoned: idle connections lead to the process before
+        if not cordoned:
             target.move(target.address)
 
-    def _learn_target(self, entry: Endpoint, address: Address | None) -> None:
+    def _update_target(self, entry: Endpoint, address: Address | None) -> None:
         target = self.targets.get(entry.id)
         if target is None:
             target = self.targets[entry.id] = self.pool.target(entry.id, address)
         else:
             target.move(address)
         target.began(entry.started)
-        if entry.id in self.out:
+        if entry.id in self.cordoned:
             target.stop()
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints and to discovery, kept for the next exchange: one target's and all together."""
+"""Connections to endpoints and to discovery: a target with its idle connections, and the pool of all."""
 
 from __future__ import annotations
 
@@ -12,12 +12,17 @@
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.connection import Connection
 from garnethaven.net.exchange import Exchange
-from garnethaven.net.flow import RECEIVE_BUFFER
-from garnethaven.net.own_failures import FIRST_PAUSE_SECONDS, blames_server, is_own, next_pause
+from garnethaven.net.flow import RECEIVE_BUFFER_BYTES
+from garnethaven.net.own_failures import (
+    FIRST_PAUSE_SECONDS,
+    counts_against_server,
+    is_local_failure,
+    next_pause,
+)
 from garnethaven.net.reuse import ReusePolicy
 
-SWEEPS = 20  # the idle pool is looked through this many times in an idle time
-KEEP_SHARE = 0.85  # of the idle time: a request must not cross the endpoint's own closing
+SWEEPS_PER_IDLE_TIME = 20  # how often idle connections are checked in one `idle_s`
+MAX_IDLE_SHARE = 0.85  # of `idle_s`: a request must not cross the endpoint's own close of the connection
 
 
 class Target:
@@ -25,21 +30,21 @@
 
     def __init__(self, pool: Pool, address: Address | None) -> None:
         self.pool = pool
-        self.address = address  # None: nothing may be sent there (any more)
-        self.idle: list[Connection] = []  # the freshest last; no deque: an empty one takes 0.7 KB
+        self.address = address  # None: no request may be sent
+        self.idle: list[Connection] = []  # the freshest last; no deque, since an empty one takes 0.7 KB
         self.waiting: set[Exchange] = set()
-        self.started = 0  # when its process started, as far as it is told
-        self.anew_at = 0  # when that was told
+        self.process_started_at = 0  # as the list of members states it, in local nanoseconds; 0: long ago
+        self.restart_seen_at = 0  # when `process_started_at` last changed, in local nanoseconds
 
     def start(self, exchange: Exchange, dial_timeout: float) -> None:
-        """Carry the exchange on an idle connection, or else on a new one."""
+        """Start the exchange on an idle connection, or else on a new one."""
         connection = self._take_idle(exchange)
         if connection is not None:
             connection.carry(exchange)
             return
         if self.address is None or not self.pool.has_room():
             exchange.over = True
-            exchange.skipped = exchange.skipped or self.address is not None  # no fault of the endpoint's
+            exchange.skipped = exchange.skipped or self.address is not None  # not the endpoint's failure
             exchange.broken(written=False)
             return
         self.waiting.add(exchange)
@@ -48,25 +53,27 @@
         dial = self.pool.loop.create_task(self._dial(exchange, self.address, dial_timeout))
         exchange.dial = dial
 
-        def dialled(_: asyncio.Task[None]) -> None:  # also when cancelled before its first step
+        def dialled(
+            _: asyncio.Task[None],
+        ) -> None:  # also called if the task is cancelled before its first step
             self.waiting.discard(exchange)
             self.pool.dials.discard(exchange)
 
         dial.add_done_callback(dialled)
 
     def would_dial(self) -> bool:
-        """Whether an exchange that starts now most likely needs a new connection."""
+        """Whether an exchange that starts now probably needs a new connection."""
         if not self.idle:
             return True
         now = self.pool.loop.time()
         return now - self.idle[0].idle_since < self.pool.reuse.required_rest_s(now)
 
     def _take_idle(self, exchange: Exchange) -> Connection | None:
-        """The idle connection to reuse for it, if one is still good and has rested."""
+        """Take an idle connection to reuse for the exchange, if one is usable and has rested."""
         now, expired = self.pool.loop.time(), self.pool.expired()
 
         def may_open() -> bool:
-            return self.pool.held() < self.pool.limit() and exchange.may_open_spare()
+            return self.pool.held() < self.pool.limit() and exchange.may_open_extra()
 
         while (index := self.pool.reuse.pick(now, self.idle, may_open)) is not None:
             connection = self.idle[index]
@@ -80,7 +87,7 @@
         connection: Connection | None = None
         began = time.monotonic_ns()
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            connection = await self._connect_despite_failures(exchange, address, dial_timeout)
+            connection = await self._connect_with_retries(exchange, address, dial_timeout)
         if connection is not None and not connection.transport.is_closing():
             self.pool.connections.add(connection)
         self.pool.dials.discard(exchange)
@@ -93,25 +100,26 @@
             exchange.over = True
             exchange.refused = not exchange.skipped
             exchange.broken(written=False)
-        elif address != self.address or began < self.anew_at or not exchange.may_begin():
-            # The dial took its time, and what was decided before it holds no more: the server has moved,
-            # drained or started anew, or the request's time is over.
+        elif address != self.address or began < self.restart_seen_at or not exchange.may_begin():
+            # The decision to dial is outdated: meanwhile the server has moved, drained or restarted, or the
+            # request's time is over.
             self.release(connection)
             exchange.over = exchange.skipped = True
             exchange.broken(written=False)
         else:
             connection.carry(exchange)
 
-    async def _connect_despite_failures(
+    async def _connect_with_retries(
         self, exchange: Exchange, address: Address, dial_timeout: float
     ) -> Connection:
-        """A new connection, or one that came free while calls of this machine's own failed.
+        """Return a new connection, or one that became idle while connects failed for local reasons.
 
-        `dial_timeout` seconds are the server's for one dial. Raises OSError where it gave no connection, or
-        where this machine's own failures outlast the exchange's patience; that one is `skipped` then.
+        One connect has `dial_timeout` seconds. Raises OSError if the server accepts no connection, or if
+        local failures (own_failures.py) last longer than the exchange may wait; the exchange is then marked
+        as `skipped`, unless the failure counts against the server.
         """
         loop = self.pool.loop
-        patient_until = loop.time() + max(dial_timeout, exchange.patience_s())
+        retry_until = loop.time() + max(dial_timeout, exchange.patience_s())
         pause_s = FIRST_PAUSE_SECONDS
         while True:
             exchange.hindered = False
@@ -119,11 +127,11 @@
                 async with asyncio.timeout(dial_timeout):
                     return await self._connect(address)
             except OSError as problem:
-                if not is_own(problem):
+                if not is_local_failure(problem):
                     raise
                 exchange.hindered = True
-                if loop.time() + pause_s > patient_until:
-                    exchange.skipped = not blames_server(problem)
+                if loop.time() + pause_s > retry_until:
+                    exchange.skipped = not counts_against_server(problem)
                     raise
             await asyncio.sleep(pause_s)
             pause_s = next_pause(pause_s)
@@ -132,10 +140,10 @@
                 return connection
 
     def prepare(self, sock: socket.socket) -> None:
-        """Set further options of a socket before it connects."""
+        """Set further options of a socket before it connects; overridden by subclasses."""
 
     def made(self, address: Address, sock: socket.socket) -> Connection:
-        """The connection of a socket that has come up."""
+        """Create the connection object for a connected socket."""
         return Connection(self, address, sock)
 
     async def _connect(self, address: Address) -> Connection:
@@ -144,7 +152,7 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self.prepare(sock)
             await loop.sock_connect(sock, address)
             _, connection = await loop.create_connection(lambda: self.made(address, sock), sock=sock)
@@ -154,9 +162,9 @@
         return connection
 
     def release(self, connection: Connection) -> None:
-        """Keep the connection for the next exchange, unless the target has moved or is gone.
+        """Keep the connection for the next exchange, unless the target has moved or was removed.
 
-        The sweep passes over listed targets only: what came back to another would never be closed.
+        The sweep covers listed targets only: a connection released to a removed one would never be closed.
         """
         if connection.address != self.address:
             connection.drop()
@@ -171,7 +179,7 @@
             self.idle.remove(connection)
 
     def move(self, address: Address | None) -> None:
-        """The endpoint has another address, or none any more: what is idle leads to the old one."""
+        """Set the endpoint's address (None: removed); closes idle connections, which lead to the old one."""
         if address != self.address:
             self.address = address
             self.close_idle()
@@ -183,19 +191,20 @@
                 connection.drop()
 
     def began(self, started: int) -> None:
-        """The endpoint's process started then (local nanoseconds; 0: long ago)."""
-        if started != self.started:  # by this side's clock: two clocks that differ would stop all dials
-            self.started, self.anew_at = started, time.monotonic_ns()
+        """Set when the endpoint's process started (local nanoseconds; 0: long ago)."""
+        if started != self.process_started_at:
+            # By the local clock: with the remote one, a clock difference could stop all dials.
+            self.process_started_at, self.restart_seen_at = started, time.monotonic_ns()
         if started:
-            self.close_idle(opened_before=started)  # they lead to a process that is gone
+            self.close_idle(opened_before=started)  # they lead to a process that has ended
 
     def stop(self) -> None:
-        """Nothing new may reach the endpoint; what it works on goes on."""
+        """Send nothing new to the endpoint; exchanges in progress continue."""
         self.close_idle()
         self.abandon_waiting()
 
     def abandon_waiting(self) -> None:
-        """End what has not been written: nothing new may reach an endpoint that drains or is gone."""
+        """Fail the exchanges that wait for a connection: the endpoint drains or was removed."""
         for exchange in list(self.waiting):
             if not exchange.over:
                 exchange.give_up()
@@ -203,7 +212,7 @@
 
 
 class Pool:
-    """All targets' connections together, under one limit of descriptors."""
+    """The connections of all targets, under one limit of descriptors."""
 
     def __init__(
         self,
@@ -213,10 +222,10 @@
         memory: AnswerMemory,
     ) -> None:
         self.loop = loop
-        self.limit = limit  # the most connections just now
+        self.limit = limit  # returns the current maximum number of connections
         self.memory = memory
         self.connections: set[Connection] = set()
-        self.dials: set[object] = set()  # each may become a connection
+        self.dials: set[object] = set()  # dials in progress; each may become a connection
         self.idle_s = idle_s
         self.reuse = ReusePolicy(idle_s)
         self.targets: Callable[[], Iterable[Target]] = tuple
@@ -224,7 +233,7 @@
 
     @property
     def settle_s(self) -> float:
-        """The shortest rest before a connection is reused; 0: all are reused at once."""
+        """Seconds for which a connection rests at least before it is reused; 0: it is reused at once."""
         return self.reuse.min_rest_s
 
     @settle_s.setter
@@ -232,35 +241,35 @@
         self.reuse.min_rest_s = seconds
 
     def target(self, endpoint: int, address: Address | None) -> Target:
-        """What leads to one endpoint."""
+        """Create the target of one endpoint."""
         return Target(self, address)
 
     def has_room(self) -> bool:
-        """Whether one more connection may be opened, if need be in place of the longest idle one."""
+        """Whether one more connection may be opened; at the limit, closes the longest idle one for it."""
         return self.held() < self.limit() or self.close_oldest_idle()
 
     def held(self) -> int:
         return len(self.connections) + len(self.dials)
 
     def close_oldest_idle(self) -> bool:
-        holders = [target for target in self.targets() if target.idle]
-        if not holders:
+        candidates = [target for target in self.targets() if target.idle]
+        if not candidates:
             return False
-        holder = min(holders, key=lambda target: target.idle[0].idle_since)
-        holder.idle.pop(0).drop()
+        oldest = min(candidates, key=lambda target: target.idle[0].idle_since)
+        oldest.idle.pop(0).drop()
         return True
 
     def expired(self) -> float:
-        """What has been idle since then or longer is not used again."""
-        return self.loop.time() - self.idle_s * KEEP_SHARE if self.idle_s > 0 else 0.0
+        """The time on the loop's clock; connections that are idle since then or longer are not reused."""
+        return self.loop.time() - self.idle_s * MAX_IDLE_SHARE if self.idle_s > 0 else 0.0
 
     def watch_idle(self) -> None:
         if not self.sweeping and self.idle_s > 0:
             self.sweeping = True
-            self.loop.call_later(self.idle_s / SWEEPS, self._sweep)
+            self.loop.call_later(self.idle_s / SWEEPS_PER_IDLE_TIME, self._sweep)
 
     def _sweep(self) -> None:
-        """Retire connections that the endpoint may be about to close."""
+        """Close idle connections that the endpoint may be about to close."""
         self.sweeping = False
         expired = self.expired()
         for target in self.targets():
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -14,7 +14,7 @@
 
 from garnethaven.engine.engine import Engine
 from garnethaven.net.connection import Connection
-from garnethaven.net.own_failures import NO_PATH
+from garnethaven.net.own_failures import NO_ROUTE
 from garnethaven.net.upstream import Target
 from tests.loopback import ANSWER, request, run, running, says, until
 
@@ -54,7 +54,7 @@
             connects.fails = False
             assert (await asked) == (200, b"hello")
             servers = sidecar.engine.balancer.servers.values()
-            assert code in NO_PATH or all(not server.errors for server in servers)
+            assert code in NO_ROUTE or all(not server.errors for server in servers)
 
     run(case())
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,7 +10,7 @@
 from standins.platform import Program, settings
 from standins.ports import PORTS
 from tests.loopback import Lists, run
-from tests.test_flow import Server, head_of, parts
+from tests.test_flow import Server, parts, read_head
 
 MB = 1024 * 1024
 LONG = 32 * MB
@@ -63,7 +63,7 @@
     writer.write(f"POST /api HTTP/1.1\r\nHost: t\r\n{lines}\r\n".encode())
     if up:
         await write_long(writer)
-    head = await head_of(reader)
+    head = await read_head(reader)
     assert " 200 " in head[""]
     found = await reader.readexactly(64) if up else await digest(reader, head)
     writer.close()
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -12,7 +12,7 @@
 
 from garnethaven.engine.account import End
 from garnethaven.net import request_deadlines
-from garnethaven.net.flow import FLOW_COST, KEPT, RECEIVE_BUFFER
+from garnethaven.net.flow import RECEIVE_BUFFER_BYTES, REPLAY_BUFFER_BYTES, STREAM_MEMORY_BYTES
 from tests.loopback import ANSWER, Sidecar, request, run, running, says, until
 
 MB = 1024 * 1024
@@ -21,7 +21,7 @@
 BODY = random.Random(5).randbytes(3 * MB + 17)
 
 
-async def head_of(reader: asyncio.StreamReader) -> dict[str, str]:
+async def read_head(reader: asyncio.StreamReader) -> dict[str, str]:
     """The fields of a head, by lower-case name; its first line under ''."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = (line.partition(":") for line in lines[1:] if line)
@@ -62,7 +62,7 @@
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                self.head = await head_of(reader)
+                self.head = await read_head(reader)
                 self.begun.append(self.head)
                 await self.serve(reader, writer, self)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -114,7 +114,7 @@
 
 
 async def told(reader: asyncio.StreamReader) -> tuple[int, bytes]:
-    head = await head_of(reader)
+    head = await read_head(reader)
     body = b"".join([part async for part in parts(reader, head)])
     return int(head[""].split()[1]), body
 
@@ -154,14 +154,14 @@
         writer.write(request())
         assert await told(reader) == (200, BODY)
         writer.write(request(X_Call_Id="c2").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-        head = await head_of(reader)
+        head = await read_head(reader)
         assert ("transfer-encoding" in head) is False
         assert b"".join([part async for part in parts(reader, head)]) == BODY
 
     run(case())
 
 
-@pytest.mark.parametrize("cut", [1024, KEPT, 2 * MB])
+@pytest.mark.parametrize("cut", [1024, REPLAY_BUFFER_BYTES, 2 * MB])
 def test_an_answer_that_breaks_off_is_repeated_while_it_is_held_and_told_after(cut: int) -> None:
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(BODY, 512)
 
@@ -169,7 +169,7 @@
         sidecar, servers = await before(tells(answer, cut), tells(answer, cut))
         reader, writer = await sidecar.connect()
         writer.write(request())
-        if cut > KEPT:
+        if cut > REPLAY_BUFFER_BYTES:
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await told(reader)  # there is no end to it
             assert sum(len(server.begun) for server in servers) == 1
@@ -193,13 +193,13 @@
         sidecar, servers = await before(turns_away, reads)
         for number in range(4):
             reader, writer = await sidecar.connect()
-            writer.write(upload(2 * KEPT, X_Call_Id=f"c{number}") + BODY[:1500])
+            writer.write(upload(2 * REPLAY_BUFFER_BYTES, X_Call_Id=f"c{number}") + BODY[:1500])
             await asyncio.sleep(0.05)
-            writer.write(BODY[1500 : 2 * KEPT])
+            writer.write(BODY[1500 : 2 * REPLAY_BUFFER_BYTES])
             status, _ = await told(reader)
             assert status in (200, 503)  # what was passed on beyond the bound can't be sent again
             writer.close()
-        assert all(body == BODY[: 2 * KEPT] for body in servers[1].bodies)
+        assert all(body == BODY[: 2 * REPLAY_BUFFER_BYTES] for body in servers[1].bodies)
         closed = socket.create_server(("127.0.0.1", 0))
         gone = {
             "id": "s0",
@@ -254,7 +254,10 @@
         for call in calls.values():
             (attempt,) = call.attempts
             waiting = attempt.connection.transport.get_write_buffer_size()  # type: ignore[union-attr]
-            assert waiting + sum(map(len, call.request.body.kept)) <= KEPT + 4 * RECEIVE_BUFFER
+            assert (
+                waiting + sum(map(len, call.request.body.replay_buffer))
+                <= REPLAY_BUFFER_BYTES + 4 * RECEIVE_BUFFER_BYTES
+            )
         go_on.set()
         for reader, _ in streams:
             assert (await told(reader))[0] == 200
@@ -275,8 +278,8 @@
             )
         )
         (connection,) = sidecar.listener.connections
-        assert connection.transport.get_write_buffer_size() <= 4 * RECEIVE_BUFFER
-        assert sidecar.transport.pool.memory.held == FLOW_COST
+        assert connection.transport.get_write_buffer_size() <= 4 * RECEIVE_BUFFER_BYTES
+        assert sidecar.transport.pool.memory.held == STREAM_MEMORY_BYTES
         assert len((await told(reader))[1]) == 16 * MB
 
     run(case())
@@ -286,16 +289,16 @@
     async def case() -> None:
         sidecar, _ = await before(reads)
         reader, writer = await sidecar.connect()
-        writer.write(upload(3 * KEPT, X_Budget_Ms="200"))
-        for at in range(0, 3 * KEPT, KEPT // 2):
+        writer.write(upload(3 * REPLAY_BUFFER_BYTES, X_Budget_Ms="200"))
+        for at in range(0, 3 * REPLAY_BUFFER_BYTES, REPLAY_BUFFER_BYTES // 2):
             await asyncio.sleep(0.1)
-            writer.write(BODY[at : at + KEPT // 2])
+            writer.write(BODY[at : at + REPLAY_BUFFER_BYTES // 2])
         assert (await told(reader))[0] == 200
 
     run(case())
 
 
-@pytest.mark.parametrize("size", [0, KEPT + 1])
+@pytest.mark.parametrize("size", [0, REPLAY_BUFFER_BYTES + 1])
 def test_a_body_that_trickles_is_ended_and_its_endpoint_let_go(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -324,7 +327,7 @@
 @pytest.mark.parametrize(
     "chunk", [b"-5\r\nhello", b"+5\r\nhello", b"fffffffffffffffffff\r\n", b"5\r\nhello!!", b"zz\r\n"]
 )
-@pytest.mark.parametrize("size", [0, KEPT + 1])
+@pytest.mark.parametrize("size", [0, REPLAY_BUFFER_BYTES + 1])
 def test_a_chunk_that_can_not_be_read_ends_the_request(chunk: bytes, size: int) -> None:
     async def case() -> None:
         sidecar, (server,) = await before(reads)
@@ -373,15 +376,15 @@
         memory = sidecar.transport.pool.memory
         memory.grows(memory.most + 1)
         reader, writer = await sidecar.connect()
-        writer.write(upload(len(BODY)) + BODY[: 2 * KEPT])
+        writer.write(upload(len(BODY)) + BODY[: 2 * REPLAY_BUFFER_BYTES])
         assert (await told(reader))[0] == 503 and server.begun == []
         assert (await sidecar.ask(request(X_Call_Id="short")))[0] == 200
         memory.shrinks(memory.most + 1)
         reader, writer = await sidecar.connect()
-        writer.write(upload(len(BODY), X_Call_Id="c2") + BODY[: 2 * KEPT])
+        writer.write(upload(len(BODY), X_Call_Id="c2") + BODY[: 2 * REPLAY_BUFFER_BYTES])
         await until(lambda: len(server.begun) == 2)
         assert memory.held > 0
-        writer.write(BODY[2 * KEPT :])
+        writer.write(BODY[2 * REPLAY_BUFFER_BYTES :])
         assert (await told(reader))[0] == 200 and memory.held == 0
 
     run(case())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -494,10 +494,10 @@
             def fault(now: float) -> None:
                 nonlocal faults
                 faults += 1
-                del broken.look_after  # type: ignore[method-assign]
+                del broken.check_timeouts  # type: ignore[method-assign]
                 raise RuntimeError("a fault")
 
-            broken.look_after = fault  # type: ignore[method-assign]
+            broken.check_timeouts = fault  # type: ignore[method-assign]
             reader, writer = await sidecar.connect()
             assert await reader.read() == b""  # closed for its silence all the same
             assert faults == 1
