--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls of this process that fail for a while: connect, accept and writes to the log."""
+"""System calls of this process that fail for some time: connect, accept and writes to the log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FailingConnects:
-    """Connects to servers fail with one errno while `fails` is set; counts them."""
+    """Makes connects to servers fail with one errno while `fails` is set, and counts the failures."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, code: int) -> None:
         self.fails = True
@@ -28,7 +28,7 @@
         connect = Target._connect
 
         async def failing(target: Target, address: Any) -> Connection:
-            if self.fails and target.pool.idle_s:  # not discovery's
+            if self.fails and target.pool.idle_s:  # not for discovery's pool
                 self.injected += 1
                 raise OSError(code, os.strerror(code))
             return await connect(target, address)
@@ -46,13 +46,13 @@
     async def case() -> None:
         async with running(says(ANSWER), says(ANSWER)) as (sidecar, _):
             connects = FailingConnects(monkeypatch, code)
-            asked = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="3000")))
+            response = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="3000")))
             await until(lambda: connects.injected > 0)
             await asyncio.sleep(1.0)
-            assert not asked.done(), "there is time left"
-            assert connects.injected < 60, "it rests between two of them"
+            assert not response.done(), "the budget is not used up"
+            assert connects.injected < 60, "there is a pause between two connects"
             connects.fails = False
-            assert (await asked) == (200, b"hello")
+            assert (await response) == (200, b"hello")
             servers = sidecar.engine.balancer.servers.values()
             assert code in NO_ROUTE or all(not server.errors for server in servers)
 
@@ -66,9 +66,9 @@
         async with running(says(ANSWER), says(ANSWER)) as (sidecar, peers):
             connects = FailingConnects(monkeypatch, errno.EADDRNOTAVAIL)
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             status, _ = await sidecar.ask(request(X_Budget_Ms="800"))
-            assert status in (503, 504) and loop.time() - began < 1.3 and connects.injected > 1
+            assert status in (503, 504) and loop.time() - started_at < 1.3 and connects.injected > 1
             assert not any(peer.requests for peer in peers)
             assert all(not server.errors for server in sidecar.engine.balancer.servers.values())
 
@@ -100,12 +100,12 @@
         async with running(says(ANSWER)) as (sidecar, _):
             listener = sidecar.listener
             listener.sock = failing = FailingListener(listener.sock, code)  # type: ignore[assignment]
-            asked = asyncio.create_task(sidecar.ask(request()))
+            response = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: failing.injected > 0)
             await asyncio.sleep(0.5)
             assert failing.injected < 100
             failing.fails = False
-            assert (await asked) == (200, b"hello")
+            assert (await response) == (200, b"hello")
 
     run(case())
 
@@ -129,7 +129,7 @@
 
 
 class ClosedError:
-    """A standard error that can't be written."""
+    """A standard error stream that can't be written to."""
 
     def write(self, text: str) -> int:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -141,7 +141,8 @@
         raise OSError(errno.EBADF, os.strerror(errno.EBADF))
 
 
-def an_engine(sidecar: Any) -> Engine:
+def engine_ready_to_log(sidecar: Any) -> Engine:
+    """The engine, with the rate limit of its log reset."""
     engine: Engine = sidecar.engine
     engine.logged_at = 0
     return engine
@@ -151,7 +152,7 @@
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
             monkeypatch.setattr(sys, "stderr", ClosedError())
-            engine = an_engine(sidecar)
+            engine = engine_ready_to_log(sidecar)
             engine.log("a line")
             assert (await sidecar.ask(request())) == (200, b"hello")
 
@@ -159,26 +160,26 @@
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    reading, writing = os.pipe()
-    os.set_blocking(writing, False)
+    read_fd, write_fd = os.pipe()
+    os.set_blocking(write_fd, False)
     try:
         while True:
-            os.write(writing, b"x" * 4096)
+            os.write(write_fd, b"x" * 4096)
     except BlockingIOError:
-        os.set_blocking(writing, True)  # as a standard error is, and full now
+        os.set_blocking(write_fd, True)  # blocking, as standard error is; the pipe is full
 
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            monkeypatch.setattr(sys, "stderr", os.fdopen(writing, "w"))
-            engine = an_engine(sidecar)
-            reader = threading.Timer(5.0, os.read, (reading, 1 << 20))  # else a fault would hang the test
+            monkeypatch.setattr(sys, "stderr", os.fdopen(write_fd, "w"))
+            engine = engine_ready_to_log(sidecar)
+            reader = threading.Timer(5.0, os.read, (read_fd, 1 << 20))  # unblocks a write that hangs
             reader.start()
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             engine.log("a line")
-            assert loop.time() - began < 2.0
+            assert loop.time() - started_at < 2.0
             reader.cancel()
             assert (await sidecar.ask(request())) == (200, b"hello")
 
     run(case())
-    os.close(reading)
+    os.close(read_fd)
--- a/tests/net/test_injected_calls.py
+++ b/tests/net/test_injected_calls.py
@@ -1,4 +1,4 @@
-"""The real program under load while its system calls fail and its wall clock is stepped."""
+"""The program under load while its system calls fail or its wall clock is stepped."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from standins.ledger import Broken
 from tests.loopback import run
 
-LONG = 1000.0
+WHOLE_RUN_S = 1000.0
 FAILURES = {
     "accept ENFILE": [FailingCall("accept", errno.ENFILE, 0.8, 1.6)],
     "accept EPERM": [FailingCall("accept", errno.EPERM, 0.8, 1.6)],
@@ -23,8 +23,8 @@
     "connect ENETUNREACH": [FailingCall("connect", errno.ENETUNREACH, 0.9, 2.9, 0.5)],
     "socket ENOBUFS": [FailingCall("socket", errno.ENOBUFS, 0.0, 1.0)],
     "short reads and writes": [
-        FailingCall("read", 0, 0.0, LONG, 0.5),
-        FailingCall("write", 0, 0.0, LONG, 0.5),
+        FailingCall("read", 0, 0.0, WHOLE_RUN_S, 0.5),
+        FailingCall("write", 0, 0.0, WHOLE_RUN_S, 0.5),
     ],
 }
 
@@ -34,47 +34,47 @@
     plan = FaultPlan(tmp_path, FAILURES[kind], seed=7)
 
     async def case() -> None:
-        tally = await play(plan, outage=kind.startswith("connect"))
-        assert all(plan.injected()[:-1]), f"a plan that injects nothing proves nothing: {plan.injected()}"
+        tally = await run_load(plan, outage=kind.startswith("connect"))
+        assert all(plan.injected()[:-1]), f"a planned failure was not injected: {plan.injected()}"
         assert tally["served"] == tally["sent"] > 200, tally
 
     run(case(), 40.0)
 
 
-BREAKS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE]
+BREAKING_ERRNOS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE]
 
 
-@pytest.mark.parametrize("code", BREAKS, ids=lambda code: errno.errorcode[code])
+@pytest.mark.parametrize("code", BREAKING_ERRNOS, ids=lambda code: errno.errorcode[code])
 def test_connections_that_break_in_use_by_any_errno_break_no_rule(code: int, tmp_path: Path) -> None:
     calls = [FailingCall("read", code, 0.8, 2.5, 0.02), FailingCall("write", code, 0.8, 2.5, 0.02)]
     plan = FaultPlan(tmp_path, calls, seed=7)
 
     async def case() -> None:
-        tally = await play(plan)
+        tally = await run_load(plan)
         assert all(plan.injected()[:-1]), plan.injected()
         assert tally["served"] > 200, tally
 
     run(case(), 40.0)
 
 
-STEPS = [[(0.0, 3600)], [(0.0, -3600)], [(1.0, 10)], [(1.0, -10)], [(0.8, -3600), (1.8, 3600)]]
+WALL_CLOCK_STEPS = [[(0.0, 3600)], [(0.0, -3600)], [(1.0, 10)], [(1.0, -10)], [(0.8, -3600), (1.8, 3600)]]
 
 
-@pytest.mark.parametrize("steps", STEPS, ids=str)
+@pytest.mark.parametrize("steps", WALL_CLOCK_STEPS, ids=str)
 def test_a_stepped_wall_clock_loses_nothing(steps: list[tuple[float, int]], tmp_path: Path) -> None:
-    """Before the start, under load, twice; servers die and come back cold meanwhile."""
+    """Steps before the start, under load, and twice; meanwhile servers fail and come back cold."""
     plan = FaultPlan(tmp_path, steps=steps)
 
     async def case() -> None:
-        tally = await play(plan, outage=True)
+        tally = await run_load(plan, outage=True)
         assert plan.injected()[-1] > 0 or steps[0][0] > 0.0
         assert tally["served"] > 200, tally
 
     run(case(), 40.0)
 
 
-async def play(plan: FaultPlan, outage: bool = False) -> dict[str, int]:
-    """The tally of 3 s of load, in which no rule was broken."""
+async def run_load(plan: FaultPlan, outage: bool = False) -> dict[str, int]:
+    """Run 3 s of load, check that no rule was broken, and return the tally."""
     stage = Stage(11, servers=6, sockets=384, work_s=0.02, ramp_s=3.0)
     await stage.up(environment=plan.environment())
     client = stage.application("http", Habits(rate=120.0, retries=0, most_lines=2))
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,4 +1,4 @@
-"""Bodies and answers too long to be held, on loopback: they flow, within bounds, and end as they should."""
+"""Streamed bodies and answers on loopback: content, memory bounds, backpressure, and how they end."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> dict[str, str]:
-    """The fields of a head, by lower-case name; its first line under ''."""
+    """Read a head: its fields by lower-case name, and its first line under ''."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = (line.partition(":") for line in lines[1:] if line)
     return {"": lines[0]} | {name.lower(): value.strip() for name, _, value in pairs}
 
 
-async def parts(reader: asyncio.StreamReader, head: dict[str, str]) -> AsyncIterator[bytes]:
-    """A body in its parts, whatever its framing."""
+async def body_parts(reader: asyncio.StreamReader, head: dict[str, str]) -> AsyncIterator[bytes]:
+    """Yield the parts of a body of any framing."""
     if head.get("transfer-encoding") == "chunked":
         while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
             yield await reader.readexactly(size)
@@ -37,21 +37,21 @@
         while await reader.readuntil(b"\r\n") != b"\r\n":
             pass
     elif "content-length" in head:
-        left = int(head["content-length"])
-        while left:
-            part = await reader.readexactly(min(left, 65536))
-            left -= len(part)
+        remaining = int(head["content-length"])
+        while remaining:
+            part = await reader.readexactly(min(remaining, 65536))
+            remaining -= len(part)
             yield part
     else:
         yield await reader.read()
 
 
 class Server:
-    """An endpoint that reads requests of any framing; `serve` answers each once its head is there."""
+    """An endpoint that reads requests of any framing; `serve` answers each after its head was read."""
 
     def __init__(self, serve: Serve) -> None:
         self.serve = serve
-        self.begun: list[dict[str, str]] = []
+        self.heads: list[dict[str, str]] = []
         self.bodies: list[bytes] = []
 
     async def start(self) -> Server:
@@ -63,7 +63,7 @@
         try:
             while True:
                 self.head = await read_head(reader)
-                self.begun.append(self.head)
+                self.heads.append(self.head)
                 await self.serve(reader, writer, self)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -71,16 +71,16 @@
             writer.close()
 
     async def body(self, reader: asyncio.StreamReader) -> None:
-        self.bodies.append(b"".join([part async for part in parts(reader, self.head)]))
+        self.bodies.append(b"".join([part async for part in body_parts(reader, self.head)]))
 
 
-async def reads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
+async def read_and_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
     await server.body(reader)
     writer.write(ANSWER)
 
 
-def tells(answer: bytes, cut: int = 0) -> Serve:
-    """Answers with these bytes; with `cut` it ends the connection after so many."""
+def answers_with(answer: bytes, cut: int = 0) -> Serve:
+    """An endpoint that answers with these bytes, or only the first `cut` of them and then closes."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
         await server.body(reader)
@@ -92,7 +92,7 @@
     return serve
 
 
-async def before(*serves: Serve) -> tuple[Sidecar, list[Server]]:
+async def start_sidecar(*serves: Serve) -> tuple[Sidecar, list[Server]]:
     servers = [await Server(serve).start() for serve in serves]
     members = [
         {"id": f"s{n}", "host_port": f"127.0.0.1:{server.port}", "phase": "SERVING", "cell": 0}
@@ -109,30 +109,33 @@
 
 
 def chunked(body: bytes, size: int) -> bytes:
-    chunks = [body[at : at + size] for at in range(0, len(body), size)]
-    return b"".join(b'%X;note="a b"\r\n%s\r\n' % (len(c), c) for c in chunks) + b"0\r\nX-Trailer: 1\r\n\r\n"
+    chunks = [body[start : start + size] for start in range(0, len(body), size)]
+    return (
+        b"".join(b'%X;note="a b"\r\n%s\r\n' % (len(part), part) for part in chunks)
+        + b"0\r\nX-Trailer: 1\r\n\r\n"
+    )
 
 
-async def told(reader: asyncio.StreamReader) -> tuple[int, bytes]:
+async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
     head = await read_head(reader)
-    body = b"".join([part async for part in parts(reader, head)])
+    body = b"".join([part async for part in body_parts(reader, head)])
     return int(head[""].split()[1]), body
 
 
 @pytest.mark.parametrize("chunk", [0, 1000, 70_000])
 def test_a_long_body_reaches_one_endpoint_as_it_was_sent(chunk: int) -> None:
     async def case() -> None:
-        sidecar, (server,) = await before(reads)
+        sidecar, (server,) = await start_sidecar(read_and_answer)
         reader, writer = await sidecar.connect()
         writer.write(
             upload(None, Expect="100-continue") + chunked(BODY, chunk) if chunk else upload(len(BODY)) + BODY
         )
         if chunk:
             assert b" 100 " in await reader.readuntil(b"\r\n\r\n")
-        assert await told(reader) == (200, b"hello")
+        assert await read_answer(reader) == (200, b"hello")
         assert hashlib.sha256(server.bodies[0]).digest() == hashlib.sha256(BODY).digest()
-        writer.write(request(X_Call_Id="behind"))  # the connection goes on
-        assert await told(reader) == (200, b"hello")
+        writer.write(request(X_Call_Id="behind"))  # the connection stays open
+        assert await read_answer(reader) == (200, b"hello")
         account = sidecar.engine.account
         assert (account.attempts, account.ended[End.SERVED], account.in_flight) == (2, [2], 0)
 
@@ -149,14 +152,16 @@
 
     async def case() -> None:
         cut = len(answers[framing]) if framing == "close" else 0
-        sidecar, _ = await before(tells(b"HTTP/1.1 102 Wait\r\n\r\n" + answers[framing], cut and cut + 21))
+        sidecar, _ = await start_sidecar(
+            answers_with(b"HTTP/1.1 102 Wait\r\n\r\n" + answers[framing], cut and cut + 21)
+        )
         reader, writer = await sidecar.connect()
         writer.write(request())
-        assert await told(reader) == (200, BODY)
+        assert await read_answer(reader) == (200, BODY)
         writer.write(request(X_Call_Id="c2").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         head = await read_head(reader)
         assert ("transfer-encoding" in head) is False
-        assert b"".join([part async for part in parts(reader, head)]) == BODY
+        assert b"".join([part async for part in body_parts(reader, head)]) == BODY
 
     run(case())
 
@@ -166,16 +171,16 @@
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(BODY, 512)
 
     async def case() -> None:
-        sidecar, servers = await before(tells(answer, cut), tells(answer, cut))
+        sidecar, servers = await start_sidecar(answers_with(answer, cut), answers_with(answer, cut))
         reader, writer = await sidecar.connect()
         writer.write(request())
         if cut > REPLAY_BUFFER_BYTES:
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await told(reader)  # there is no end to it
-            assert sum(len(server.begun) for server in servers) == 1
+                await read_answer(reader)  # the answer has no end
+            assert sum(len(server.heads) for server in servers) == 1
         else:
-            assert (await told(reader))[0] == 502  # both spoilt it
-            assert sum(len(server.begun) for server in servers) > 1
+            assert (await read_answer(reader))[0] == 502  # both servers cut it off
+            assert sum(len(server.heads) for server in servers) > 1
         assert sidecar.engine.account.ended[End.FAILED] == [1]
         await until(lambda: not sidecar.engine.calls)
 
@@ -183,25 +188,25 @@
 
 
 def test_a_body_goes_elsewhere_while_its_beginning_is_kept() -> None:
-    async def turns_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
+    async def rejects(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
         await reader.readexactly(1000)
         writer.write(b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         await writer.drain()
         raise ConnectionError
 
     async def case() -> None:
-        sidecar, servers = await before(turns_away, reads)
+        sidecar, servers = await start_sidecar(rejects, read_and_answer)
         for number in range(4):
             reader, writer = await sidecar.connect()
             writer.write(upload(2 * REPLAY_BUFFER_BYTES, X_Call_Id=f"c{number}") + BODY[:1500])
             await asyncio.sleep(0.05)
             writer.write(BODY[1500 : 2 * REPLAY_BUFFER_BYTES])
-            status, _ = await told(reader)
-            assert status in (200, 503)  # what was passed on beyond the bound can't be sent again
+            status, _ = await read_answer(reader)
+            assert status in (200, 503)  # beyond the replay buffer a body can't be sent again
             writer.close()
         assert all(body == BODY[: 2 * REPLAY_BUFFER_BYTES] for body in servers[1].bodies)
         closed = socket.create_server(("127.0.0.1", 0))
-        gone = {
+        unreachable = {
             "id": "s0",
             "host_port": f"127.0.0.1:{closed.getsockname()[1]}",
             "phase": "SERVING",
@@ -209,42 +214,47 @@
         }
         closed.close()
         sidecar.tell(
-            [gone, {"id": "s1", "host_port": f"127.0.0.1:{servers[1].port}", "phase": "SERVING", "cell": 0}]
+            [
+                unreachable,
+                {"id": "s1", "host_port": f"127.0.0.1:{servers[1].port}", "phase": "SERVING", "cell": 0},
+            ]
         )
-        for number in range(6):  # a dial that is refused costs nobody a request
+        for number in range(6):  # a refused dial loses no request
             reader, writer = await sidecar.connect()
             writer.write(upload(len(BODY), X_Call_Id=f"d{number}") + BODY)
-            assert (await told(reader))[0] == 200
+            assert (await read_answer(reader))[0] == 200
             writer.close()
 
     run(case())
 
 
 def test_a_body_that_can_not_be_sent_again_is_refused_at_once() -> None:
-    async def dies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
+    async def disconnects(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
         await reader.readexactly(MB)
         raise ConnectionError
 
     async def case() -> None:
-        sidecar, servers = await before(dies, dies)
+        sidecar, servers = await start_sidecar(disconnects, disconnects)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY)) + BODY)
-        assert (await told(reader))[0] == 503  # its last byte was never written: it has not run
-        assert sum(len(server.begun) for server in servers) == 1
+        assert (await read_answer(reader))[0] == 503  # its last byte was never written, so it has not run
+        assert sum(len(server.heads) for server in servers) == 1
         assert sidecar.engine.account.ended[End.REFUSED] == [1]
 
     run(case())
 
 
 def test_what_an_endpoint_does_not_read_is_not_read_from_the_client() -> None:
-    go_on = asyncio.Event()
+    may_read = asyncio.Event()
 
-    async def waits(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
-        await go_on.wait()
-        await reads(reader, writer, server)
+    async def reads_when_allowed(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server
+    ) -> None:
+        await may_read.wait()
+        await read_and_answer(reader, writer, server)
 
     async def case() -> None:
-        sidecar, _ = await before(waits)
+        sidecar, _ = await start_sidecar(reads_when_allowed)
         streams = [await sidecar.connect() for _ in range(4)]
         for number, (_, writer) in enumerate(streams):
             writer.write(upload(8 * MB, X_Call_Id=f"c{number}") + bytes(8 * MB))
@@ -253,14 +263,14 @@
         await until(lambda: len(calls) == 4 and all(c.request.body.paused for c in calls.values()))
         for call in calls.values():
             (attempt,) = call.attempts
-            waiting = attempt.connection.transport.get_write_buffer_size()  # type: ignore[union-attr]
+            unsent = attempt.connection.transport.get_write_buffer_size()  # type: ignore[union-attr]
             assert (
-                waiting + sum(map(len, call.request.body.replay_buffer))
+                unsent + sum(map(len, call.request.body.replay_buffer))
                 <= REPLAY_BUFFER_BYTES + 4 * RECEIVE_BUFFER_BYTES
             )
-        go_on.set()
+        may_read.set()
         for reader, _ in streams:
-            assert (await told(reader))[0] == 200
+            assert (await read_answer(reader))[0] == 200
 
     run(case())
 
@@ -268,32 +278,32 @@
 def test_what_a_client_does_not_read_is_not_read_from_the_endpoint() -> None:
     async def case() -> None:
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB) + bytes(16 * MB)
-        sidecar, _ = await before(tells(answer))
+        sidecar, _ = await start_sidecar(answers_with(answer))
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port, limit=1024)
         writer.write(request())
         await until(
             lambda: any(
-                one.streamed_answer and one.streamed_answer.connection.paused
-                for one in sidecar.listener.connections
+                connection.streamed_answer and connection.streamed_answer.connection.paused
+                for connection in sidecar.listener.connections
             )
         )
         (connection,) = sidecar.listener.connections
         assert connection.transport.get_write_buffer_size() <= 4 * RECEIVE_BUFFER_BYTES
         assert sidecar.transport.pool.memory.held == STREAM_MEMORY_BYTES
-        assert len((await told(reader))[1]) == 16 * MB
+        assert len((await read_answer(reader))[1]) == 16 * MB
 
     run(case())
 
 
 def test_a_body_has_its_time_and_the_request_has_its_own_after_it() -> None:
     async def case() -> None:
-        sidecar, _ = await before(reads)
+        sidecar, _ = await start_sidecar(read_and_answer)
         reader, writer = await sidecar.connect()
         writer.write(upload(3 * REPLAY_BUFFER_BYTES, X_Budget_Ms="200"))
-        for at in range(0, 3 * REPLAY_BUFFER_BYTES, REPLAY_BUFFER_BYTES // 2):
+        for start in range(0, 3 * REPLAY_BUFFER_BYTES, REPLAY_BUFFER_BYTES // 2):
             await asyncio.sleep(0.1)
-            writer.write(BODY[at : at + REPLAY_BUFFER_BYTES // 2])
-        assert (await told(reader))[0] == 200
+            writer.write(BODY[start : start + REPLAY_BUFFER_BYTES // 2])
+        assert (await read_answer(reader))[0] == 200
 
     run(case())
 
@@ -306,7 +316,7 @@
     monkeypatch.setattr(request_deadlines, "BODY_RATE", 10 * MB)
 
     async def case() -> None:
-        sidecar, (server,) = await before(reads)
+        sidecar, (server,) = await start_sidecar(read_and_answer)
         reader, writer = await sidecar.connect()
         writer.write(upload(MB if size else 1000) + bytes(size))
 
@@ -316,7 +326,7 @@
                 await asyncio.sleep(0.02)
 
         task = asyncio.create_task(trickle())
-        assert (await told(reader))[0] == 408
+        assert (await read_answer(reader))[0] == 408
         task.cancel()
         assert sidecar.engine.account.ended[End.FAILED] == [1] and not sidecar.engine.calls
         assert server.bodies == [] and sidecar.transport.pool.held() == 0
@@ -330,11 +340,11 @@
 @pytest.mark.parametrize("size", [0, REPLAY_BUFFER_BYTES + 1])
 def test_a_chunk_that_can_not_be_read_ends_the_request(chunk: bytes, size: int) -> None:
     async def case() -> None:
-        sidecar, (server,) = await before(reads)
+        sidecar, (server,) = await start_sidecar(read_and_answer)
         reader, writer = await sidecar.connect()
-        begun = b"%x\r\n%s\r\n" % (size, bytes(size)) if size else b""
-        writer.write(upload(None) + begun + chunk)
-        assert (await told(reader))[0] == 400
+        first_chunk = b"%x\r\n%s\r\n" % (size, bytes(size)) if size else b""
+        writer.write(upload(None) + first_chunk + chunk)
+        assert (await read_answer(reader))[0] == 400
         assert server.bodies == [] and not sidecar.engine.open_ids
 
     run(case())
@@ -343,10 +353,10 @@
 def test_a_client_that_leaves_its_body_unsent_or_its_answer_unread_holds_nothing() -> None:
     async def case() -> None:
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB) + bytes(16 * MB)
-        sidecar, (server,) = await before(tells(answer))
+        sidecar, (server,) = await start_sidecar(answers_with(answer))
         _, writer = await sidecar.connect()
         writer.write(upload(8 * MB) + bytes(2 * MB))
-        await until(lambda: bool(server.begun))
+        await until(lambda: bool(server.heads))
         writer.transport.abort()
         reader, writer = await sidecar.connect()
         writer.write(request(X_Call_Id="c2"))
@@ -372,33 +382,33 @@
 
 def test_with_the_budget_for_bodies_used_up_a_long_one_is_refused_at_once() -> None:
     async def case() -> None:
-        sidecar, (server,) = await before(reads)
+        sidecar, (server,) = await start_sidecar(read_and_answer)
         memory = sidecar.transport.pool.memory
         memory.grows(memory.most + 1)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY)) + BODY[: 2 * REPLAY_BUFFER_BYTES])
-        assert (await told(reader))[0] == 503 and server.begun == []
+        assert (await read_answer(reader))[0] == 503 and server.heads == []
         assert (await sidecar.ask(request(X_Call_Id="short")))[0] == 200
         memory.shrinks(memory.most + 1)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY), X_Call_Id="c2") + BODY[: 2 * REPLAY_BUFFER_BYTES])
-        await until(lambda: len(server.begun) == 2)
+        await until(lambda: len(server.heads) == 2)
         assert memory.held > 0
         writer.write(BODY[2 * REPLAY_BUFFER_BYTES :])
-        assert (await told(reader))[0] == 200 and memory.held == 0
+        assert (await read_answer(reader))[0] == 200 and memory.held == 0
 
     run(case())
 
 
 def test_what_is_sent_behind_a_long_body_has_its_turn() -> None:
     async def case() -> None:
-        sidecar, (server,) = await before(reads)
+        sidecar, (server,) = await start_sidecar(read_and_answer)
         reader, writer = await sidecar.connect()
         for number in range(3):  # long, short, long, short, ..., all at once
             writer.write(upload(len(BODY), X_Call_Id=f"l{number}") + BODY)
             writer.write(request(X_Call_Id=f"s{number}"))
         for _ in range(6):
-            assert await told(reader) == (200, b"hello")
+            assert await read_answer(reader) == (200, b"hello")
         assert server.bodies == [BODY, b"hi"] * 3
 
     run(case())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
-"""The sidecar on loopback sockets: real listener, driver and upstream, scripted peers.
+"""The sidecar on loopback sockets: real listener, engine and transport, scripted peers.
 
-Nothing here measures time: what must happen is waited for, with a generous bound.
+The tests don't measure time: they wait for the expected event, with a generous limit.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
     until,
 )
 
-# What clients send
+# Requests of clients
 
 
 @pytest.mark.parametrize(
@@ -107,8 +107,8 @@
         async with running(says(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(start)
-            told = await reader.read()  # to the end
-            assert told.startswith(b"HTTP/1.1 408 ") if start else told == b""
+            answer = await reader.read()  # to the end
+            assert answer.startswith(b"HTTP/1.1 408 ") if start else answer == b""
             await until(lambda: not sidecar.listener.connections)
 
     run(case())
@@ -118,17 +118,17 @@
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
             sidecar.listener.set_limits(calm_idle_s=0.1)
-            gc.disable()  # counts alone must free it: full collections are rare
+            gc.disable()  # reference counts alone must free the connection: full collections are rare
             try:
                 reader, writer = await sidecar.connect()
                 writer.write(request())
                 await read_message(reader)
                 (connection,) = sidecar.listener.connections
-                left = weakref.ref(connection)
+                reference = weakref.ref(connection)
                 del connection
                 assert await reader.read() == b""
                 sidecar.engine.timers.clear()
-                await until(lambda: left() is None)
+                await until(lambda: reference() is None)
             finally:
                 gc.enable()
 
@@ -141,13 +141,13 @@
             reader, writer = await sidecar.connect()
             writer.write(request())
             assert (await read_message(reader))[1] == b"hello"
-            crowd = [await sidecar.connect() for _ in range(40)]
+            clients = [await sidecar.connect() for _ in range(40)]
             assert len(sidecar.listener.connections) <= 8 + listening.OVERFLOW
             for n in range(20):
                 assert (await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] == 200
             writer.write(request())
-            assert (await read_message(reader))[1] == b"hello"  # kept its place
-            for _, silent_writer in crowd:
+            assert (await read_message(reader))[1] == b"hello"  # the connection was kept
+            for _, silent_writer in clients:
                 silent_writer.close()
             writer.close()
 
@@ -161,13 +161,13 @@
             writer.write(request(X_Call_Class="none"))
             assert b" 400 " in (await read_message(reader))[0]
             writer.write(request())
-            assert (await read_message(reader))[1] == b"hello"  # the connection is still good
+            assert (await read_message(reader))[1] == b"hello"  # the connection is still usable
             writer.close()
 
     run(case())
 
 
-# What endpoints answer
+# Answers of endpoints
 
 
 @pytest.mark.parametrize(
@@ -187,13 +187,13 @@
 )
 def test_a_spoilt_answer_is_tried_again_and_its_connection_dropped(answer: bytes) -> None:
     async def case() -> None:
-        async with running(says(answer), says(ANSWER)) as (sidecar, (spoiling, sound)):
+        async with running(says(answer), says(ANSWER)) as (sidecar, (faulty, healthy)):
             n = 0
-            while not spoiling.requests:
+            while not faulty.requests:
                 n += 1
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
-            await until(lambda: spoiling.open == 0)
-            assert len(sound.requests) == n  # also the one that was spoilt
+            await until(lambda: faulty.open == 0)
+            assert len(healthy.requests) == n  # also the request with the invalid answer
 
     run(case())
 
@@ -239,9 +239,9 @@
 
     async def case() -> None:
         async def slowly(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            for at in range(0, len(ANSWER), 4):
-                writer.write(ANSWER[at : at + 4])
-                await asyncio.sleep(0.1)  # in all more than the pause that would end it
+            for start in range(0, len(ANSWER), 4):
+                writer.write(ANSWER[start : start + 4])
+                await asyncio.sleep(0.1)  # in total longer than the pause that ends an answer
 
         async with running(slowly) as (sidecar, (peer,)):
             assert await sidecar.ask(request()) == (200, b"hello")
@@ -265,7 +265,7 @@
 def test_a_reset_of_a_kept_connection_is_told_from_one_of_a_new_one() -> None:
     async def case() -> None:
         async def once(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            if len(peer.requests) > 2:  # not by their bytes, which hold the remaining ms
+            if len(peer.requests) > 2:  # requests differ in X-Budget-Ms, so count them
                 raise ConnectionError
             writer.write(ANSWER)
 
@@ -276,9 +276,9 @@
             unkeyed = request(Idempotency_Key="")
             assert (await sidecar.ask(unkeyed))[0] == 200
             assert (await sidecar.ask(unkeyed))[0] == 502
-            assert not server.errors  # the connection's end, not the server's
+            assert not server.errors  # counts against the connection, not the server
             assert (await sidecar.ask(unkeyed))[0] == 502
-            assert server.errors  # a new connection's
+            assert server.errors  # on a new connection it counts against the server
 
     run(case())
 
@@ -310,13 +310,13 @@
 
 def test_a_connection_that_comes_back_to_an_endpoint_that_is_gone_is_closed() -> None:
     async def case() -> None:
-        go_on = asyncio.Event()
-        async with running(says(ANSWER, go_on)) as (sidecar, (peer,)):
-            asked = asyncio.create_task(sidecar.ask(request()))
+        may_answer = asyncio.Event()
+        async with running(says(ANSWER, may_answer)) as (sidecar, (peer,)):
+            response = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: len(peer.requests) == 1)
             sidecar.tell([])
-            go_on.set()
-            assert await asked == (200, b"hello")
+            may_answer.set()
+            assert await response == (200, b"hello")
             await until(lambda: peer.open == 0)
             assert not sidecar.transport.pool.connections and not sidecar.transport.targets
 
@@ -327,13 +327,13 @@
     async def case() -> None:
         async with running(silent) as (sidecar, (peer,)):
             sidecar.transport.pool.limit = lambda: 2
-            crowd = [await sidecar.connect() for _ in range(6)]
-            for n, (_, writer) in enumerate(crowd):
+            clients = [await sidecar.connect() for _ in range(6)]
+            for n, (_, writer) in enumerate(clients):
                 writer.write(request(X_Call_Id=f"c{n}"))
-            heads = [asyncio.create_task(reader.readline()) for reader, _ in crowd]
+            heads = [asyncio.create_task(reader.readline()) for reader, _ in clients]
             await until(lambda: sum(head.done() for head in heads) == 4)
             assert len(peer.requests) <= 2 and len(sidecar.transport.pool.connections) == 2
-            for _, writer in crowd:
+            for _, writer in clients:
                 writer.close()
             await asyncio.wait(heads)
 
@@ -352,7 +352,7 @@
     run(case())
 
 
-# New configurations
+# Configuration reloads
 
 
 def test_discovery_moves_at_once_and_leaves_the_old_address() -> None:
@@ -386,8 +386,8 @@
     async def case() -> None:
         peer = await Peer(says(ANSWER)).start()
         old, new = await Lists([peer.member("s0")]).start(), await Lists([peer.member("s0")]).start()
-        with contextlib.closing(await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)) as free:
-            port = free.sockets[0].getsockname()[1]
+        with contextlib.closing(await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)) as unused:
+            port = unused.sockets[0].getsockname()[1]
         listen = f"127.0.0.1:{port}"
         path = config_file(tmp_path / "c.json", listen=listen, discovery=f"127.0.0.1:{old.port}")
         program = await asyncio.create_subprocess_exec(
@@ -404,7 +404,7 @@
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
             assert b"old configuration is kept" in await program.stderr.readline()
-            await asyncio.sleep(1.1)  # log lines are a second apart
+            await asyncio.sleep(1.1)  # the log is limited to one line per second
             config_file(path, listen=listen, discovery=f"127.0.0.1:{new.port}")
             program.send_signal(signal.SIGHUP)
             assert b"read anew" in await program.stderr.readline()
@@ -428,17 +428,17 @@
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
             lists = Lists([peer.member("s9")])
-            told = lists._tell
+            answer_request = lists._tell
 
-            async def down_at_first(
+            async def fails_at_first(
                 head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
             ) -> None:
                 if len(lists.requests) < 3:
                     writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 else:
-                    await told(head, reader, writer)
+                    await answer_request(head, reader, writer)
 
-            lists.script = down_at_first
+            lists.script = fails_at_first
             await lists.start()
             sidecar.discovery.move(("127.0.0.1", lists.port))
             await until(lambda: list(sidecar.transport.targets) == [int.from_bytes(b"s9", "big")])
@@ -451,29 +451,31 @@
 def test_a_list_that_is_no_list_leaves_the_old_one() -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            noise = await Peer(says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")).start()
-            sidecar.discovery.move(("127.0.0.1", noise.port))
-            await until(lambda: len(noise.requests) >= 2)
+            invalid_list = await Peer(says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")).start()
+            sidecar.discovery.move(("127.0.0.1", invalid_list.port))
+            await until(lambda: len(invalid_list.requests) >= 2)
             assert await sidecar.ask(request()) == (200, b"hello")
-            noise.server.close()
+            invalid_list.server.close()
 
     run(case())
 
 
-# The planned end, and faults of our own
+# Graceful shutdown, and internal failures
 
 
 def test_what_was_taken_before_the_end_is_answered() -> None:
     async def case() -> None:
-        go_on = asyncio.Event()
-        async with running(says(ANSWER, go_on)) as (sidecar, (peer,)):
-            taken = asyncio.create_task(sidecar.ask(request()))
+        may_answer = asyncio.Event()
+        async with running(says(ANSWER, may_answer)) as (sidecar, (peer,)):
+            accepted = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: len(peer.requests) == 1)
             sidecar.listener.drain()
-            late = asyncio.create_task(sidecar.ask(request(X_Call_Id="late")))  # clients still come
+            late = asyncio.create_task(
+                sidecar.ask(request(X_Call_Id="late"))
+            )  # new requests are still served
             await until(lambda: len(peer.requests) == 2)
-            go_on.set()
-            assert await taken == await late == (200, b"hello")
+            may_answer.set()
+            assert await accepted == await late == (200, b"hello")
             await sidecar.listener.finished
 
     run(case())
@@ -489,18 +491,18 @@
             _, first = await sidecar.connect()
             await until(lambda: len(sidecar.listener.connections) == 1)
             (broken,) = sidecar.listener.connections
-            faults = 0
+            failures = 0
 
-            def fault(now: float) -> None:
-                nonlocal faults
-                faults += 1
+            def fail(now: float) -> None:
+                nonlocal failures
+                failures += 1
                 del broken.check_timeouts  # type: ignore[method-assign]
                 raise RuntimeError("a fault")
 
-            broken.check_timeouts = fault  # type: ignore[method-assign]
+            broken.check_timeouts = fail  # type: ignore[method-assign]
             reader, writer = await sidecar.connect()
-            assert await reader.read() == b""  # closed for its silence all the same
-            assert faults == 1
+            assert await reader.read() == b""  # the silent connection is closed nevertheless
+            assert failures == 1
             first.close()
             writer.close()
 
@@ -509,15 +511,17 @@
 
 def test_a_spoilt_answer_of_the_only_endpoint_is_asked_for_once_more() -> None:
     async def case() -> None:
-        async def spoils_one(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def first_is_invalid(
+            head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(b"noise" if peer.connections == 1 else ANSWER)
 
-        async with running(spoils_one) as (sidecar, (peer,)):
+        async with running(first_is_invalid) as (sidecar, (peer,)):
             assert await sidecar.ask(request()) == (200, b"hello")
             assert len(peer.requests) == 2
             unkeyed = request(X_Call_Id="c2", Idempotency_Key="")
             peer.script = says(b"noise")
-            assert (await sidecar.ask(unkeyed))[0] == 502  # may have run, and must not run twice
+            assert (await sidecar.ask(unkeyed))[0] == 502  # it may have run, and must not run twice
             assert len(peer.requests) == 3
 
     run(case())
@@ -554,8 +558,8 @@
             operator.write_text("[limits]\nclient_places = 0\n")
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
-            said = await program.stderr.readline()
-            assert b"line 2: 'limits.client_places'" in said
+            log_line = await program.stderr.readline()
+            assert b"line 2: 'limits.client_places'" in log_line
             assert await places() == 40
             operator.write_text("[limits]\nclient_places = 50\n")
             program.send_signal(signal.SIGHUP)
