--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -45,18 +45,14 @@
         self.engine = owner.engine
         self.sock = sock
         self.over_limit = over_limit
-        self.deferred = (
-            bytearray()
-        )  # received after the process was suspended; read after discovery's updates
+        # Received after the process was suspended; read after discovery's updates.
+        self.deferred = bytearray()
         self.unread = bytearray()  # received while a request was in progress
-        self.unconfirmed: IncomingRequest | None = (
-            None  # its client may have left; handled once it is found present
-        )
+        # A request whose client may have left; handled once the client is found present.
+        self.unconfirmed: IncomingRequest | None = None
         self.call: Call | None = None
         self.streamed_request: IncomingRequest | None = None  # in progress; its body is still being received
-        self.streamed_answer: HttpAttempt | None = (
-            None  # the attempt whose answer is being streamed to the client
-        )
+        self.streamed_answer: HttpAttempt | None = None  # the attempt whose answer is being streamed
         self.body_memory = BodyReservation(owner.transport.pool.memory)
         self.keep_alive = True
         self.closing = False
@@ -146,7 +142,7 @@
         if rest:
             self.unread[:0] = rest
         self._handle_ready()
-        self._handle_long_body()
+        self._handle_streamed_body()
 
     def continue_expected(self) -> None:
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -164,10 +160,10 @@
 
     # Streamed bodies
 
-    def _handle_long_body(self) -> None:
+    def _handle_streamed_body(self) -> None:
         """Handle a request whose body is still being received, once the body is too long to buffer."""
         incoming = self.reader.incoming
-        if incoming is None or not self.reader.has_long_body():
+        if incoming is None or not self.reader.has_streamed_body():
             return
         if self.call is not None or self.reader.ready or self.closing or self.penalised:
             return
@@ -328,7 +324,7 @@
         self.active_at = self.usage.since = self.owner.loop.time()
         if not self.keep_alive:
             self._close_lingering(STREAM_LINGER_S if self.streamed_request is not None else LINGER_S)
-        elif (self.unread or self.reader.ready or self.reader.has_long_body()) and not self.penalised:
+        elif (self.unread or self.reader.ready or self.reader.has_streamed_body()) and not self.penalised:
             # In a later iteration: a client that pipelines requests must not delay the others.
             self.owner.loop.call_soon(self._continue_reading)
 
@@ -343,7 +339,7 @@
         if data:
             self._parse(data)
         else:
-            self._handle_long_body()  # reading may have paused within it during the last request
+            self._handle_streamed_body()  # reading may have paused within it during the last request
 
     def _reject_and_close(self, status: int) -> None:
         """Answer a request whose remaining bytes are not read, and close the connection."""
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -78,9 +78,9 @@
         self.stall_timer: asyncio.TimerHandle | None = None
         self.last_received_at = 0.0
         self.opened_at = time.monotonic_ns()
-        self.idle_since = 0.0
+        self.idle_since = 0.0  # by the loop's clock; 0: has not been idle
         self.idle_for = 0.0  # seconds without an exchange, before the current one
-        self.request_at = 0.0
+        self.request_at = 0.0  # when the current request was written
         self.answered_at = 0.0  # when the last complete answer ended
 
     # asyncio.Protocol
@@ -211,7 +211,7 @@
         return size > limit or (self.answer.length or 0) > limit or self.received - size > framing
 
     def _should_stream(self) -> bool:
-        """Whether more of the answer's body is received or announced than is buffered."""
+        """Whether the answer's body is longer, as received or as announced, than may be buffered."""
         answer = self.answer
         length = answer.length or 0
         long = answer.size > MAX_BUFFERED_BYTES or MAX_BUFFERED_BYTES < length <= MAX_BODY_BYTES
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -43,7 +43,7 @@
 KILL_S = 0.7
 LAST_ANSWER_S = 0.25  # before the kill: every accepted request has been answered by then
 LINGER_LAST_S = 0.15  # before the kill: the last connection is closed; an idle interpreter exits in 0.04 s
-# After the signal:
+# Times after the signal, unless stated otherwise:
 DRAIN_IDLE_S = 0.45  # idle connections are closed, while a resent request still finds the listener
 DRAIN_LISTEN_S = 0.65  # the shortest time for which the socket listens
 DRAIN_QUIET_S = 0.2  # without a new connection, after which the socket stops listening
@@ -152,16 +152,16 @@
         At the limit, connections without a request are closed to make room. If there are none, up to OVERFLOW
         more are accepted only to answer with 503, and others stay in the kernel's backlog.
         """
-        taken = failed = 0
-        while taken < MAX_ACCEPTS_PER_EVENT:
+        accepted = failed = 0
+        while accepted < MAX_ACCEPTS_PER_EVENT:
             excess = self._excess()
             if excess >= OVERFLOW:
                 self._pause_accepting()
-                return taken
+                return accepted
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
-                return taken
+                return accepted
             except OSError as problem:
                 failed += 1
                 if problem.errno in OUT_OF_RESOURCES:
@@ -169,13 +169,13 @@
                 elif failed < MAX_FAILED_ACCEPTS:
                     continue  # the client left while it waited in the backlog
                 self._retry_accepting()
-                return taken
-            taken += 1
+                return accepted
+            accepted += 1
             self.accepted_at = self.loop.time()
             self._serve(sock, over_limit=excess >= 0)
             if self.lingering:
                 self._bound_lingering()
-        return taken
+        return accepted
 
     def _excess(self) -> int:
         """The number of connections above the limit, after evictions; negative: one more is allowed."""
@@ -199,14 +199,14 @@
             sock.close()
             return
 
-        def connection() -> ClientConnection:
+        def make_connection() -> ClientConnection:
             return ClientConnection(self, sock, over_limit)
 
         task: asyncio.Task[object] = self.loop.create_task(
-            self.loop.connect_accepted_socket(connection, sock)
+            self.loop.connect_accepted_socket(make_connection, sock)
         )
 
-        def arrived(task: asyncio.Task[object]) -> None:
+        def setup_finished(task: asyncio.Task[object]) -> None:
             self.accept_tasks.discard(task)
             self.accepted_sockets.discard(sock)
             if not task.cancelled() and task.exception() is not None:
@@ -214,7 +214,7 @@
 
         self.accept_tasks.add(task)
         self.accepted_sockets.add(sock)
-        task.add_done_callback(arrived)
+        task.add_done_callback(setup_finished)
 
     # Reported by connections (owner.py)
 
@@ -326,8 +326,9 @@
         return len(self.connections) + len(self.accepted_sockets) - len(self.closing)
 
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
-        held = self.held() - self.never_asked
-        return self.places.ends_with_answer(connection.usage, held, connection.usage.since)
+        """Whether to close the connection with the answer that is about to be written."""
+        in_use = self.held() - self.never_asked
+        return self.places.ends_with_answer(connection.usage, in_use, connection.usage.since)
 
     def _close_surplus(self, now: float) -> None:
         """Close the idle connections that are least likely to be used, before the limit is reached."""
--- a/garnethaven/net/request_reader.py
+++ b/garnethaven/net/request_reader.py
@@ -87,7 +87,7 @@
         if len(self.ready) > MAX_PIPELINED_REQUESTS:
             raise UnreadableRequest(400)
 
-    def has_long_body(self) -> bool:
+    def has_streamed_body(self) -> bool:
         """Whether the request that is being received has a body that is streamed."""
         return self.incoming is not None and self.incoming.streamed_body is not None
 
--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -79,19 +79,19 @@
         """
         if after_s > self.full_rest_s:
             return
-        if not self._is_recent(now):
+        if not self._saw_unsolicited_recently(now):
             self.latest_arrival_s = 0.0
         self.unasked_at = now
         self.latest_arrival_s = max(self.latest_arrival_s, after_s)
 
-    def _is_recent(self, now: float) -> bool:
+    def _saw_unsolicited_recently(self, now: float) -> bool:
         return self.unasked_at is not None and now - self.unasked_at <= MEMORY_S
 
     # Decisions
 
     def required_rest_s(self, now: float) -> float:
         """How long a connection must rest before it may be reused."""
-        if not self.min_rest_s or not self._is_recent(now):
+        if not self.min_rest_s or not self._saw_unsolicited_recently(now):
             return self.min_rest_s
         measured_s = max(MIN_PREFERRED_REST_S, ARRIVAL_FACTOR * self.latest_arrival_s)
         return max(self.min_rest_s, min(self.full_rest_s, measured_s))
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -75,7 +75,7 @@
         self.client: AnswerReceiver = request.client
         self.endpoint = endpoint
         self.number = len(call.attempts)
-        self.sent_at = now
+        self.sent_at = now  # nanoseconds
         self.ends_at = now + limit
         self.again = self.number > 0
         self.careful = transport.engine.settings.grades[call.grade].effect is Effect.FRAGILE
@@ -118,8 +118,8 @@
 
     def patience_s(self) -> float:
         """The remaining time, divided equally among the remaining attempts."""
-        attempts = max(1, self.transport.settings.max_attempts - self.number)
-        return max(0, self.ends_at - time.monotonic_ns()) / attempts / S
+        remaining_attempts = max(1, self.transport.settings.max_attempts - self.number)
+        return max(0, self.ends_at - time.monotonic_ns()) / remaining_attempts / S
 
     def may_open_extra(self) -> bool:
         return self.transport.is_warm(self.endpoint)
@@ -193,7 +193,7 @@
         self.settings = settings
         self.pool = make_pool(loop, connections, settings.conn_idle / S, AnswerMemory(memory_mb))
         self.targets: dict[int, Target] = {}
-        self.cordoned: set[int] = set()  # cordoned by an operator: get nothing new, whatever the list says
+        self.cordoned: set[int] = set()  # by an operator: get nothing new, whatever the list says
         self.pool.targets = self.targets.values
         self.dial_timeout = (settings.dial_timeout or S) / S
         engine.prober = self
@@ -289,7 +289,7 @@
         target = self.targets.get(endpoint)
         if target is None:
             return
-        target.stop()  # also when uncordoned: idle connections lead to the process before
+        target.stop()  # also when uncordoned: idle connections lead to the previous process
         if not cordoned:
             target.move(target.address)
 
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -53,13 +53,12 @@
         dial = self.pool.loop.create_task(self._dial(exchange, self.address, dial_timeout))
         exchange.dial = dial
 
-        def dialled(
-            _: asyncio.Task[None],
-        ) -> None:  # also called if the task is cancelled before its first step
+        def dial_finished(_: asyncio.Task[None]) -> None:
+            # Also called if the task is cancelled before its first step.
             self.waiting.discard(exchange)
             self.pool.dials.discard(exchange)
 
-        dial.add_done_callback(dialled)
+        dial.add_done_callback(dial_finished)
 
     def would_dial(self) -> bool:
         """Whether an exchange that starts now probably needs a new connection."""
@@ -85,7 +84,7 @@
 
     async def _dial(self, exchange: Exchange, address: Address, dial_timeout: float) -> None:
         connection: Connection | None = None
-        began = time.monotonic_ns()
+        dial_started_at = time.monotonic_ns()
         with contextlib.suppress(OSError, asyncio.CancelledError):
             connection = await self._connect_with_retries(exchange, address, dial_timeout)
         if connection is not None and not connection.transport.is_closing():
@@ -100,7 +99,7 @@
             exchange.over = True
             exchange.refused = not exchange.skipped
             exchange.broken(written=False)
-        elif address != self.address or began < self.restart_seen_at or not exchange.may_begin():
+        elif address != self.address or dial_started_at < self.restart_seen_at or not exchange.may_begin():
             # The decision to dial is outdated: meanwhile the server has moved, drained or restarted, or the
             # request's time is over.
             self.release(connection)
@@ -260,7 +259,7 @@
         return True
 
     def expired(self) -> float:
-        """The time on the loop's clock; connections that are idle since then or longer are not reused."""
+        """A time on the loop's clock: connections that have been idle since then or longer are not reused."""
         return self.loop.time() - self.idle_s * MAX_IDLE_SHARE if self.idle_s > 0 else 0.0
 
     def watch_idle(self) -> None:
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -283,8 +283,8 @@
         writer.write(request())
         await until(
             lambda: any(
-                connection.streamed_answer and connection.streamed_answer.connection.paused
-                for connection in sidecar.listener.connections
+                candidate.streamed_answer and candidate.streamed_answer.connection.paused
+                for candidate in sidecar.listener.connections
             )
         )
         (connection,) = sidecar.listener.connections
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -305,7 +305,7 @@
     run(case())
 
 
-# Endpoints that come and go
+# Endpoints that are added and removed
 
 
 def test_a_connection_that_comes_back_to_an_endpoint_that_is_gone_is_closed() -> None:
@@ -451,11 +451,13 @@
 def test_a_list_that_is_no_list_leaves_the_old_one() -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            invalid_list = await Peer(says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")).start()
-            sidecar.discovery.move(("127.0.0.1", invalid_list.port))
-            await until(lambda: len(invalid_list.requests) >= 2)
+            faulty_discovery = await Peer(
+                says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")
+            ).start()
+            sidecar.discovery.move(("127.0.0.1", faulty_discovery.port))
+            await until(lambda: len(faulty_discovery.requests) >= 2)
             assert await sidecar.ask(request()) == (200, b"hello")
-            invalid_list.server.close()
+            faulty_discovery.server.close()
 
     run(case())
 
@@ -470,9 +472,8 @@
             accepted = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: len(peer.requests) == 1)
             sidecar.listener.drain()
-            late = asyncio.create_task(
-                sidecar.ask(request(X_Call_Id="late"))
-            )  # new requests are still served
+            # New requests are still served during the drain.
+            late = asyncio.create_task(sidecar.ask(request(X_Call_Id="late")))
             await until(lambda: len(peer.requests) == 2)
             may_answer.set()
             assert await accepted == await late == (200, b"hello")
