--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -79,7 +79,7 @@
     writer.write(ANSWER)
 
 
-def answers_with(answer: bytes, cut: int = 0) -> Serve:
+def sends_answer(answer: bytes, cut: int = 0) -> Serve:
     """An endpoint that answers with these bytes, or only the first `cut` of them and then closes."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, server: Server) -> None:
@@ -153,7 +153,7 @@
     async def case() -> None:
         cut = len(answers[framing]) if framing == "close" else 0
         sidecar, _ = await start_sidecar(
-            answers_with(b"HTTP/1.1 102 Wait\r\n\r\n" + answers[framing], cut and cut + 21)
+            sends_answer(b"HTTP/1.1 102 Wait\r\n\r\n" + answers[framing], cut and cut + 21)
         )
         reader, writer = await sidecar.connect()
         writer.write(request())
@@ -171,7 +171,7 @@
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(BODY, 512)
 
     async def case() -> None:
-        sidecar, servers = await start_sidecar(answers_with(answer, cut), answers_with(answer, cut))
+        sidecar, servers = await start_sidecar(sends_answer(answer, cut), sends_answer(answer, cut))
         reader, writer = await sidecar.connect()
         writer.write(request())
         if cut > REPLAY_BUFFER_BYTES:
@@ -278,7 +278,7 @@
 def test_what_a_client_does_not_read_is_not_read_from_the_endpoint() -> None:
     async def case() -> None:
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB) + bytes(16 * MB)
-        sidecar, _ = await start_sidecar(answers_with(answer))
+        sidecar, _ = await start_sidecar(sends_answer(answer))
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port, limit=1024)
         writer.write(request())
         await until(
@@ -353,7 +353,7 @@
 def test_a_client_that_leaves_its_body_unsent_or_its_answer_unread_holds_nothing() -> None:
     async def case() -> None:
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB) + bytes(16 * MB)
-        sidecar, (server,) = await start_sidecar(answers_with(answer))
+        sidecar, (server,) = await start_sidecar(sends_answer(answer))
         _, writer = await sidecar.connect()
         writer.write(upload(8 * MB) + bytes(2 * MB))
         await until(lambda: bool(server.heads))
