--- a/garnethaven/engine/__init__.py
+++ b/garnethaven/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The engine: calls, their attempts and their one answer, whatever protocol brings or carries them."""
+"""The engine: calls, attempts and their single answer, independent of protocol."""
--- a/garnethaven/engine/account.py
+++ b/garnethaven/engine/account.py
@@ -1,6 +1,6 @@
-"""The account of requests: each one taken ends in exactly one of served, refused, failed, gone.
+"""Request counters: each request taken ends as exactly one of served, refused, failed and gone.
 
-A count may be read at any time: taken = served + refused + failed + gone + in flight, for each class.
+At any time, for each class: taken = served + refused + failed + gone + in flight.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    GONE = "gone"  # the client has left; nothing was owed any more
+    GONE = "gone"  # the client disconnected before its answer
 
 
 class Account:
-    """Counts since the process began; `classes` is how many classes the settings name.
+    """Counts since process start; `classes` is the number of classes in the settings.
 
-    A class's unsafe twin (engine.py) has the number of its class plus `classes`, and counts with it.
+    The twin of a class (`with_unsafe_twins` in engine.py) has the class's index plus `classes` and is counted
+    under its class.
     """
 
     def __init__(self, classes: int) -> None:
@@ -26,7 +27,7 @@
         self.ended: dict[End, list[int]] = {end: [0] * self.classes for end in End}
         self.taken = [0] * self.classes
         self.in_flight = 0
-        self.attempts = 0  # written whole to endpoints
+        self.attempts = 0  # requests fully written to endpoints
 
     def take(self, grade: int) -> None:
         self.taken[grade % self.classes] += 1
@@ -37,6 +38,6 @@
         self.in_flight -= 1
 
     def at_once(self, grade: int, end: End) -> None:
-        """Enter a request that was answered without being taken any further."""
+        """Count a request that is answered without becoming a pending call."""
         self.take(grade)
         self.end(grade, end)
--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -1,7 +1,7 @@
-"""What the engine, its fronts and its transports share: a call, an attempt, and who waits for an answer.
+"""Types shared by the engine, fronts and transports: `Call`, `Attempt` and `Client`.
 
-A *front* brings calls in and is told their one answer. A *transport* carries attempts and tells how they
-ended. Both know the engine; the engine knows them by these small interfaces only.
+A *front* accepts calls and receives exactly one answer for each. A *transport* carries attempts and reports
+their outcomes. Both import the engine; the engine uses them only through the protocols defined here.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class Client(Protocol):
-    """Who waits for a call's answer; a front's side of it. Called once, with one of these."""
+    """Receives a call's answer on behalf of a front. Exactly one method is called, once per call."""
 
     def refused(self, retry_after: int, over_share: bool) -> None:
-        """Trying again is harmless, after so many nanoseconds (0: nothing is advised).
+        """The request has not run and may be retried after `retry_after` nanoseconds (0: no advice).
 
-        `over_share` tells that the tenant sends more than its share, and was turned away before others.
+        `over_share`: the tenant sends more than its share and is therefore refused before others.
         """
 
     def failed(self, status: int) -> None:
-        """Nothing is promised: 504 where its time was over, 500 for a fault of our own, else 502."""
+        """The request may have run. Status: 504 at the deadline, 500 for an internal error, else 502."""
 
 
 class Attempt(Protocol):
@@ -32,28 +32,28 @@
     number: int
     sent_at: int  # nanoseconds
     over: bool
-    refused: bool  # the endpoint could not be reached, through no shortage of this side
-    hindered: bool  # it waits to begin because calls of this machine's own fail just now
+    refused: bool  # the endpoint could not be reached, and not for lack of a local resource
+    hindered: bool  # waits to start because local system calls are failing
 
     def start(self) -> None:
-        """Begin; every end is told by `Engine.attempt_ended`, also one that comes at once."""
+        """Start the attempt; its end is always reported to `Engine.attempt_ended`, even if immediate."""
 
     def give_up(self) -> bool:
-        """Stop, and tell whether the request had been sent whole and so may have run."""
+        """Stop; return whether the request was fully written and so may have run."""
 
     def written(self) -> bool:
-        """Whether the request has been sent whole: with less nothing of it has begun."""
+        """Whether the request is fully written; until then the endpoint has not started to run it."""
 
 
 class Transport(Protocol):
-    """What carries a call's attempts."""
+    """Carries the attempts of a call."""
 
     def attempt(self, call: Call, action: Send, limit: int, now: int) -> Attempt:
-        """One try of `call` at an endpoint, with `limit` nanoseconds at the most; not begun yet."""
+        """Create an attempt of `call`, with a timeout of `limit` nanoseconds, without starting it."""
 
 
 class Call:
-    """A request that a client waits for, from its last byte to its answer and its last attempt's end."""
+    """A client's request, from its acceptance until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "__weakref__",
@@ -81,19 +81,19 @@
 
     def __init__(self, client: Client, call_id: bytes, transport: Transport, request: Any = None) -> None:
         self.client = client
-        self.call_id = call_id  # the client's name for it; `id` is ours
+        self.call_id = call_id  # the client's id of the request; `id` is the engine's
         self.transport = transport
-        self.request = request  # what the transport needs of it; let go with the answer
+        self.request = request  # the transport's form of the request; released with the answer
         self.grade = self.caller = -1
         self.key = ""
-        self.tenant = ""  # as the client names itself, whether or not the settings do
-        self.dedup_key = b""  # by which servers drop its repeats; empty where its client gave none
+        self.tenant = ""  # as sent by the client, whether or not the settings name it
+        self.dedup_key = b""  # idempotency key by which servers drop repeats; empty if the client sent none
         self.repeat = False
         self.budget = self.deadline = self.taken_at = 0
         self.id = ""
-        self.attempts: list[Attempt | None] = []  # None: never sent
-        self.open = 0
+        self.attempts: list[Attempt | None] = []  # None: not sent by this process
+        self.open = 0  # attempts that have not ended
         self.answered = False
-        self.coming = False  # its last byte is not here yet
-        self.bound: Attempt | None = None  # whose answer goes to the client as it comes
-        self.prior: Prior | None = None  # an attempt of an earlier life, which counts as the first
+        self.coming = False  # the last byte of the request has not arrived
+        self.bound: Attempt | None = None  # the attempt whose answer is streaming to the client
+        self.prior: Prior | None = None  # an attempt made before this process started; counts as the first
--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -1,4 +1,4 @@
-"""Names on the wire and the module's numbers for them."""
+"""Maps class and tenant names on the wire to their indexes in the settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Classes:
-    """Finds a request's class and tenant by name."""
+    """Looks up classes and tenants by name."""
 
     def __init__(self, settings: Settings, names: Names) -> None:
         self.settings = settings
@@ -15,19 +15,19 @@
         self.tenants = numbered(names.tenants)
 
     def grade_of(self, name: str, keyed: bool) -> int | None:
-        """The class's number; of its unsafe twin where nothing may be repeated; None for no class."""
+        """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
         index = self.grades.get(name)
         if index is not None and self.settings.grades[index].effect is Effect.DEDUP and not keyed:
             index += len(self.grades)
         return index
 
     def tenant_of(self, name: str) -> int:
-        """The tenant's number, or -1 for one that the settings do not name."""
+        """The tenant's index, or -1 if the settings do not name it."""
         return self.tenants.get(name, -1)
 
 
 def key_of(query: bytes) -> str:
-    """What a request is about, where its query tells; as it was sent, so that all fronts place it alike."""
+    """The request's affinity key: the raw `user` query parameter, undecoded so that all fronts agree."""
     for part in query.split(b"&"):
         if part.startswith(b"user="):
             return part[5:].decode("latin-1")
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -1,15 +1,15 @@
-"""The one caller of the decision module: events go in through one queue, its actions are carried out.
+"""The only caller of the decision module: feeds it events through one queue and executes its actions.
 
-Nothing is decided here, and no protocol is known here. The clock, the timers, the calls and their attempts
-are kept here, so that each call gets exactly one answer whatever happens to the module, the endpoints or the
-client. Fronts bring calls, transports carry attempts (calls.py).
+The engine makes no decisions and contains no protocol code. It owns the clock, the timers, the calls and
+their attempts, so that each call gets exactly one answer even if the module, an endpoint or the client fails.
+Fronts deliver calls and transports carry attempts (calls.py).
 
-| a call is | until |
+| state of a call | meaning |
 | --- | --- |
-| taken | `take`; from here on it is owed one answer |
-| held | the module has it; attempts may be open |
-| answered | `_answer`, the only way there: served, refused, failed, or its client has left |
-| forgotten | it is answered and its last attempt has ended |
+| taken | `take` has accepted it; from now on it must get one answer |
+| pending | the module has it; attempts may be open |
+| answered | `_answer`, the only transition: served, refused, failed, or the client has left |
+| removed | it is answered and its last attempt has ended |
 """
 
 from __future__ import annotations
@@ -58,11 +58,11 @@
 
 MS = 1_000_000
 S = 1_000_000_000
-LOG_EVERY = S  # one line to stderr in this time
-# A call has its answer so long before its time is up, or this part of its time if that is less: the time
-# began with the client's sending, and an answer at its very end comes too late where this process is busy.
+MIN_LOG_INTERVAL = S  # at most one line to stderr per interval
+# A call is answered this long before its time budget ends, or `1 / ANSWER_MARGIN_DIVISOR` of the budget if
+# that is shorter: the client's budget starts when it sends, so an answer at its end is late on a busy host.
 ANSWER_MARGIN = 30 * MS
-ANSWER_MARGIN_PART = 20
+ANSWER_MARGIN_DIVISOR = 20
 
 
 class Prober(Protocol):
@@ -73,7 +73,7 @@
 
 
 class KeyedSends(Protocol):
-    """Where keyed requests may have run, also in a life before this one (state/)."""
+    """Records where keyed requests may have run, also before this process started (state/)."""
 
     def prior(self, call: Call) -> Prior | None: ...
     def sends(self, call: Call, endpoint: int) -> None: ...
@@ -81,14 +81,14 @@
 
 
 class Admission(Protocol):
-    """What is held to less than the module would take (tenants/)."""
+    """Rejects calls that the decision module alone would accept (tenants/)."""
 
     def turns_away(self, call: Call) -> int | None:
-        """None where the call may go on; else the nanoseconds after which its client may come again."""
+        """None if the call is admitted; else the nanoseconds after which its client may retry."""
 
 
 class Engine:
-    """One sidecar's decisions, carried out."""
+    """Executes the decisions of one sidecar."""
 
     def __init__(self, name: str, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.name = name
@@ -99,21 +99,23 @@
         self.queue: deque[Event] = deque()
         self.busy = False
         self.calls: dict[str, Call] = {}
-        self.open_ids: set[bytes] = set()  # of the requests that are owed an answer
+        self.open_ids: set[bytes] = set()  # of the requests that have no answer yet
         self.numbers = count(1)
         self.timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
-        self.timer_numbers = count()
-        self.alarm: asyncio.TimerHandle | None = None
-        self.alarm_at = 0
+        self.timer_sequence = count()
+        self.timer_handle: asyncio.TimerHandle | None = None
+        self.timer_handle_due = 0
         self.prober: Prober | None = None
         self.keyed: KeyedSends | None = None
         self.admission: Admission | None = None
         self.spending: Spending | None = None
-        self.watch: Callable[[], None] = lambda: None  # discovery's part, as the next
+        self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `contradicts`
         self.contradicts: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
         self.logged_at = 0
-        self.ends_at = 0  # of a planned end: by then every call has its answer; 0: none is near
-        self.carriers: dict[type[Action], Callable[[Any], None]] = {
+        self.ends_at = (
+            0  # monotonic time by which a draining process must have answered every call; 0: not draining
+        )
+        self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
             Send: self._send,
             Refuse: self._refuse,
             Fail: self._fail,
@@ -125,14 +127,16 @@
             Note: lambda action: self.log(action.text),
         }
 
-    # Events in, actions out
+    # Events and actions
 
     def start(self) -> None:
         self.post(Started())
 
     def post(self, event: Event) -> None:
-        """Hand an event to the module, after those that wait: an action that ends at once must not
-        re-enter it."""
+        """Append an event to the module's queue and process the queue.
+
+        Queued because an action that completes immediately must not re-enter the module.
+        """
         self.queue.append(event)
         if self.busy:
             return
@@ -146,13 +150,13 @@
     def _handle(self, event: Event) -> None:
         try:
             for action in self.balancer.handle(time.monotonic_ns(), event):
-                self.carriers[type(action)](action)
-        except Exception:  # a fault in one decision must not cost the other clients their answers
+                self.action_handlers[type(action)](action)
+        except Exception:  # a fault in one decision must not leave other clients unanswered
             self.log(traceback.format_exc())
             self._recover(event)
 
     def _recover(self, event: Event) -> None:
-        """Give what the failed event concerned its answer; what the module forgot is asked for again."""
+        """Answer the failed event's call, and request the endpoint list again if a change may be lost."""
         if isinstance(event, Membership | TimerFired):
             self.at(time.monotonic_ns() + S, lambda _: self.watch(), None)
         call = self.calls.get(getattr(event, "id", ""))
@@ -162,7 +166,7 @@
                 self.post(ClientLeft(call.id))
 
     def oldest_s(self) -> float:
-        """How long the oldest request that is owed an answer has waited, in seconds."""
+        """Age of the oldest unanswered request, in seconds; 0 if there is none."""
         oldest = next((call for call in self.calls.values() if not call.answered), None)
         return (time.monotonic_ns() - oldest.taken_at) / S if oldest is not None else 0.0
 
@@ -170,36 +174,37 @@
         self.says(text)
 
     def says(self, text: str) -> bool:
-        """Write one line, unless there was one within `LOG_EVERY`; whether it was written."""
+        """Write one line unless one was written within `MIN_LOG_INTERVAL`; return whether it was written."""
         now = time.monotonic_ns()
-        if now - self.logged_at < LOG_EVERY:
+        if now - self.logged_at < MIN_LOG_INTERVAL:
             return False
         self.logged_at = now
         return write_line(f"garnethaven {self.name}: {text}")
 
     # Timers
 
-    def at(self, due: int, call: Callable[[Any], None], argument: Any) -> None:
-        heappush(self.timers, (due, next(self.timer_numbers), call, argument))
-        if self.alarm is None or due < self.alarm_at:
-            self._arm(due)
-
-    def _arm(self, due: int) -> None:
-        if self.alarm is not None:
-            self.alarm.cancel()
-        self.alarm_at = due
-        # The loop's timers count whole milliseconds; one too early would only be set again.
+    def at(self, due: int, callback: Callable[[Any], None], argument: Any) -> None:
+        """Call `callback(argument)` at the monotonic time `due`, in nanoseconds."""
+        heappush(self.timers, (due, next(self.timer_sequence), callback, argument))
+        if self.timer_handle is None or due < self.timer_handle_due:
+            self._schedule_timers(due)
+
+    def _schedule_timers(self, due: int) -> None:
+        if self.timer_handle is not None:
+            self.timer_handle.cancel()
+        self.timer_handle_due = due
+        # The loop's timers have millisecond resolution; half a millisecond is added so that none fires early.
         delay = max(0, due - time.monotonic_ns()) / S + 0.0005
-        self.alarm = self.loop.call_later(delay, self._ring)
+        self.timer_handle = self.loop.call_later(delay, self._run_due_timers)
 
-    def _ring(self) -> None:
-        self.alarm = None
+    def _run_due_timers(self) -> None:
+        self.timer_handle = None
         now = time.monotonic_ns()
         while self.timers and self.timers[0][0] <= now:
-            _, _, call, argument = heappop(self.timers)
-            call(argument)
-        if self.timers and (self.alarm is None or self.timers[0][0] < self.alarm_at):
-            self._arm(self.timers[0][0])
+            _, _, callback, argument = heappop(self.timers)
+            callback(argument)
+        if self.timers and (self.timer_handle is None or self.timers[0][0] < self.timer_handle_due):
+            self._schedule_timers(self.timers[0][0])
 
     def _set_timer(self, action: SetTimer) -> None:
         self.at(time.monotonic_ns() + action.delay, self._fire, action.token)
@@ -210,26 +215,28 @@
     # Requests
 
     def take(self, call: Call) -> bool:
-        """A whole request has come: from here on it is owed one answer.
+        """Accept a request, which from now on must get exactly one answer.
 
-        False where its id is that of a request under way: endpoints know requests by their ids, and
-        would take one for the other's second copy.
+        Returns False if a request with the same id is in progress: endpoints identify requests by id and
+        would treat one as a duplicate of the other.
         """
         if call.call_id in self.open_ids:
             return False
         self.open_ids.add(call.call_id)
         call.id = str(next(self.numbers))
         self.calls[call.id] = call
-        if call.coming:  # its time runs from its last byte
-            self._runs_for(call, COMING_MOST)
+        if call.coming:  # its time budget starts at its last byte
+            self._set_deadline(call, COMING_MOST)
         else:
             self.account.take(call.grade)
-            self._runs_for(call, call.budget)
+            self._set_deadline(call, call.budget)
         if call.dedup_key and call.prior is None and self.keyed is not None:
             call.prior = self.keyed.prior(call)
         if call.prior is not None:
-            call.attempts.append(None)  # the module counts it as the first
-        elif self._turned_away(call):  # not what may have run: it was admitted, and can't be refused
+            call.attempts.append(None)  # the module counts the prior attempt as the first one
+        elif self._refused_by_fleet_limits(
+            call
+        ):  # a request that may have run was admitted before and can't be refused
             return True
         self.post(
             Request(
@@ -238,8 +245,8 @@
         )
         return True
 
-    def _turned_away(self, call: Call) -> bool:
-        """Whether a budget or an allowance of the whole fleet has no room for it; it is refused then."""
+    def _refused_by_fleet_limits(self, call: Call) -> bool:
+        """Refuse the call if a fleet-wide budget or allowance is exhausted; return whether it was refused."""
         if self.admission is not None:
             wait = self.admission.turns_away(call)
             if wait is not None:
@@ -249,60 +256,60 @@
             if not call.repeat:
                 self.spending.first_try()
             elif not self.spending.may_spend(Spend.RETRY):
-                most = self.settings.max_retry_after
-                self._answer(call, lambda: call.client.refused(most, False), End.REFUSED)
+                max_wait = self.settings.max_retry_after
+                self._answer(call, lambda: call.client.refused(max_wait, False), End.REFUSED)
                 return True
         return False
 
     def whole(self, call: Call) -> None:
-        """The last byte of a request that was taken while it came is here: its time begins."""
+        """The last byte of a request that was taken early has arrived: start its time budget."""
         if call.answered or not call.coming:
             return
         call.coming = False
         self.account.take(call.grade)
-        self._runs_for(call, call.budget)
+        self._set_deadline(call, call.budget)
 
-    def _runs_for(self, call: Call, span: int) -> None:
-        """From now on the call has so many nanoseconds."""
+    def _set_deadline(self, call: Call, span: int) -> None:
+        """Set the call's deadline `span` nanoseconds from now, less the answer margin."""
         call.taken_at = time.monotonic_ns()
         if self.ends_at:
             span = max(0, min(span, self.ends_at - call.taken_at))
             call.budget = min(call.budget, span)
-        call.deadline = call.taken_at + span - min(ANSWER_MARGIN, span // ANSWER_MARGIN_PART)
-        self.at(call.deadline, self._time_is_up, call)
+        call.deadline = call.taken_at + span - min(ANSWER_MARGIN, span // ANSWER_MARGIN_DIVISOR)
+        self.at(call.deadline, self._expire, call)
 
     def end_by(self, seconds: float) -> None:
-        """Owe no answer any more after so many seconds: this process ends then."""
+        """Answer every call within `seconds`, after which this process exits."""
         self.ends_at = time.monotonic_ns() + int(seconds * S)
         for call in self.calls.values():
             call.deadline = min(call.deadline, self.ends_at)
-            self.at(call.deadline, self._time_is_up, call)
+            self.at(call.deadline, self._expire, call)
 
     def began(self, attempt: Attempt) -> bool:
-        """An answer is about to go to the client as it comes: from here on this attempt is the client's.
+        """Start streaming this attempt's answer to the client and cancel the call's other attempts.
 
-        False where the client has its answer already, or another attempt's has begun.
+        Returns False if the client has its answer already or another attempt is streaming.
         """
         call = attempt.call
         if call.answered or call.bound is not None:
             return False
         call.bound = attempt
         self.post(StreamBegan(call.id, attempt.number))
-        self._cancel_open(call, but=attempt)
+        self._cancel_open(call, keep=attempt)
         return True
 
     def left(self, call: Call, end: End = End.GONE) -> None:
-        """The client has gone away, or is shown out by its front; nothing is owed any more."""
+        """The client has disconnected, or its front has closed the call; no answer is needed any more."""
         if call.answered:
             return
         self._answer(call, lambda: None, end)
-        if call.coming or call.bound is not None:  # the module does not withdraw these
+        if call.coming or call.bound is not None:  # the module does not cancel these attempts
             self._cancel_open(call)
         self.post(ClientLeft(call.id))
-        self._withdraw(call)
+        self._cancel_unsent(call)
 
-    def _answer(self, call: Call, say: Callable[[], None], end: End) -> None:
-        """The only way to a client's final answer."""
+    def _answer(self, call: Call, send_answer: Callable[[], None], end: End) -> None:
+        """Record and send the final answer; nothing else may answer a client."""
         if call.answered:
             return
         call.answered = True
@@ -314,44 +321,48 @@
         self.open_ids.discard(call.call_id)
         if not call.open:
             self._forget(call)
-        say()
+        send_answer()
 
-    def _withdraw(self, call: Call) -> None:
-        """End what has not been sent whole, once nobody waits: nothing may begin after the final answer.
+    def _cancel_unsent(self, call: Call) -> None:
+        """Cancel an answered call's attempts that are not fully sent, so that none starts after the answer.
 
-        Also where running work is not to be cancelled, which the module decides: this is none yet.
+        This also holds for classes whose running work the module does not cancel: these attempts have not
+        started to run.
         """
         for attempt in call.attempts if call.answered and call.open else ():
             if attempt is not None and not attempt.over and not attempt.written():
                 self.cancel(attempt)
 
     def _forget(self, call: Call) -> None:
-        """Answered, and nothing of it is out: a timer may hold the call for a while, but not its parts."""
+        """Remove an answered call without open attempts.
+
+        A timer may reference the call for a while longer; its attempts are released now.
+        """
         self.calls.pop(call.id, None)
         call.attempts = []
 
     def _refuse(self, action: Refuse) -> None:
         call = self.calls.get(action.id)
         if call is not None:
-            say = lambda: call.client.refused(action.retry_after, action.over_share)  # noqa: E731
-            self._answer(call, say, End.REFUSED)
-            self._withdraw(call)
+            send_refusal = lambda: call.client.refused(action.retry_after, action.over_share)  # noqa: E731
+            self._answer(call, send_refusal, End.REFUSED)
+            self._cancel_unsent(call)
 
     def _fail(self, action: Fail) -> None:
         call = self.calls.get(action.id)
         if call is not None:
             late = time.monotonic_ns() >= call.deadline
             self._answer(call, lambda: call.client.failed(504 if late else 502), End.FAILED)
-            self._withdraw(call)
+            self._cancel_unsent(call)
 
-    def _time_is_up(self, call: Call) -> None:
+    def _expire(self, call: Call) -> None:
         if call.bound is not None or time.monotonic_ns() < call.deadline:
-            return  # the answer has begun, or the request was not whole yet when this was set
+            return  # the answer is streaming, or the deadline moved when the request became complete
         for attempt in call.attempts:
             if attempt is not None and not attempt.over:
                 self._time_out(attempt)
         if not call.answered:
-            # Held with nothing under way: the module was not told of its end by any attempt.
+            # Pending without open attempts: no attempt has reported an end to the module.
             self._answer(call, lambda: call.client.failed(504), End.FAILED)
             self.post(ClientLeft(call.id))
 
@@ -362,10 +373,10 @@
         if call is None:
             return
         now = time.monotonic_ns()
-        left = call.deadline - now
-        limit = min(action.limit, left) if action.limit else left
-        skipped = call.answered or limit <= 0 or len(call.attempts) >= self.settings.max_attempts
-        if skipped or (call.attempts and not self._may_repeat(call)):
+        remaining = call.deadline - now
+        limit = min(action.limit, remaining) if action.limit else remaining
+        skip = call.answered or limit <= 0 or len(call.attempts) >= self.settings.max_attempts
+        if skip or (call.attempts and not self._may_send_another(call)):
             number = len(call.attempts)
             call.attempts.append(None)
             self.post(AttemptEnded(call.id, number, action.endpoint, Outcome.SKIPPED, final=call.answered))
@@ -375,21 +386,23 @@
         attempt = call.transport.attempt(call, action, limit, now)
         call.attempts.append(attempt)
         call.open += 1
-        if limit < left:
-            for one in call.attempts:  # those before it too: they could begin after this one is forgotten
-                if one is not None and not one.over:
-                    self.at(now + limit, self._time_out, one)
+        if limit < remaining:
+            for (
+                earlier
+            ) in call.attempts:  # earlier ones too: they could start after this one has been removed
+                if earlier is not None and not earlier.over:
+                    self.at(now + limit, self._time_out, earlier)
         attempt.start()
 
-    def _may_repeat(self, call: Call) -> bool:
-        """Whether the budget of the whole fleet has room for one more attempt of this call."""
+    def _may_send_another(self, call: Call) -> bool:
+        """Whether the fleet-wide budget allows one more attempt of this call."""
         if self.spending is None:
             return True
         return self.spending.may_spend(Spend.COPY if call.open else Spend.RETRY)
 
     def _time_out(self, attempt: Attempt) -> None:
         if not attempt.over and attempt is not attempt.call.bound:
-            # What has not been written whole cannot have run.
+            # A request that has not been fully written cannot have run.
             never_ran = Outcome.SKIPPED if attempt.hindered else Outcome.CONNECT_FAILED
             written = attempt.give_up()
             self.attempt_ended(attempt, Outcome.TIMED_OUT if written else never_ran)
@@ -400,13 +413,13 @@
         if attempt is not None and not attempt.over:
             self.cancel(attempt)
 
-    def _cancel_open(self, call: Call, but: Attempt | None = None) -> None:
+    def _cancel_open(self, call: Call, keep: Attempt | None = None) -> None:
         for attempt in call.attempts:
-            if attempt is not None and attempt is not but and not attempt.over:
+            if attempt is not None and attempt is not keep and not attempt.over:
                 self.cancel(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt that is open and of no use any more."""
+        """Cancel an open attempt whose result is no longer needed."""
         attempt.give_up()
         self.attempt_ended(attempt, Outcome.CANCELLED)
 
@@ -417,7 +430,7 @@
         report: tuple[float, ...] = (),
         say: Callable[[], None] | None = None,
     ) -> None:
-        """Tell the module how an attempt ended; an answer that serves goes to the client first."""
+        """Report an attempt's outcome to the module; `say`, if set, first sends the answer to the client."""
         call = attempt.call
         call.open -= 1
         if call.dedup_key and outcome in NEVER_RAN and self.keyed is not None:
@@ -433,7 +446,7 @@
             call.id, attempt.number, attempt.endpoint, outcome, duration, call.answered, report
         )
         self.post(ended)
-        self._withdraw(call)
+        self._cancel_unsent(call)
 
     # Probes and idle connections
 
@@ -448,6 +461,6 @@
 
 
 def with_unsafe_twins(settings: Settings) -> Settings:
-    """Add to each class one of the strictest treatment, for a request that came without its key."""
+    """Add for each class a twin that allows no repeats, for requests without an idempotency key."""
     twins = tuple(replace(grade, effect=Effect.FRAGILE) for grade in settings.grades)
     return replace(settings, grades=settings.grades + twins)
--- a/garnethaven/engine/outcomes.py
+++ b/garnethaven/engine/outcomes.py
@@ -1,4 +1,4 @@
-"""What an endpoint's answer tells of the attempt, whatever protocol brought it."""
+"""Maps an endpoint's status to the outcome of the attempt, for all protocols."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def outcome_of(status: int, rejected: bool) -> Outcome:
-    """The outcome of an HTTP status; `rejected` is the mark that the request never ran."""
+    """The outcome for an HTTP status; `rejected`: the endpoint marked the request as never run."""
     if status == 200:
         return Outcome.DONE
     if status in (503, 504) and rejected:
--- a/garnethaven/engine/spending.py
+++ b/garnethaven/engine/spending.py
@@ -1,4 +1,4 @@
-"""What is done again, ahead or out of turn, and may be bounded over the whole fleet (budgets/)."""
+"""Extra work (retries, hedges, probes, dials, discovery calls) that fleet-wide budgets limit (budgets/)."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Spend(IntEnum):
-    """Each on its own budget; the number is the same in all versions, for members tell it one another."""
+    """Kinds of extra work, each with its own budget. Members exchange the numbers, so they never change."""
 
-    RETRY = 1  # a client's marked one, or a repeat of the module's own
-    COPY = 2  # a second copy beside an attempt that is open
-    PROBE = 3  # of one server
-    COLD_DIAL = 4  # to one server that has just started
-    DISCOVERY = 5  # a call out of turn
+    RETRY = 1  # a request that the client marks as a retry, or a retry by the decision module
+    COPY = 2  # a hedge: another attempt while one is open
+    PROBE = 3  # of one endpoint
+    COLD_DIAL = 4  # a connection to one server that has just started
+    DISCOVERY = 5  # a discovery call ahead of schedule
 
 
 class Spending(Protocol):
-    """Asked before each; answered at once. Where nobody is asked, each program's own bounds hold alone."""
+    """Checked synchronously before each kind of extra work; without it only the local limits apply."""
 
     def may_spend(self, kind: Spend, subject: int = 0) -> bool:
-        """Whether it may be done; `subject` is the server where a budget is for one."""
+        """Whether the budget allows it; `subject` is the endpoint for kinds with a budget per endpoint."""
 
     def first_try(self) -> None:
-        """A first try was taken: it earns a share of a retry and of a copy."""
+        """Credit the retry and hedge budgets for a request that is not a retry."""
