--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -112,9 +112,8 @@
         self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `contradicts`
         self.contradicts: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
         self.logged_at = 0
-        self.ends_at = (
-            0  # monotonic time by which a draining process must have answered every call; 0: not draining
-        )
+        # Monotonic time by which a draining process must have answered every call; 0: no such time is set.
+        self.ends_at = 0
         self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
             Send: self._send,
             Refuse: self._refuse,
@@ -234,9 +233,8 @@
             call.prior = self.keyed.prior(call)
         if call.prior is not None:
             call.attempts.append(None)  # the module counts the prior attempt as the first one
-        elif self._refused_by_fleet_limits(
-            call
-        ):  # a request that may have run was admitted before and can't be refused
+        # A call with a prior attempt is not checked: it was admitted before and may have run already.
+        elif self._refused_by_fleet_limits(call):
             return True
         self.post(
             Request(
@@ -387,11 +385,10 @@
         call.attempts.append(attempt)
         call.open += 1
         if limit < remaining:
-            for (
-                earlier
-            ) in call.attempts:  # earlier ones too: they could start after this one has been removed
-                if earlier is not None and not earlier.over:
-                    self.at(now + limit, self._time_out, earlier)
+            # All open attempts time out: an earlier one could still start after this one has ended.
+            for open_attempt in call.attempts:
+                if open_attempt is not None and not open_attempt.over:
+                    self.at(now + limit, self._time_out, open_attempt)
         attempt.start()
 
     def _may_send_another(self, call: Call) -> bool:
