--- a/garnethaven/__main__.py
+++ b/garnethaven/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: configuration, event loop, signals, exit code."""
+"""Command line of the sidecar: configuration, event loop, signals and exit code."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 import uvloop
 
-from garnethaven.app.operator import Operator, OperatorError, named_file, read_operator
+from garnethaven.app.operator import Operator, OperatorError, operator_path, read_operator
 from garnethaven.app.sidecar import Sidecar
 from garnethaven.config import Config, ConfigError, read_config
 
-YOUNG_OBJECTS = 10_000  # collected in this many; nearly all objects end by their counts
+GC_THRESHOLD = 10_000  # young-generation threshold; reference counts free nearly all objects
 CHECK, TABLES, CERTS, PEERS = "check", "tables", "certs", "peers"
 
 
@@ -30,31 +30,31 @@
 
 
 def spare_collections() -> None:
-    """Set the collector for a process whose objects nearly all end by their counts."""
+    """Make garbage collections rare and short: reference counts free nearly all objects of this process."""
     gc.collect()
-    gc.freeze()  # what is here now stays: no collection needs to look at it
-    gc.set_threshold(YOUNG_OBJECTS, 10, 10)
+    gc.freeze()  # objects that exist now stay: exclude them from collections
+    gc.set_threshold(GC_THRESHOLD, 10, 10)
 
 
 def reload(sidecar: Sidecar, path: str | None) -> None:
-    """Read both files as they are now; where one is bad nothing changes."""
+    """Read both files again and apply the changes; if either is invalid, nothing changes."""
     try:
         config = read_config(os.environ, anew=True)
         operator = read_operator(path)
     except (ConfigError, OperatorError) as problem:
         sidecar.engine.log(f"the old configuration is kept: {problem}")
         return
-    waits = sidecar.reload(config, operator)
-    said = "configuration read anew, discovery at {}:{}".format(*config.discovery)
-    sidecar.engine.log(said + "".join(f"; {name} waits for a restart" for name in waits))
+    needing_restart = sidecar.reload(config, operator)
+    message = "configuration read anew, discovery at {}:{}".format(*config.discovery)
+    sidecar.engine.log(message + "".join(f"; {name} waits for a restart" for name in needing_restart))
 
 
 def check(path: str) -> int:
-    """Tell whether an operator's file is good, or all that is wrong with it."""
+    """Validate an operator's file and print every problem; returns the exit code."""
     try:
         read_operator(path)
-    except OperatorError as wrong:
-        for problem in wrong.problems:
+    except OperatorError as error:
+        for problem in error.problems:
             print(f"garnethaven: {problem}", file=sys.stderr)
         return 2
     print(f"{path} is good")
@@ -62,34 +62,34 @@
 
 
 def show_tables(names: list[str]) -> int:
-    """Print the declared tables as the operators' pages hold them; of all features where none is named."""
-    from garnethaven.app.registry import PACKAGES, table_of
-    from garnethaven.tables import described
+    """Print the tables of the named features, or of all, as Markdown for the operators' pages."""
+    from garnethaven.app.registry import PACKAGES, table_type
+    from garnethaven.tables import markdown_tables
 
     unknown = [name for name in names if name not in PACKAGES]
     if unknown:
         raise OperatorError([f"there is no table {name!r}" for name in unknown])
-    print("\n\n".join("\n".join(described(table_of(name), name)) for name in names or PACKAGES))
+    print("\n\n".join("\n".join(markdown_tables(table_type(name), name)) for name in names or PACKAGES))
     return 0
 
 
 def main(arguments: list[str] | None = None) -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a loop to handle it
-    words = sys.argv[1:] if arguments is None else arguments
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the event loop handles it
+    argv = sys.argv[1:] if arguments is None else arguments
     try:
-        if words[:1] == [CHECK] and len(words) == 2:
-            return check(words[1])
-        if words[:1] == [CERTS]:
+        if argv[:1] == [CHECK] and len(argv) == 2:
+            return check(argv[1])
+        if argv[:1] == [CERTS]:
             from garnethaven.keys.command import main as certs
 
-            return certs(words[1:])
-        if words[:1] == [PEERS]:
+            return certs(argv[1:])
+        if argv[:1] == [PEERS]:
             from garnethaven.peers.command import main as peers
 
-            return peers(words[1:])
-        if words[:1] == [TABLES]:
-            return show_tables(words[1:])
-        path = named_file(words, os.environ)
+            return peers(argv[1:])
+        if argv[:1] == [TABLES]:
+            return show_tables(argv[1:])
+        path = operator_path(argv, os.environ)
         operator = read_operator(path)
         uvloop.run(serve(read_config(os.environ), operator, path))
     except (ConfigError, OperatorError) as problem:
--- a/garnethaven/addresses.py
+++ b/garnethaven/addresses.py
@@ -1,4 +1,4 @@
-"""Where something listens: an IPv4 address and a port. There is no DNS."""
+"""Parsing of addresses: an IPv4 address and a port. Host names are not supported."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 Address = tuple[str, int]
 
-MAX_PORT_DIGITS = 5  # also because a number of thousands of digits is an error to read
+MAX_PORT_DIGITS = 5  # also bounds the text passed to int(), which raises for thousands of digits
 
 
 def parse_address(text: object) -> Address | None:
-    """An IP address and a port, or None."""
+    """Parse `ADDRESS:PORT`; None if the text has another form."""
     if not isinstance(text, str):
         return None
-    host, mark, port = text.rpartition(":")
-    if not mark or not (port.isascii() and port.isdigit()) or len(port) > MAX_PORT_DIGITS:
+    host, separator, port = text.rpartition(":")
+    if not separator or not (port.isascii() and port.isdigit()) or len(port) > MAX_PORT_DIGITS:
         return None
     if not 0 < int(port) < 65536:
         return None
--- a/garnethaven/app/__init__.py
+++ b/garnethaven/app/__init__.py
@@ -1,1 +1,1 @@
-"""Where the parts are put together; nothing imports this package."""
+"""Assembles the program from its parts; no other package imports this one."""
--- a/garnethaven/app/registry.py
+++ b/garnethaven/app/registry.py
@@ -1,4 +1,4 @@
-"""The features that there are, by their tables; a package is imported only where its table is asked for."""
+"""All features, by the name of their table; a feature's package is imported only when it is requested."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from garnethaven.parts import Parts
     from garnethaven.tables import Table
 
-# In the order in which they are made and opened.
+# Features are created and opened in this order.
 PACKAGES = {
     "state": "garnethaven.state",
     "peers": "garnethaven.peers",
@@ -24,13 +24,13 @@
 }
 
 
-def table_of(name: str) -> type[Table]:
-    """The type of a table; its defaults mean that the feature is off."""
-    kind: type[Table] = importlib.import_module(f"{PACKAGES[name]}.table").TABLE
-    return kind
+def table_type(name: str) -> type[Table]:
+    """The class of a table; its defaults mean that the feature is off."""
+    table_class: type[Table] = importlib.import_module(f"{PACKAGES[name]}.table").TABLE
+    return table_class
 
 
-def feature_of(name: str, table: Table, parts: Parts) -> Feature[Any, Any]:
-    """Raises ModuleNotFoundError where a package of its extra is missing."""
-    made: Feature[Any, Any] = importlib.import_module(f"{PACKAGES[name]}.feature").FEATURE(table, parts)
-    return made
+def make_feature(name: str, table: Table, parts: Parts) -> Feature[Any, Any]:
+    """Create a feature; raises ModuleNotFoundError if an optional dependency is not installed."""
+    feature: Feature[Any, Any] = importlib.import_module(f"{PACKAGES[name]}.feature").FEATURE(table, parts)
+    return feature
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -1,4 +1,4 @@
-"""One program put together: engine, transport, discovery, listener, and the features that are switched on."""
+"""The assembled program: engine, transport, discovery, listener and the enabled features."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from garnethaven.app.registry import feature_of, table_of
+from garnethaven.app.registry import make_feature, table_type
 from garnethaven.config import Config
 from garnethaven.engine.engine import Engine, S
 from garnethaven.limits.budgets import Descriptors
@@ -24,11 +24,11 @@
     from garnethaven.app.operator import Operator
     from garnethaven.feature import Feature
 
-LOOK_S = 1.0  # between two looks at the limits for the log
+LIMITS_LOG_INTERVAL_S = 1.0  # between two checks of the limits for the log
 
 
 class Sidecar:
-    """Listens from its making on; `start` opens what the operator's file switches on."""
+    """Listens as soon as it is created; `start` opens the features that the operator's file enables."""
 
     def __init__(self, config: Config, operator: Operator, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
@@ -37,10 +37,10 @@
         self.engine = Engine(config.name, config.settings, config.seed, loop)
         self.parts = parts = Parts(config, loop, self.engine, Pool, self.report, config.known)
         self.features: dict[str, Feature[Any, Any]] = {
-            name: feature_of(name, table, parts) for name, table in operator.items()
+            name: make_feature(name, table, parts) for name, table in operator.items()
         }
         self.transport = parts.transport = HttpTransport(
-            self.engine, config.settings, loop, self._endpoints_most, config.memory_mb, parts.make_pool
+            self.engine, config.settings, loop, self._max_endpoints, config.memory_mb, parts.make_pool
         )
         parts.learn = self.transport.learn
         for feature in self.features.values():
@@ -51,48 +51,50 @@
             self.ops.prepare()
         self.engine.start()
         self.discovery.start(parts.known)
-        parts.known.clear()  # it has been read: thousands of entries need not be held for the whole life
+        parts.known.clear()  # it has been read and may hold thousands of entries: free them
         config.known.clear()
         self.listener = parts.listener = Listener(
-            config, self.engine, self.transport, loop, self._clients_most
+            config, self.engine, self.transport, loop, self._max_clients
         )
-        self.ending: asyncio.Task[None] | None = None
-        self.line = LogLine()
-        self.look = loop.call_later(LOOK_S, self._look)
+        self.drain_task: asyncio.Task[None] | None = None
+        self.limits_log = LogLine()
+        self.limits_timer = loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
 
     def _make_ops(self) -> Ops | None:
-        """The operators' side, where the configuration names its address."""
+        """The operators' endpoint, if the configuration names its address; else None."""
         config = self.config
         if config.ops is None:
             return None
         shared = Shared(os.environ.get("TMPDIR"), config.name, self.engine.log)
         names = config.names.grades
-        return Ops(config.ops, self.engine, self.transport, shared, names, self._serves, self._beside)
+        return Ops(
+            config.ops, self.engine, self.transport, shared, names, self._accepts_clients, self._share_limits
+        )
 
-    def _serves(self) -> bool:
-        """Whether this process takes clients."""
+    def _accepts_clients(self) -> bool:
+        """Whether this process accepts clients."""
         return not self.listener.draining
 
-    def _beside(self, others: int) -> None:
-        """So many other processes of this sidecar live: all share its limits."""
+    def _share_limits(self, others: int) -> None:
+        """Divide the limits among this process and `others` further processes of the same sidecar."""
         self.descriptors.share(1 + others)
         self.transport.pool.memory.share(1 + others)
 
     async def start(self) -> None:
-        """Open the operators' address and the features; raises OSError where an address can't be had."""
+        """Open the operators' address and the features; raises OSError if an address cannot be bound."""
         if self.ops is not None:
             await self.ops.open()
         for feature in self.features.values():
             await feature.open()
 
-    # The planned end
+    # Draining
 
     def drain(self) -> None:
-        """Begin the planned end, of all fronts."""
-        if self.ending is None:
-            self.ending = self.loop.create_task(self._end())
+        """Start draining all fronts."""
+        if self.drain_task is None:
+            self.drain_task = self.loop.create_task(self._drain_all())
 
-    async def _end(self) -> None:
+    async def _drain_all(self) -> None:
         features = list(self.features.values())
         await asyncio.gather(*(feature.withdraw() for feature in features))
         self.listener.drain()
@@ -104,64 +106,64 @@
             self.ops.close()
 
     async def finished(self) -> None:
-        """Wait for the planned end."""
+        """Wait until the drain is complete."""
         await self.listener.finished
-        if self.ending is not None:
-            await self.ending
-        self.look.cancel()
+        if self.drain_task is not None:
+            await self.drain_task
+        self.limits_timer.cancel()
 
     # Reloads
 
     def reload(self, config: Config, operator: Operator) -> list[str]:
-        """Take over what may change while it runs; the names of what waits for a restart.
+        """Apply the changes that are possible at run time; return the fields whose change needs a restart.
 
-        A table that is new or has gone changes from or to its defaults, which mean off.
+        A table that was added or removed changes from or to its defaults, which mean off.
         """
-        waits: list[str] = []
+        needing_restart: list[str] = []
         for name in {**self.features, **operator}:
-            off = table_of(name)()
+            off = table_type(name)()
             if name not in self.features:
-                self.features[name] = feature_of(name, off, self.parts)
-            waits += self.features[name].renew(operator.get(name, off))
+                self.features[name] = make_feature(name, off, self.parts)
+            needing_restart += self.features[name].renew(operator.get(name, off))
         self.discovery.move(config.discovery)
-        return waits
+        return needing_restart
 
     # Figures
 
-    def _clients_most(self) -> int:
+    def _max_clients(self) -> int:
         return self.descriptors.clients(self.transport.pool.held())
 
-    def _endpoints_most(self) -> int:
+    def _max_endpoints(self) -> int:
         return self.descriptors.endpoints(self.listener.held())
 
-    def _look(self) -> None:
-        self.look = self.loop.call_later(LOOK_S, self._look)
-        line = self.line.due(self.figures(), self.loop.time())
-        if line is not None:
-            self.engine.log(line)
+    def _log_limits(self) -> None:
+        self.limits_timer = self.loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
+        message = self.limits_log.due(self.figures(), self.loop.time())
+        if message is not None:
+            self.engine.log(message)
 
     def report(self) -> dict[str, object]:
-        """For the operators' view: what acts, and the figures of all parts."""
+        """For the operators' view: the limits in force and the figures of all features."""
         features: Mapping[str, object] = {
-            name: told for name, feature in self.features.items() if (told := feature.figures())
+            name: values for name, feature in self.features.items() if (values := feature.figures())
         }
         return report(self.figures()) | {"features": features}
 
     def figures(self) -> Figures:
-        """What the limits are now."""
+        """The current limits and their use."""
         listener, fresh, pool = self.listener, self.discovery.fresh, self.transport.pool
         overload = self.engine.balancer.overload
-        held = listener.held()
+        clients = listener.held()
         return Figures(
-            clients_held=held,
-            clients_most=self._clients_most(),
+            clients_held=clients,
+            clients_most=self._max_clients(),
             client_places=listener.places.most,
             silent_clients=listener.never_asked,
-            pressure=round(listener.places.pressure(held), 3),
+            pressure=round(listener.places.pressure(clients), 3),
             returning=round(listener.places.returning, 3),
             ended_early=listener.places.ended_early,
             endpoints_held=pool.held(),
-            endpoints_most=self._endpoints_most(),
+            endpoints_most=self._max_endpoints(),
             answers_bytes=pool.memory.held,
             answers_most=pool.memory.most,
             list_age_s=round(fresh.age_s(self.loop.time()), 3),
--- a/garnethaven/config.py
+++ b/garnethaven/config.py
@@ -1,4 +1,4 @@
-"""What the deployment tells a sidecar, checked once at the start."""
+"""The deployment's configuration of a sidecar, read and validated at the start and at each reload."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from garnethaven.limits.budgets import LEAST, SPARE
 from garnethaven.settings import Names, SettingsError, read_names, read_settings
 
-MEMORY_LEAST_MB = 20  # the program has 14 MB when nothing is asked of it
+MIN_MEMORY_MB = 20  # an idle process uses 14 MB
 
 
 class ConfigError(Exception):
-    """The configuration is missing, unreadable or not as the deployment page says."""
+    """The configuration is missing, unreadable or invalid."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,76 +28,78 @@
     seed: int
     memory_mb: int
     sockets: int
-    known: dict[str, Any]  # the endpoint list as this sidecar last had it, in discovery's form
+    known: dict[str, Any]  # the last known endpoint list, in discovery's format
     settings: Settings
     names: Names
-    ops: Address | None = None  # where operators call; None: nowhere
+    ops: Address | None = None  # listening address for operators; None: not opened
 
 
 def read_config(environment: Mapping[str, str], anew: bool = False) -> Config:
-    """Read the file that NODE_CONFIG names; the other NODE_ variables win over what it says.
+    """Read the file that NODE_CONFIG names; the other NODE_ variables take precedence over its fields.
 
-    Not where it is read `anew`: the variables are those of the start, and older than the file.
+    With `anew` (a reload) the file takes precedence: the variables date from the start and are older.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError, RecursionError) as problem:
         raise ConfigError(f"{path} cannot be read: {problem}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise ConfigError(f"{path} does not hold an object")
     for name in ("name", "listen", "discovery", "ops"):
-        given = environment.get(f"NODE_{name.upper()}")
-        told[name] = (told.get(name) or given) if anew else (given or told.get(name))
-    limits = _field(told, "limits", dict)
-    facts = _field(told, "settings", dict)
+        from_environment = environment.get(f"NODE_{name.upper()}")
+        document[name] = (
+            (document.get(name) or from_environment) if anew else (from_environment or document.get(name))
+        )
+    limits = _field(document, "limits", dict)
+    raw_settings = _field(document, "settings", dict)
     try:
-        settings, names = read_settings(facts), read_names(facts)
+        settings, names = read_settings(raw_settings), read_names(raw_settings)
     except SettingsError as problem:
         raise ConfigError(str(problem)) from None
     if not settings.grades:
-        raise ConfigError("setting 'grades' names no class")
+        raise ConfigError("setting 'grades' is empty: at least one class is needed")
     return Config(
-        name=_field(told, "name", str),
-        listen=_address(told, "listen"),
-        discovery=_address(told, "discovery"),
-        seed=_seed(told),
-        memory_mb=_limit(limits, "memory_mb", MEMORY_LEAST_MB),
+        name=_field(document, "name", str),
+        listen=_address(document, "listen"),
+        discovery=_address(document, "discovery"),
+        seed=_seed(document),
+        memory_mb=_limit(limits, "memory_mb", MIN_MEMORY_MB),
         sockets=_limit(limits, "sockets", SPARE + 2 * LEAST),
-        known=_field(told, "known", dict),
+        known=_field(document, "known", dict),
         settings=settings,
         names=names,
-        ops=_address(told, "ops") if told.get("ops") is not None else None,
+        ops=_address(document, "ops") if document.get("ops") is not None else None,
     )
 
 
-def _field(told: dict[str, Any], name: str, kind: type) -> Any:
-    if not isinstance(told.get(name), kind):
-        raise ConfigError(f"'{name}' is missing or not of the right kind")
-    return told[name]
+def _field(document: dict[str, Any], name: str, expected_type: type) -> Any:
+    if not isinstance(document.get(name), expected_type):
+        raise ConfigError(f"'{name}' is missing or has the wrong type")
+    return document[name]
 
 
-def _address(told: dict[str, Any], name: str) -> Address:
-    address = parse_address(told.get(name))
+def _address(document: dict[str, Any], name: str) -> Address:
+    address = parse_address(document.get(name))
     if address is None:
-        raise ConfigError(f"'{name}' is not an address with a port: {told.get(name)!r}")
+        raise ConfigError(f"'{name}' is not an address with a port: {document.get(name)!r}")
     return address
 
 
-def _seed(told: dict[str, Any]) -> int:
+def _seed(document: dict[str, Any]) -> int:
     try:
-        return int(_field(told, "seed", str), 16)
+        return int(_field(document, "seed", str), 16)
     except ValueError:
-        raise ConfigError(f"'seed' is not a hexadecimal number: {told['seed']!r}") from None
+        raise ConfigError(f"'seed' is not a hexadecimal number: {document['seed']!r}") from None
 
 
-def _limit(limits: dict[str, Any], name: str, least: int) -> int:
+def _limit(limits: dict[str, Any], name: str, minimum: int) -> int:
     value = limits.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < math.inf:
         raise ConfigError(f"'limits.{name}' is not a positive number: {value!r}")
-    if value < least:
-        raise ConfigError(f"'limits.{name}' is too little to run in, which takes {least}: {value!r}")
+    if value < minimum:
+        raise ConfigError(f"'limits.{name}' is below the minimum of {minimum}: {value!r}")
     return int(value)
--- a/garnethaven/feature.py
+++ b/garnethaven/feature.py
@@ -1,17 +1,16 @@
-"""What a feature is: a part of the program that a table of the operator's file switches on.
+"""The base class of features: parts of the program that a table of the operator's file enables.
 
-`app/` makes the features whose tables are there, in the registry's order, and leads all of them through the
-same life:
+`app/` creates the features whose tables are present, in the registry's order. All have the same life cycle:
 
-| call | when | may |
+| call | when | purpose |
 | --- | --- | --- |
-| the constructor | before the transport is made | put a maker of its own into `parts.make_pool` |
-| `prepare` | before discovery is asked | put a receiver of its own into `parts.learn` |
-| `open` | the program listens | open addresses; OSError ends the start |
-| `renew` | at a reload | take over what it can, and name what waits for a restart |
-| `withdraw` | a planned end was asked for | wait, for a bounded time, before anything drains |
-| `drain` | then, beside the other fronts | end what it has taken, within a grace |
-| `close` | all fronts have ended | free what is left |
+| constructor | before the transport is created | may replace `parts.make_pool` |
+| `prepare` | before discovery starts | may replace `parts.learn` |
+| `open` | the program listens | opens addresses; an OSError aborts the start |
+| `renew` | at a reload | applies changes; returns the fields whose change needs a restart |
+| `withdraw` | a drain was requested | may wait, for a bounded time, before anything drains |
+| `drain` | next, concurrently with the other fronts | finishes accepted work within a grace period |
+| `close` | all fronts have ended | releases resources |
 """
 
 from __future__ import annotations
@@ -21,11 +20,11 @@
 from garnethaven.tables import Table, taken_over
 
 T = TypeVar("T", bound=Table)
-P = TypeVar("P")  # what a feature needs of parts.py
+P = TypeVar("P")  # the parts (parts.py) that the feature uses
 
 
 class Feature(Generic[T, P]):
-    """The base of all; a feature replaces what it needs. `table` is what is in force."""
+    """Base class; a feature overrides the methods it needs. `table` holds the settings in force."""
 
     name: ClassVar[str]
 
@@ -34,29 +33,29 @@
         self.parts = parts
 
     def prepare(self) -> None:
-        """The transport is there, discovery is not asked yet."""
+        """The transport exists; discovery has not started."""
 
     async def open(self) -> None:
-        """Open addresses; raises OSError where one can't be had."""
+        """Open addresses; raises OSError if one cannot be bound."""
 
     def renew(self, wanted: T) -> list[str]:
-        """Take over a new table; the fields, with the table's name, whose change waits for a restart."""
-        self.table, waiting = taken_over(self.table, wanted)
+        """Apply a reloaded table; return the qualified names of fields whose change needs a restart."""
+        self.table, needing_restart = taken_over(self.table, wanted)
         self.renewed()
-        return [f"{self.name}.{one}" for one in waiting]
+        return [f"{self.name}.{field}" for field in needing_restart]
 
     def renewed(self) -> None:
-        """`table` has changed."""
+        """Called after `table` was replaced."""
 
     async def withdraw(self) -> None:
-        """Before the fronts drain."""
+        """Called before the fronts drain."""
 
     async def drain(self, grace_s: float) -> None:
-        """Take nothing new, end what was taken."""
+        """Accept nothing new and finish what was accepted, within `grace_s` seconds."""
 
     async def close(self) -> None:
-        """Free what is left."""
+        """Release resources."""
 
     def figures(self) -> dict[str, Any]:
-        """For the operators' view."""
+        """Values for the operators' view."""
         return {}
--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -1,4 +1,7 @@
-"""What a program is made of, for its features. Made in `app/`, in this order; nothing is imported for it."""
+"""The parts of the program, as its features use them. `app/` creates them in the order of the fields.
+
+The types are imported for type checking only.
+"""
 
 from __future__ import annotations
 
@@ -22,47 +25,47 @@
 
 
 class Discovery(Protocol):
-    """The platform's list."""
+    """The client of the platform's discovery service, which provides the endpoint list."""
 
     fresh: FreshList
     clock_offset: int
 
 
 class Keeper(Protocol):
-    """Who owns a part of what outlives the process, in a form of its own (state/)."""
+    """Owns one section of the persisted state, in its own format (state/)."""
 
     def keep(self) -> bytes:
-        """What is to be kept; called between events, so it has to be quick."""
+        """Serialize the section. Called on the event loop, so it must be fast."""
 
     def take_back(self, kept: bytes, away_s: float) -> None:
-        """What an earlier life kept, so many seconds ago; raises ValueError where it can't be read."""
+        """Restore what an earlier process saved `away_s` seconds ago; raises ValueError if unreadable."""
 
 
 class PeerGroup(Protocol):
     """The members of `[peers]`, as other features use them (`PeersFeature`)."""
 
     table: Peers
-    peer: Peer | None  # this member; None while the operator's file gives it no address
-    after: list[Callable[[int], None]]  # called after each period with its time, in nanoseconds
-    period_s: float  # seconds between two exchanges
-    horizon_s: float  # seconds after which what a member said of itself no longer counts
+    peer: Peer | None  # this member; None while the operator's file names no address for it
+    after: list[Callable[[int], None]]  # called after each period with the time in nanoseconds
+    period_s: float  # between two exchanges, in seconds
+    horizon_s: float  # age in seconds at which a member's report is stale
 
     def listed(self) -> int:
-        """The number of members in the operator's file, this one included."""
+        """The number of members in the operator's file, including this one."""
 
 
 @dataclass
 class Parts:
-    """`make_pool` and `learn` may be replaced by a feature before they are used."""
+    """Shared with every feature. A feature may replace `make_pool` and `learn` before they are used."""
 
     config: Config
     loop: asyncio.AbstractEventLoop
     engine: Engine
     make_pool: MakePool
     figures: Callable[[], dict[str, object]]
-    known: dict[str, Any] = field(default_factory=dict)  # the list to begin with, in discovery's form
-    peers: PeerGroup | None = None  # where members know of one another
-    keepers: dict[str, Keeper] = field(default_factory=dict)  # by the part of the state that each owns
+    known: dict[str, Any] = field(default_factory=dict)  # the initial endpoint list, in discovery's format
+    peers: PeerGroup | None = None  # set by the feature `[peers]`
+    keepers: dict[str, Keeper] = field(default_factory=dict)  # by section of the persisted state
     transport: HttpTransport = field(init=False)
     learn: Learn = field(init=False)
     discovery: Discovery = field(init=False)
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -1,12 +1,11 @@
-"""How a package declares its table of the operator's file: once, with types, bounds, defaults and units.
+"""Declaration of tables of the operator's file, with types, bounds, defaults and units.
 
-A table is a frozen struct of msgspec's; each field is annotated with `said` or `bounded`. All else comes from
-the declaration: what `check` refuses (`read`), what a reload may take over (`taken_over`), and the tables of
-the operators' pages (`described`). Only packages that the operator's file switches on are declared, so
-msgspec is not imported where there is no file.
+A table is a frozen msgspec struct whose fields are annotated with `said` or `bounded`. Validation (`read`),
+the changes that a reload may apply (`taken_over`) and the tables of the operators' pages (`markdown_tables`)
+are all derived from the declaration. Only packages that the operator's file enables are imported, so msgspec
+is not imported without such a file.
 
-Every field has a default but those that a table can't do without; the table of a feature has only defaults,
-and they mean *off*.
+Only required fields have no default. All fields of a feature's own table have defaults, which mean *off*.
 """
 
 from __future__ import annotations
@@ -25,11 +24,11 @@
 
 
 class Table(msgspec.Struct, frozen=True):
-    """One table, or a table within one."""
+    """A table or a nested table."""
 
 
 class WrongFieldError(ValueError):
-    """A field that does not fit others; raised by a table's `__post_init__`."""
+    """A field is inconsistent with other fields; raised by a table's `__post_init__`."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"{field}: {problem}")
@@ -37,29 +36,29 @@
         self.problem = problem
 
 
-class Flaw(NamedTuple):
-    """What is wrong, and where: `limits.view`."""
+class FieldProblem(NamedTuple):
+    """A problem and the qualified name of its field, such as `limits.view`."""
 
     field: str
     problem: str
 
 
 def said(meaning: str, unit: str = "", waits: bool = False, wanted: str = "", **bounds: Any) -> Meta:
-    """What a field means; `waits`: a change waits for a restart; `wanted`: what it has to be, in words."""
+    """Field metadata; `waits`: a change needs a restart; `wanted`: valid values, as error messages say it."""
     extra = {"unit": unit, "waits": waits, "wanted": wanted}
     return Meta(description=meaning, extra=extra, **bounds)
 
 
 def bounded(low: float, high: float, meaning: str, unit: str = "", waits: bool = False) -> Meta:
-    """A number from `low` to `high`, both included."""
+    """Metadata of a numeric field with inclusive bounds."""
     return said(meaning, unit, waits, ge=low, le=high)
 
 
-# Values that TOML has no type for
+# Types that TOML does not have
 
 
 class At(tuple[str, int]):
-    """An address with a port."""
+    """An IPv4 address with a port."""
 
     default_port: ClassVar[int] = 0
     wanted: ClassVar[str] = "an address with a port"
@@ -75,7 +74,7 @@
 
 
 class Secret(bytes):
-    """A secret in hexadecimal; its representation does not show it."""
+    """A secret, written in hexadecimal; `repr` does not reveal it."""
 
     LEAST = 16
 
@@ -93,100 +92,108 @@
         return f"Secret({len(self)} bytes)"
 
 
-def _hook(kind: Any, value: object) -> object:
-    told: Callable[[object], object] | None = getattr(kind, "told", None)
-    if told is None:
-        raise NotImplementedError(f"no table may hold a {kind}")
-    return told(value)
+def _decode_hook(kind: Any, value: object) -> object:
+    decode: Callable[[object], object] | None = getattr(kind, "told", None)
+    if decode is None:
+        raise NotImplementedError(f"a table field cannot have the type {kind}")
+    return decode(value)
 
 
 # Reading
 
 
-def read(kind: type[T], told: object, name: str) -> tuple[T | None, list[Flaw]]:
-    """The table `name` as it stands in the file; None and all that is wrong with it where something is."""
-    if not isinstance(told, dict):
-        return None, [Flaw(name, "is not a table")]
+def read(kind: type[T], content: object, name: str) -> tuple[T | None, list[FieldProblem]]:
+    """Decode and validate the table `name`; returns the table or None, and all problems found."""
+    if not isinstance(content, dict):
+        return None, [FieldProblem(name, "is not a table")]
     declared = {field.encode_name: field for field in fields(kind)}
     known = ", ".join(sorted(declared))
-    flaws = [Flaw(f"{name}.{key}", f"is unknown; known are {known}") for key in told if key not in declared]
+    problems = [
+        FieldProblem(f"{name}.{key}", f"is unknown; known are {known}")
+        for key in content
+        if key not in declared
+    ]
     values: dict[str, Any] = {}
     for key, field in declared.items():
-        if key in told:
-            values[field.name], wrong = _value(field.type, told[key], f"{name}.{key}")
-            flaws += wrong
+        if key in content:
+            values[field.name], field_problems = _value(field.type, content[key], f"{name}.{key}")
+            problems += field_problems
         elif field.required:
-            flaws.append(Flaw(f"{name}.{key}", "is missing"))
-    if flaws:
-        return None, flaws
+            problems.append(FieldProblem(f"{name}.{key}", "is missing"))
+    if problems:
+        return None, problems
     try:
         return kind(**values), []
-    except WrongFieldError as wrong_field:
-        return None, [Flaw(f"{name}.{wrong_field.field}", wrong_field.problem)]
+    except WrongFieldError as error:
+        return None, [FieldProblem(f"{name}.{error.field}", error.problem)]
 
 
-def _value(kind: Any, told: object, name: str) -> tuple[Any, list[Flaw]]:
+def _value(kind: Any, content: object, name: str) -> tuple[Any, list[FieldProblem]]:
     plain = plain_type(kind)
     if _is_table(plain):
-        return read(plain, told, name)
-    item = _item(plain)
-    if item is not None and _is_table(item) and isinstance(told, list):
-        return _tables(item, told, name)
+        return read(plain, content, name)
+    item = _item_type(plain)
+    if item is not None and _is_table(item) and isinstance(content, list):
+        return _tables(item, content, name)
     try:
-        return msgspec.convert(told, kind, dec_hook=_hook), []
-    except msgspec.ValidationError as problem:
-        return None, [Flaw(name, _problem(kind, told, str(problem)))]
-
-
-def _tables(kind: type[Table], told: list[object], name: str) -> tuple[Any, list[Flaw]]:
-    made, flaws = [], []
-    for number, one in enumerate(told, start=1):
-        table, wrong = read(kind, one, name)
-        made.append(table)
-        for flaw in wrong:
-            inner = flaw.field.removeprefix(name).lstrip(".")
-            flaws.append(Flaw(name, f"entry {number}: '{inner}' {flaw.problem}" if inner else flaw.problem))
-    return tuple(made), flaws
-
-
-def _problem(kind: Any, told: object, said_of_it: str) -> str:
-    """What a value is not, in words for the file's author."""
+        return msgspec.convert(content, kind, dec_hook=_decode_hook), []
+    except msgspec.ValidationError as error:
+        return None, [FieldProblem(name, _describe_problem(kind, content, str(error)))]
+
+
+def _tables(kind: type[Table], entries: list[object], name: str) -> tuple[Any, list[FieldProblem]]:
+    tables, problems = [], []
+    for index, entry in enumerate(entries, start=1):
+        table, entry_problems = read(kind, entry, name)
+        tables.append(table)
+        for problem in entry_problems:
+            inner = problem.field.removeprefix(name).lstrip(".")
+            problems.append(
+                FieldProblem(
+                    name, f"entry {index}: '{inner}' {problem.problem}" if inner else problem.problem
+                )
+            )
+    return tuple(tables), problems
+
+
+def _describe_problem(kind: Any, content: object, error: str) -> str:
+    """The error text for an invalid value; `error` is msgspec's message."""
     meta, plain = meta_of(kind), plain_type(kind)
     wanted = meta.extra["wanted"] if meta is not None and meta.extra else ""
     if wanted:
-        return f"is not {wanted}: {told!r}"
+        return f"is not {wanted}: {content!r}"
     if get_origin(plain) is Literal:
-        return f"is not one of {', '.join(map(str, get_args(plain)))}: {told!r}"
-    if plain in (int, float) and _fits(plain, told) and meta is not None and meta.ge is not None:
-        return f"is not from {number(meta.ge)} to {number(meta.le or 0)}: {told!r}"
+        return f"is not one of {', '.join(map(str, get_args(plain)))}: {content!r}"
+    if plain in (int, float) and _is_number(plain, content) and meta is not None and meta.ge is not None:
+        return f"is not from {number(meta.ge)} to {number(meta.le or 0)}: {content!r}"
     names = {int: "a whole number", float: "a number", str: "a text", bool: "true or false"}
     if plain in names:
-        return f"is not {names[plain]}: {told!r}"
-    item = _item(plain)
+        return f"is not {names[plain]}: {content!r}"
+    item = _item_type(plain)
     if item is None:
-        return said_of_it.partition(" - at ")[0]
-    if not isinstance(told, list):
-        return f"is not an array: {told!r}"
-    where = said_of_it.partition(" - at `$")[2].rstrip("`")
-    return f"{where} {said_of_it.partition(' - at ')[0]}".strip()
+        return error.partition(" - at ")[0]
+    if not isinstance(content, list):
+        return f"is not an array: {content!r}"
+    location = error.partition(" - at `$")[2].rstrip("`")
+    return f"{location} {error.partition(' - at ')[0]}".strip()
 
 
-def _fits(plain: type, told: object) -> bool:
-    return not isinstance(told, bool) and isinstance(told, (int,) if plain is int else (int, float))
+def _is_number(plain: type, value: object) -> bool:
+    return not isinstance(value, bool) and isinstance(value, (int,) if plain is int else (int, float))
 
 
 def number(value: float) -> str:
-    """A number as the pages and errors show it."""
+    """Format a number for pages and error messages."""
     return f"{value:,}" if isinstance(value, int) and abs(value) >= 10_000 else f"{value:g}"
 
 
-# The declaration, looked at
+# Inspection of declarations
 
 
 def meta_of(kind: Any) -> Meta | None:
-    """What a field's annotation says."""
+    """The metadata in a field's annotation, if any."""
     if get_origin(kind) is Annotated:
-        return next((one for one in get_args(kind)[1:] if isinstance(one, Meta)), None)
+        return next((meta for meta in get_args(kind)[1:] if isinstance(meta, Meta)), None)
     for part in get_args(kind) if get_origin(kind) in (types.UnionType, Union) else ():
         if get_origin(part) is Annotated:
             return meta_of(part)
@@ -194,7 +201,7 @@
 
 
 def plain_type(kind: Any) -> Any:
-    """The type without annotation and without `None`."""
+    """The type without its annotation and without `None`."""
     while True:
         if get_origin(kind) is Annotated:
             kind = get_args(kind)[0]
@@ -204,7 +211,7 @@
             return kind
 
 
-def _item(plain: Any) -> Any:
+def _item_type(plain: Any) -> Any:
     return plain_type(get_args(plain)[0]) if get_origin(plain) is tuple else None
 
 
@@ -212,24 +219,25 @@
     return isinstance(plain, type) and issubclass(plain, Table)
 
 
-def waits(field: FieldInfo) -> bool:
+def needs_restart(field: FieldInfo) -> bool:
+    """Whether a change of the field takes effect only at a restart."""
     meta = meta_of(field.type)
     return bool(meta is not None and meta.extra and meta.extra["waits"])
 
 
-def taken_over(now: T, wanted: T) -> tuple[T, list[str]]:
-    """The table to go on with, and the fields whose change waits for a restart."""
-    waiting = [
+def taken_over(current: T, reloaded: T) -> tuple[T, list[str]]:
+    """The table in force after a reload, and the fields whose change needs a restart."""
+    unchanged = [
         field
-        for field in fields(now)
-        if waits(field) and getattr(now, field.name) != getattr(wanted, field.name)
+        for field in fields(current)
+        if needs_restart(field) and getattr(current, field.name) != getattr(reloaded, field.name)
     ]
-    kept = {field.name: getattr(now, field.name) for field in waiting}
-    return msgspec.structs.replace(wanted, **kept), [field.encode_name for field in waiting]
+    kept = {field.name: getattr(current, field.name) for field in unchanged}
+    return msgspec.structs.replace(reloaded, **kept), [field.encode_name for field in unchanged]
 
 
-def described(kind: type[Table], name: str) -> list[str]:
-    """The table as lines of Markdown, then those within it."""
+def markdown_tables(kind: type[Table], name: str) -> list[str]:
+    """Lines of Markdown that document the table and then its nested tables."""
     lines = [
         f"Table `[{name}]`:",
         "",
@@ -240,11 +248,11 @@
     for field in fields(kind):
         lines.append(_row(field))
         plain = plain_type(field.type)
-        item = _item(plain)
+        item = _item_type(plain)
         if _is_table(plain):
-            inner += ["", *described(plain, f"{name}.{field.encode_name}")]
+            inner += ["", *markdown_tables(plain, f"{name}.{field.encode_name}")]
         elif item is not None and _is_table(item):
-            inner += ["", *described(item, f"[{name}.{field.encode_name}]")]
+            inner += ["", *markdown_tables(item, f"[{name}.{field.encode_name}]")]
     return lines + inner
 
 
@@ -253,12 +261,12 @@
     extra = (meta.extra if meta is not None else None) or {"unit": "", "wanted": ""}
     bounds = ""
     if get_origin(plain) is Literal:
-        bounds = ", ".join(f"`{one}`" for one in get_args(plain))
+        bounds = ", ".join(f"`{choice}`" for choice in get_args(plain))
     elif meta is not None and meta.ge is not None:
         bounds = f"{number(meta.ge)} to {number(meta.le or 0)}"
     else:
         bounds = extra["wanted"] or getattr(plain, "wanted", "")
-    at_reload = "waits for a restart" if waits(field) else "taken over"
+    at_reload = "waits for a restart" if needs_restart(field) else "taken over"
     meaning = (meta.description if meta is not None else None) or ""
     cells = (f"`{field.encode_name}`", extra["unit"], _default(field), bounds, meaning, at_reload)
     return "| " + " | ".join(cells).replace("|  |", "| |") + " |"
@@ -276,4 +284,4 @@
         return str(value).lower()
     if isinstance(value, int | float):
         return number(value)
-    return ", ".join(f"`{one}`" for one in value) if isinstance(value, tuple) else f"`{value}`"
+    return ", ".join(f"`{item}`" for item in value) if isinstance(value, tuple) else f"`{value}`"
