--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -1,15 +1,15 @@
-"""Closing a listening socket without a reset for anybody who has connected to it.
-
-The kernel completes handshakes on its own: what waits in the backlog when a listening socket is closed is
-reset, with requests that its clients have written already. So the end has two steps: no further handshake
-is begun (`stop_arrivals`), and what has arrived is accepted and answered before the socket is closed
-(`waiting` tells how many are left, `emptied` waits for whoever accepts them).
-
-Theory. The filter of a listening socket sees each segment that is meant for it. One that drops first
-segments (SYN without ACK) and nothing else lets handshakes under way end and begins no new one; a client
-whose first segment is dropped sends it again after a second, and meets the next life of this program or a
-refusal, both before it has sent a request. Where the system has no such filter, a backlog of length 0
-leaves room for a single connection.
+"""Closes a listening socket without resetting connected clients.
+
+The kernel completes handshakes on its own. When a listening socket is closed, the connections in its backlog
+are reset, although their clients may have sent requests already. Closing therefore has two steps: stop new
+handshakes (`stop_arrivals`), then accept and answer the connections in the backlog before closing the socket
+(`waiting` returns their number, `wait_until_empty` waits until the owner has accepted them).
+
+Theory. A socket filter on a listening socket sees each segment for that socket. A filter that drops only
+initial segments (SYN without ACK) lets pending handshakes complete and prevents new ones. A client whose
+initial segment is dropped retransmits it after one second and reaches the next process or is refused, in both
+cases before it has sent a request. On systems without such filters a backlog of length 0 is used, which
+still leaves room for one connection.
 """
 
 from __future__ import annotations
@@ -22,89 +22,90 @@
 import struct
 import time
 
-SO_ATTACH_FILTER = 26  # Linux; the socket module does not name it, nor the next
+SO_ATTACH_FILTER = 26  # Linux; the socket module defines neither of the two
 SO_ATTACH_REUSEPORT_CBPF = 51
-LISTENING = 10  # tcpi_state, the first byte of TCP_INFO
-INFO_FORMAT = "=8B5I"  # as far as tcpi_unacked: of a listening socket the length of its backlog
-FLAGS_AT, SYN, SYN_OR_ACK = 13, 0x02, 0x12
-FIRST_DROPPED = (
-    (0x30, 0, 0, FLAGS_AT),  # load the byte of the flags
-    (0x54, 0, 0, SYN_OR_ACK),  # and
-    (0x15, 0, 1, SYN),  # alone?
+TCP_LISTEN_STATE = 10  # tcpi_state, the first byte of TCP_INFO
+TCP_INFO_FORMAT = "=8B5I"  # up to tcpi_unacked, which is the backlog length of a listening socket
+TCP_FLAGS_OFFSET, SYN, SYN_ACK_MASK = 13, 0x02, 0x12
+DROP_SYN_FILTER = (
+    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the TCP flags
+    (0x54, 0, 0, SYN_ACK_MASK),  # mask with SYN | ACK
+    (0x15, 0, 1, SYN),  # SYN only?
     (0x06, 0, 0, 0),  # drop
-    (0x06, 0, 0, 0xFFFFFFFF),  # keep all of it
+    (0x06, 0, 0, 0xFFFFFFFF),  # accept the whole segment
 )
-# Of the sockets that listen at one address the first is the one that has listened for longest.
-SECOND_CHOSEN = ((0x06, 0, 0, 1),)
-LOOK_S = 0.005  # between two looks at a backlog, and time for handshakes under way to end
-EMPTY_MOST_S = 1.0  # a server that accepts nothing any more must not hold up the end for longer
+# Sockets that listen at one address are indexed from 0, in the order in which they started to listen.
+SELECT_SECOND_SOCKET = ((0x06, 0, 0, 1),)
+LOOK_S = 0.005  # between two checks of a backlog; also time for pending handshakes to complete
+MAX_EMPTYING_S = 1.0  # limit for a server that no longer accepts connections
 
 
 def stop_arrivals(sock: socket.socket) -> None:
-    """Let no further connection begin at this listening socket; those that have arrived stay."""
+    """Prevent new connections at this listening socket; connections in the backlog stay."""
     try:
-        _attach(sock, SO_ATTACH_FILTER, FIRST_DROPPED)
+        _attach(sock, SO_ATTACH_FILTER, DROP_SYN_FILTER)
     except OSError:
         sock.listen(0)
 
 
 def lead_to_the_next(sock: socket.socket) -> bool:
-    """Let new connections go to the process that began to listen at this address after this one.
+    """Direct new connections to the process that started to listen at this address after this one.
 
-    Where there is no such process the kernel goes on choosing as before. False where the system has no such
-    choice: then `stop_arrivals` at the end has some clients wait a second for the other process.
+    Without such a process the kernel selects sockets as before. Returns False if the system does not support
+    the selection: some clients then wait one second for the other process after `stop_arrivals`.
     """
     try:
-        _attach(sock, SO_ATTACH_REUSEPORT_CBPF, SECOND_CHOSEN)
+        _attach(sock, SO_ATTACH_REUSEPORT_CBPF, SELECT_SECOND_SOCKET)
     except OSError:
         return False
     return True
 
 
-def _attach(sock: socket.socket, option: int, steps: tuple[tuple[int, int, int, int], ...]) -> None:
-    code = b"".join(struct.pack("=HBBI", *step) for step in steps)
-    held = ctypes.create_string_buffer(code)
-    program = struct.pack("@HP", len(steps), ctypes.addressof(held))
+def _attach(sock: socket.socket, option: int, instructions: tuple[tuple[int, int, int, int], ...]) -> None:
+    """Attach a classic BPF program to the socket."""
+    code = b"".join(struct.pack("=HBBI", *instruction) for instruction in instructions)
+    buffer = ctypes.create_string_buffer(code)
+    program = struct.pack("@HP", len(instructions), ctypes.addressof(buffer))
     sock.setsockopt(socket.SOL_SOCKET, option, program)
 
 
 def waiting(sock: socket.socket) -> int:
-    """How many connections wait to be accepted; 0 where the system does not tell."""
+    """The number of connections waiting to be accepted; 0 if the system does not report it."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, struct.calcsize(INFO_FORMAT))
-        values = struct.unpack(INFO_FORMAT, told)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, struct.calcsize(TCP_INFO_FORMAT))
+        values = struct.unpack(TCP_INFO_FORMAT, info)
     except (AttributeError, OSError, struct.error):
         return 0
-    return int(values[-1]) if values[0] == LISTENING else 0
+    return int(values[-1]) if values[0] == TCP_LISTEN_STATE else 0
 
 
-async def emptied(socks: list[socket.socket]) -> None:
-    """Stop arrivals at all of these, and return once their owners have accepted what had arrived."""
+async def wait_until_empty(socks: list[socket.socket]) -> None:
+    """Prevent new connections at these sockets and wait, up to `MAX_EMPTYING_S`, for empty backlogs."""
     for sock in socks:
         stop_arrivals(sock)
-    until = time.monotonic() + EMPTY_MOST_S
-    calm = 0  # looks in a row that found nothing: a handshake may end between two
-    while calm < 2 and time.monotonic() < until:
+    deadline = time.monotonic() + MAX_EMPTYING_S
+    empty_checks = 0  # consecutive checks: a handshake may complete between two of them
+    while empty_checks < 2 and time.monotonic() < deadline:
         await asyncio.sleep(LOOK_S)
-        calm = 0 if any(map(waiting, socks)) else calm + 1
+        empty_checks = 0 if any(map(waiting, socks)) else empty_checks + 1
 
 
-async def taken_in(handles: list[socket.socket]) -> None:
-    """`emptied`, for second handles, which are closed then; the sockets stay their owners'."""
-    await emptied(handles)
-    for handle in handles:
-        handle.close()
+async def taken_in(duplicates: list[socket.socket]) -> None:
+    """`wait_until_empty` for duplicated sockets, which are then closed; the original sockets stay open."""
+    await wait_until_empty(duplicates)
+    for sock in duplicates:
+        sock.close()
 
 
 def duplicate(descriptor: int) -> socket.socket:
-    """A second handle of a socket that a library holds; closing it leaves the socket open."""
+    """A duplicate of a socket that a library owns; closing it leaves the original open."""
     return socket.socket(fileno=os.dup(descriptor))
 
 
 def listening_at(port: int) -> list[socket.socket]:
-    """Second handles of this process's own sockets that listen at a port, where /proc shows them.
+    """Duplicates of this process's listening sockets at a port, found through /proc; empty without /proc.
 
-    For servers of a library that keeps its sockets to itself.
+    For servers of a library that does not expose its sockets.
     """
     found: list[socket.socket] = []
     try:
@@ -114,14 +115,14 @@
     for descriptor in descriptors:
         with contextlib.suppress(OSError):
             sock = duplicate(descriptor)
-            if _listens(sock, port):
+            if _listens_at(sock, port):
                 found.append(sock)
             else:
                 sock.close()
     return found
 
 
-def _listens(sock: socket.socket, port: int) -> bool:
+def _listens_at(sock: socket.socket, port: int) -> bool:
     if sock.family not in (socket.AF_INET, socket.AF_INET6) or sock.type != socket.SOCK_STREAM:
         return False
     accepts = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,8 @@
-"""Nobody who has connected is reset by a planned end, at any of the three fronts."""
+"""Draining resets no connected client, at any of the three fronts.
+
+The kernel resets the connections in the backlog when a listening socket is closed, even if their clients have
+sent requests.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,14 @@
 
 import pytest
 
-from garnethaven.backlog import duplicate, emptied, lead_to_the_next, listening_at, stop_arrivals, waiting
+from garnethaven.backlog import (
+    duplicate,
+    lead_to_the_next,
+    listening_at,
+    stop_arrivals,
+    wait_until_empty,
+    waiting,
+)
 from garnethaven.engine.engine import Engine
 from garnethaven.net import listener as listening
 from tests.extproc.test_front import stage as processor_stage
@@ -30,15 +41,15 @@
         yield sock
 
 
-def connected(port: int, said: bytes) -> socket.socket:
-    """A client that has written its request, whether anybody accepts it or not."""
+def connected(port: int, data: bytes) -> socket.socket:
+    """A client that has sent `data`, whether or not the server accepts the connection."""
     sock = socket.create_connection(("127.0.0.1", port), WAIT_S)
-    sock.sendall(said)
+    sock.sendall(data)
     return sock
 
 
 def read_all(sock: socket.socket) -> bytes:
-    """What came until the end; a reset is an error."""
+    """Everything received until the end of the stream; raises ConnectionResetError on a reset."""
     with sock:
         sock.settimeout(WAIT_S)
         parts = []
@@ -53,17 +64,17 @@
         clients = [connected(port, b"x") for _ in range(5)]
         assert waiting(sock) == 5
         stop_arrivals(sock)
-        late = socket.socket()
-        late.settimeout(0.2)
+        refused = socket.socket()
+        refused.settimeout(0.2)
         with pytest.raises(OSError):
-            late.connect(("127.0.0.1", port))
-        late.close()
+            refused.connect(("127.0.0.1", port))
+        refused.close()
         assert waiting(sock) == 5
         for client in clients:
-            taken, _ = sock.accept()
-            taken.settimeout(WAIT_S)
-            assert taken.recv(1) == b"x"
-            taken.close()
+            accepted, _ = sock.accept()
+            accepted.settimeout(WAIT_S)
+            assert accepted.recv(1) == b"x"
+            accepted.close()
             client.close()
         assert waiting(sock) == 0
 
@@ -72,7 +83,7 @@
     async def case() -> None:
         with listener() as sock:
             clients = [connected(sock.getsockname()[1], b"x") for _ in range(3)]
-            ending = asyncio.create_task(emptied([sock]))
+            ending = asyncio.create_task(wait_until_empty([sock]))
             for _ in clients:
                 await asyncio.sleep(0.02)
                 assert not ending.done()
@@ -81,7 +92,7 @@
             for client in clients:
                 client.close()
         with listener() as sock, connected(sock.getsockname()[1], b"x"):
-            await emptied([sock])  # nobody accepts
+            await wait_until_empty([sock])  # no connection is accepted: it returns at its time limit
             assert waiting(sock) == 1
 
     run(case())
@@ -94,7 +105,7 @@
             assert found.getsockname() == sock.getsockname()
             assert twin.getsockname() == other.getsockname()
         assert sock.fileno() > 0
-        with connected(sock.getsockname()[1], b"x"):  # a closed handle closes nothing
+        with connected(sock.getsockname()[1], b"x"):  # closing the duplicate leaves the socket open
             sock.accept()[0].close()
 
 
@@ -104,7 +115,7 @@
 
     async def case() -> None:
         async with running(says(ANSWER), connections=4) as (sidecar, _):
-            # Without a pause for the loop: all of these wait in the kernel, more than there are places.
+            # The loop does not run in between: all connections wait in the backlog, more than the limit.
             clients = [connected(sidecar.port, request(X_Call_Id=f"b{n}")) for n in range(MANY)]
             sidecar.listener.drain()
             answers = await asyncio.gather(*(asyncio.to_thread(read_all, client) for client in clients))
@@ -129,12 +140,14 @@
 
 
 def test_a_backlog_that_finds_no_place_is_told_in_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[str] = []
+    logged: list[str] = []
     monkeypatch.setattr(listening, "DRAIN_LISTEN_S", 0.0)
     monkeypatch.setattr(listening, "DRAIN_LISTEN_MOST_S", 0.0)
     monkeypatch.setattr(listening, "DRAIN_BACKLOG_S", 0.0)
-    monkeypatch.setattr(listening, "OVERFLOW", 0)  # nobody is taken to be told that there is no place
-    monkeypatch.setattr(Engine, "log", lambda self, text: said.append(text))
+    monkeypatch.setattr(
+        listening, "OVERFLOW", 0
+    )  # accept no connection beyond the limit, not even to refuse it
+    monkeypatch.setattr(Engine, "log", lambda self, text: logged.append(text))
 
     async def case() -> None:
         async with running(silent, connections=4) as (sidecar, _):
@@ -147,7 +160,7 @@
                 client.close()
 
     run(case())
-    assert any("found no place" in text for text in said)
+    assert any("found no place" in text for text in logged)
 
 
 def test_a_full_backlog_of_a_draining_grpc_front_is_told_to_go_elsewhere() -> None:
@@ -158,16 +171,17 @@
             reading = [asyncio.create_task(asyncio.to_thread(read_all, client)) for client in clients]
             await made.front.close(5.0)
             for answer in await asyncio.gather(*reading):
-                kinds = list(frames(answer))
-                assert kinds[0] == SETTINGS and GOAWAY in kinds
+                types = list(frame_types(answer))
+                assert types[0] == SETTINGS and GOAWAY in types
 
     run(case())
 
 
-def frames(told: bytes) -> Iterator[int]:
-    while told:
-        yield told[3]
-        told = told[9 + int.from_bytes(told[:3], "big") :]
+def frame_types(data: bytes) -> Iterator[int]:
+    """The types of the HTTP/2 frames in `data`."""
+    while data:
+        yield data[3]
+        data = data[9 + int.from_bytes(data[:3], "big") :]
 
 
 def test_a_full_backlog_of_a_draining_processor_is_told_to_go_elsewhere() -> None:
@@ -187,7 +201,8 @@
         return sock.recv(9)
 
 
-def listens(port: int = 0) -> socket.socket:
+def listen(port: int = 0) -> socket.socket:
+    """A listening socket that shares its port."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -198,25 +213,25 @@
 
 
 def test_new_connections_go_to_whoever_listened_next_and_to_oneself_when_alone() -> None:
-    with listens() as alone:
+    with listen() as alone:
         port = alone.getsockname()[1]
         assert lead_to_the_next(alone)
         with contextlib.closing(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S)):
             assert waiting(alone) == 1
-    old = listens()
+    old = listen()
     port = old.getsockname()[1]
-    new = listens(port)
-    with contextlib.ExitStack() as held:
-        held.enter_context(old)
-        held.enter_context(new)
+    new = listen(port)
+    with contextlib.ExitStack() as stack:
+        stack.enter_context(old)
+        stack.enter_context(new)
         assert lead_to_the_next(old)
         for _ in range(40):
-            held.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
+            stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
         assert (waiting(old), waiting(new)) == (0, 40)
         old.close()
-        third = held.enter_context(listens(port))  # the program stays with the group
-        held.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
+        third = stack.enter_context(listen(port))  # the filter program stays attached to the group
+        stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
         assert (waiting(new), waiting(third)) == (40, 1)
         third.close()
-        held.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
+        stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
         assert waiting(new) == 41
--- a/tests/test_bad_configuration.py
+++ b/tests/test_bad_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations that can't be read when SIGHUP comes: the old one stays, one line tells, nothing is lost."""
+"""An unreadable configuration at SIGHUP: the old one stays in force, it is logged and no request is lost."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def spoil(path: Path, kind: str) -> None:
-    """Leave in the place of the configuration what an operator's tool may leave there."""
+    """Replace the configuration as a faulty deployment tool may."""
     if kind in BAD_FILES:
         path.write_bytes(BAD_FILES[kind])
         return
@@ -75,7 +75,7 @@
                 program.signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
             program.path.write_text(text)
-            await asyncio.sleep(1.1)  # one line a second at the most
+            await asyncio.sleep(1.1)  # at most one log line per second
             program.signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
             assert "configuration read anew" in program.log.read_text()
@@ -86,7 +86,7 @@
 
 
 def test_a_temporary_folder_that_is_none_costs_nothing(tmp_path: Path) -> None:
-    """Missing, a file, or read-only: what is kept there is lost over a restart, and nothing else."""
+    """TMPDIR missing, a file, or read-only: only the state kept there is lost at a restart."""
     a_file = tmp_path / "file"
     a_file.touch()
     read_only = tmp_path / "locked"
