--- a/tests/exploring.py
+++ b/tests/exploring.py
@@ -1,4 +1,7 @@
-"""Every order of what may happen in a small world, to a depth; two states with one mark are one."""
+"""Exhaustive exploration of a small model: all sequences of steps up to a depth, with equal states merged.
+
+Two states are equal if their `mark` is equal.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class World(Protocol):
-    """A whole small world, to be copied."""
+    """The complete state of a model; it is deep-copied before each step."""
 
     def steps(self) -> list[Any]: ...
     def step(self, step: Any) -> None: ...
@@ -20,16 +23,22 @@
 
 
 def explore(
-    start: W, depth: int, holds: Callable[[W], None], whole: int = 0, most: int = 1_000_000, seed: int = 11
+    start: W,
+    depth: int,
+    check: Callable[[W], None],
+    full_depth: int = 0,
+    max_states: int = 1_000_000,
+    seed: int = 11,
 ) -> tuple[list[W], list[int]]:
-    """The last layer, and how many new states there were at each depth.
+    """Call `check` on every reachable state; return the states of the last layer and the layer sizes.
 
-    Beyond the depth `whole` only `most` states of a layer, drawn, are gone on from; 0: all of all.
+    From depth `full_depth` on, only a random sample of `max_states` states of each layer is explored further.
+    With `full_depth` = 0 there is no sampling.
     """
     rng = Random(seed)
     layer, seen, sizes = [start], {start.mark()}, []
-    for number in range(depth):
-        following: list[W] = []
+    for layer_index in range(depth):
+        next_layer: list[W] = []
         for world in layer:
             for step in world.steps():
                 after = copy.deepcopy(world)
@@ -37,10 +46,10 @@
                 mark = after.mark()
                 if mark not in seen:
                     seen.add(mark)
-                    holds(after)
-                    following.append(after)
-        sizes.append(len(following))
-        drawn = whole and number + 1 >= whole and len(following) > most
-        layer = rng.sample(following, most) if drawn else following
+                    check(after)
+                    next_layer.append(after)
+        sizes.append(len(next_layer))
+        sampled = full_depth and layer_index + 1 >= full_depth and len(next_layer) > max_states
+        layer = rng.sample(next_layer, max_states) if sampled else next_layer
     print(f"{len(seen)} states, by depth {sizes}")
     return layer, sizes
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""The sidecar on loopback sockets for tests: real listener, driver and upstream, scripted peers.
+"""Test fixtures: a sidecar on loopback sockets with its real listener and transport, and scripted peers.
 
-Nothing here measures time: what must happen is waited for, with a generous bound.
+Nothing here measures time: tests wait for conditions, with a generous timeout.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def request(**headers: str) -> bytes:
-    """A sound request; headers replace its own, an empty one leaves it out."""
+    """A valid request; `headers` replace its headers, and an empty value removes one."""
     lines = {
         "Host": "backend.local",
         "X-Call-Id": "c1",
@@ -51,7 +51,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A head and its body by Content-Length."""
+    """Read a message head and its body, whose size is given by Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -62,14 +62,14 @@
 
 
 class Peer:
-    """A scripted endpoint: counts connections and keeps the requests that came."""
+    """A scripted endpoint that counts connections and records requests."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.connections = 0
         self.open = 0
         self.requests: list[bytes] = []
-        self.writers: list[asyncio.StreamWriter] = []  # of all connections, the oldest first
+        self.writers: list[asyncio.StreamWriter] = []  # of all connections, oldest first
 
     async def start(self) -> Peer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -96,7 +96,7 @@
 
 
 def says(answer: bytes, go_on: asyncio.Event | None = None) -> Script:
-    """An endpoint that always says the same, once it may go on."""
+    """A script that always sends `answer`, after `go_on` is set if it is given."""
 
     async def script(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if go_on is not None:
@@ -107,7 +107,7 @@
 
 
 async def silent(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    await reader.read()  # until the other side goes away
+    await reader.read()  # until the other side closes the connection
     raise ConnectionError
 
 
@@ -133,9 +133,9 @@
             names=read_names(settings),
         )
         loop = asyncio.get_running_loop()
-        settings_told = self.config.settings
-        self.engine = Engine("t", settings_told, 1, loop)
-        self.transport = HttpTransport(self.engine, settings_told, loop, lambda: connections, 64)
+        parsed_settings = self.config.settings
+        self.engine = Engine("t", parsed_settings, 1, loop)
+        self.transport = HttpTransport(self.engine, parsed_settings, loop, lambda: connections, 64)
         self.discovery = Discovery(self.config, self.engine, self.transport, loop)
         self.engine.start()
         self.tell(members)
@@ -150,14 +150,14 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def plain(self) -> socket.socket:
-        """A client's socket without a transport: what it reads and when is the test's."""
+        """A raw client socket, so that the test controls what is read and when."""
         sock = socket.socket()
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", self.port))
         return sock
 
     async def ask(self, text: bytes) -> tuple[int, bytes]:
-        """A request on a connection of its own; its status and body."""
+        """Send a request on a new connection; returns the status and body."""
         reader, writer = await self.connect()
         writer.write(text)
         head, body = await read_message(reader)
@@ -169,7 +169,7 @@
 async def running(
     *scripts: Script, cell: int = 0, connections: int = 32, client_places: int = 0
 ) -> AsyncIterator[tuple[Sidecar, Any]]:
-    """A sidecar before one scripted endpoint for each script, all in one cell."""
+    """A sidecar with one scripted endpoint per script, all in one cell."""
     peers = [await Peer(script).start() for script in scripts]
     members = [peer.member(f"s{n}") for n, peer in enumerate(peers)]
     sidecar = Sidecar(members, connections, client_places)
@@ -193,7 +193,7 @@
 
 
 class Lists(Peer):
-    """A scripted discovery: tells one list and holds watches open."""
+    """A scripted discovery server: sends one list and then leaves watches unanswered."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.members = members
@@ -207,7 +207,7 @@
 
 
 def config_file(path: Path, **changes: Any) -> Path:
-    told = {
+    document = {
         "name": "t",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -216,12 +216,12 @@
         "known": {"revision": 1, "complete": True, "members": []},
         "settings": facts(),
     }
-    path.write_text(json.dumps(told | changes))
+    path.write_text(json.dumps(document | changes))
     return path
 
 
 async def opened(port: int) -> None:
-    """Until somebody takes connections there: other addresses are opened after that of the clients."""
+    """Wait until a port accepts connections; the other addresses open after the clients' address."""
     while True:
         with contextlib.suppress(ConnectionRefusedError):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,8 +1,8 @@
-"""The modules of the program import one another without a circle, and in one direction of layers.
+"""The program's modules have no import cycles and import only their own layer and lower ones.
 
-The layers are those of CONTRIBUTING.md. A module may import its own layer and those below it. Imports for
-type checking and inside functions count as all others. Not counted: what Python runs of the packages on the
-way to a module, and the features that `app/registry.py` loads by name, which is downwards.
+The layers are those of CONTRIBUTING.md. Imports for type checking and inside functions count like all others.
+Not counted: the `__init__` modules of parent packages, which Python runs when it imports a module, and the
+features that `app/registry.py` loads by name, which are in a lower layer.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 EDGES = "fronts, transports and features: bring calls in, carry them to servers"
 ENGINE = "engine: carries the decisions out"
 DECISIONS = "decisions, and the types they share: no I/O, no clock"
-LOWEST_FIRST = (DECISIONS, ENGINE, EDGES, APP)
+LAYERS_BOTTOM_UP = (DECISIONS, ENGINE, EDGES, APP)
 
-# By module or package, without `garnethaven.`; the longest name that fits a module counts.
+# By module or package, without `garnethaven.`; the longest matching name decides.
 LAYERS = {
     APP: "__main__ app",
     EDGES: """
@@ -54,45 +54,45 @@
 }
 LAYER_OF = {name: layer for layer, names in LAYERS.items() for name in names.split()}
 
-Imports = dict[str, set[str]]  # by module: the modules of the package that it imports
+Imports = dict[str, set[str]]  # by module: the modules of the package that it imports directly
 
 
 def modules(root: Path) -> dict[str, Path]:
-    """The files of all modules of the package, by name; a package's own is `NAME.__init__`."""
+    """The files of all modules of the package, by module name; a package itself is `NAME.__init__`."""
     paths = (root / PACKAGE).rglob("*.py")
     return {".".join(path.relative_to(root).with_suffix("").parts): path for path in paths}
 
 
 def named_imports(module: str, source: str) -> Iterator[str]:
-    """All names that a module's imports can mean: of modules, or of what stands in one."""
+    """All qualified names that a module imports: modules, or names defined in a module."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            above = module.split(".")[: -node.level] if node.level else []
-            base = ".".join([*above, *([node.module] if node.module else [])])
+            parents = module.split(".")[: -node.level] if node.level else []
+            base = ".".join([*parents, *([node.module] if node.module else [])])
             yield from (f"{base}.{alias.name}" for alias in node.names)
 
 
 def imports_of(root: Path) -> Imports:
-    """What each module of the package imports of the others there."""
+    """For each module of the package, the other modules of the package that it imports."""
     files = modules(root)
 
     def module_of(name: str) -> str | None:
-        """The module that is imported by this name; where it is none, the one that it stands in."""
-        holder = name.rpartition(".")[0]
-        candidates = (name, f"{name}.__init__", holder, f"{holder}.__init__")
-        return next((one for one in candidates if one in files), None)
+        """The module of this name, else the module that defines the name, else None."""
+        parent = name.rpartition(".")[0]
+        candidates = (name, f"{name}.__init__", parent, f"{parent}.__init__")
+        return next((candidate for candidate in candidates if candidate in files), None)
 
     found: Imports = {}
     for module, path in files.items():
         names = named_imports(module, path.read_text(encoding="utf-8"))
-        found[module] = {one for name in names if (one := module_of(name)) is not None}
+        found[module] = {imported for name in names if (imported := module_of(name)) is not None}
     return found
 
 
-def circle(imports: Imports) -> list[str]:
-    """The modules of one import circle, in turn; empty where there is none."""
+def find_cycle(imports: Imports) -> list[str]:
+    """The modules of one import cycle, in order; empty if there is none."""
     try:
         TopologicalSorter(imports).prepare()
     except CycleError as error:
@@ -102,25 +102,27 @@
 
 
 def layer_of(module: str, layers: dict[str, str]) -> str | None:
-    """The layer of a module by the longest name in the table that fits."""
+    """The layer of a module, by the longest matching name in `layers`."""
     parts = module.split(".")[1:]
     names = (".".join(parts[:length]) for length in range(len(parts), 0, -1))
     return next((layers[name] for name in names if name in layers), None)
 
 
-def upward(imports: Imports, layers: dict[str, str]) -> list[str]:
-    """The imports against the direction, and the modules that no layer names."""
-    wrong: list[str] = []
+def layer_violations(imports: Imports, layers: dict[str, str]) -> list[str]:
+    """The imports of a higher layer, and the modules that belong to no layer."""
+    violations: list[str] = []
     for module, imported in sorted(imports.items()):
         layer = layer_of(module, layers)
         if layer is None:
-            wrong.append(f"{module} is in no layer")
+            violations.append(f"{module} is in no layer")
             continue
         for other in sorted(imported):
-            above = layer_of(other, layers)
-            if above is not None and LOWEST_FIRST.index(above) > LOWEST_FIRST.index(layer):
-                wrong.append(f"{module} imports {other}")
-    return wrong
+            other_layer = layer_of(other, layers)
+            if other_layer is not None and LAYERS_BOTTOM_UP.index(other_layer) > LAYERS_BOTTOM_UP.index(
+                layer
+            ):
+                violations.append(f"{module} imports {other}")
+    return violations
 
 
 @pytest.fixture(scope="module")
@@ -129,24 +131,24 @@
 
 
 def test_no_module_is_in_an_import_circle(program: Imports) -> None:
-    assert circle(program) == []
+    assert find_cycle(program) == []
 
 
 def test_no_import_goes_against_the_layers(program: Imports) -> None:
-    assert upward(program, LAYER_OF) == []
+    assert layer_violations(program, LAYER_OF) == []
 
 
 def test_the_table_of_layers_names_what_there_is(program: Imports) -> None:
     known = {".".join(module.split(".")[1:][:length]) for module in program for length in (1, 2, 3)}
     assert set(LAYER_OF) - known == set()
-    assert sum(len(names.split()) for names in LAYERS.values()) == len(LAYER_OF)  # each stands there once
+    assert sum(len(names.split()) for names in LAYERS.values()) == len(LAYER_OF)  # no name is listed twice
 
 
-# The guard itself
+# Tests of the checks above
 
 
-def written(folder: Path, **sources: str) -> Imports:
-    """The imports of a small package `garnethaven`, by the sources of its modules; `_in_` is a dot."""
+def write_package(folder: Path, **sources: str) -> Imports:
+    """Write a package `garnethaven` from its modules' sources (`_in_` is a dot); returns its imports."""
     for name, source in sources.items():
         path = folder.joinpath(PACKAGE, *name.split("_in_")).with_suffix(".py")
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -170,8 +172,8 @@
     ],
 )
 def test_a_circle_is_found_however_it_is_written(back: str, tmp_path: Path) -> None:
-    imports = written(tmp_path, brain="import garnethaven.turns", turns=back)
-    assert set(circle(imports)) == {"garnethaven.brain", "garnethaven.turns"}
+    imports = write_package(tmp_path, brain="import garnethaven.turns", turns=back)
+    assert set(find_cycle(imports)) == {"garnethaven.brain", "garnethaven.turns"}
 
 
 @pytest.mark.parametrize(
@@ -180,10 +182,12 @@
 )
 def test_an_import_against_the_layers_is_found(lower: str, higher: str, tmp_path: Path) -> None:
     low, high = (f"{PACKAGE}.{name.replace('_in_', '.')}" for name in (lower, higher))
-    assert upward(written(tmp_path, **{higher: f"import {low}", lower: ""}), LAYER_OF) == []
-    imports = written(tmp_path, **{lower: f"import {high}", higher: ""})
-    assert upward(imports, LAYER_OF) == [f"{low} imports {high}"]
+    assert layer_violations(write_package(tmp_path, **{higher: f"import {low}", lower: ""}), LAYER_OF) == []
+    imports = write_package(tmp_path, **{lower: f"import {high}", higher: ""})
+    assert layer_violations(imports, LAYER_OF) == [f"{low} imports {high}"]
 
 
 def test_a_module_in_no_layer_is_found(tmp_path: Path) -> None:
-    assert upward(written(tmp_path, novel=""), LAYER_OF) == [f"{PACKAGE}.novel is in no layer"]
+    assert layer_violations(write_package(tmp_path, novel=""), LAYER_OF) == [
+        f"{PACKAGE}.novel is in no layer"
+    ]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The example in the README runs unchanged."""
 
 import re
 from pathlib import Path
--- a/tests/test_terms_audit.py
+++ b/tests/test_terms_audit.py
@@ -1,4 +1,4 @@
-"""The audit's table: its counts are those of its rows, and each test that it names exists."""
+"""The table of docs/terms-audit.md: its counts match its rows, and each test that it names exists."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def rows() -> list[list[str]]:
-    """The table's rows, column by column, without its head."""
+    """The cells of each row of the table, without the header."""
     lines = [line for line in PAGE.read_text(encoding="utf-8").splitlines() if line.startswith("| ")]
     cells = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
     return [row for row in cells if len(row) == COLUMNS and row[0] not in ("page", "---")]
@@ -28,8 +28,8 @@
     marks = Counter(row[-1] for row in rows())
     assert set(marks) <= set(MARKS)
     (line,) = [line for line in PAGE.read_text().splitlines() if line.startswith("Marks: ")]
-    told = {mark: int(count) for mark, count in re.findall(r"(holds|fixed|open|not reached) (\d+)", line)}
-    assert told == {mark: marks[mark] for mark in MARKS}
+    stated = {mark: int(count) for mark, count in re.findall(r"(holds|fixed|open|not reached) (\d+)", line)}
+    assert stated == {mark: marks[mark] for mark in MARKS}
     assert f"{len(rows())} rows" in line
 
 
@@ -40,8 +40,8 @@
 
 
 def test_what_holds_or_was_fixed_names_its_test_or_says_why_not() -> None:
-    without = [row for row in rows() if row[-1] in ("holds", "fixed") and not row[4]]
-    assert all(row[2] for row in without) and len(without) <= 3, without
+    untested = [row for row in rows() if row[-1] in ("holds", "fixed") and not row[4]]
+    assert all(row[2] for row in untested) and len(untested) <= 3, untested
 
 
 def test_what_is_open_or_not_reached_has_a_reading() -> None:
