--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -87,7 +87,7 @@
     found: Imports = {}
     for module, path in files.items():
         names = named_imports(module, path.read_text(encoding="utf-8"))
-        found[module] = {imported for name in names if (imported := module_of(name)) is not None}
+        found[module] = {candidate for name in names if (candidate := module_of(name)) is not None}
     return found
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "message"),
+    ("lines", "said"),
     [
         ((BAD,), "test_worse"),  # fails but is not listed
         ((BAD, WORSE, "tests/test_three.py::test_good, none, issue 3"), "test_good"),  # is listed but passes
@@ -49,6 +49,6 @@
         ((BAD, WORSE, "a, b, c", "d, e, f"), "lists 4 tests; the maximum is 3"),
     ],
 )
-def test_all_else_fails(lines: tuple[str, ...], message: str, tmp_path: Path) -> None:
+def test_all_else_fails(lines: tuple[str, ...], said: str, tmp_path: Path) -> None:
     code, output = run_pytest(tmp_path, *lines)
-    assert code != 0 and message in output
+    assert code != 0 and said in output
