--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -97,10 +97,10 @@
         self.loop = loop
         self.balancer = Balancer(self.settings, seed)
         self.queue: deque[Event] = deque()
-        self.busy = False
+        self.processing = False
         self.calls: dict[str, Call] = {}
         self.open_ids: set[bytes] = set()  # of the requests that have no answer yet
-        self.numbers = count(1)
+        self.call_numbers = count(1)
         self.timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.timer_sequence = count()
         self.timer_handle: asyncio.TimerHandle | None = None
@@ -113,7 +113,7 @@
         self.contradicts: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
         self.logged_at = 0
         # Monotonic time by which a draining process must have answered every call; 0: no such time is set.
-        self.ends_at = 0
+        self.drain_deadline = 0
         self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
             Send: self._send,
             Refuse: self._refuse,
@@ -137,14 +137,14 @@
         Queued because an action that completes immediately must not re-enter the module.
         """
         self.queue.append(event)
-        if self.busy:
+        if self.processing:
             return
-        self.busy = True
+        self.processing = True
         try:
             while self.queue:
                 self._handle(self.queue.popleft())
         finally:
-            self.busy = False
+            self.processing = False
 
     def _handle(self, event: Event) -> None:
         try:
@@ -222,7 +222,7 @@
         if call.call_id in self.open_ids:
             return False
         self.open_ids.add(call.call_id)
-        call.id = str(next(self.numbers))
+        call.id = str(next(self.call_numbers))
         self.calls[call.id] = call
         if call.coming:  # its time budget starts at its last byte
             self._set_deadline(call, COMING_MOST)
@@ -270,17 +270,17 @@
     def _set_deadline(self, call: Call, span: int) -> None:
         """Set the call's deadline `span` nanoseconds from now, less the answer margin."""
         call.taken_at = time.monotonic_ns()
-        if self.ends_at:
-            span = max(0, min(span, self.ends_at - call.taken_at))
+        if self.drain_deadline:
+            span = max(0, min(span, self.drain_deadline - call.taken_at))
             call.budget = min(call.budget, span)
         call.deadline = call.taken_at + span - min(ANSWER_MARGIN, span // ANSWER_MARGIN_DIVISOR)
         self.at(call.deadline, self._expire, call)
 
     def end_by(self, seconds: float) -> None:
         """Answer every call within `seconds`, after which this process exits."""
-        self.ends_at = time.monotonic_ns() + int(seconds * S)
+        self.drain_deadline = time.monotonic_ns() + int(seconds * S)
         for call in self.calls.values():
-            call.deadline = min(call.deadline, self.ends_at)
+            call.deadline = min(call.deadline, self.drain_deadline)
             self.at(call.deadline, self._expire, call)
 
     def began(self, attempt: Attempt) -> bool:
