--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -227,13 +227,13 @@
 
 def taken_over(current: T, reloaded: T) -> tuple[T, list[str]]:
     """The table in force after a reload, and the fields whose change needs a restart."""
-    unchanged = [
+    deferred = [
         field
         for field in fields(current)
         if needs_restart(field) and getattr(current, field.name) != getattr(reloaded, field.name)
     ]
-    kept = {field.name: getattr(current, field.name) for field in unchanged}
-    return msgspec.structs.replace(reloaded, **kept), [field.encode_name for field in unchanged]
+    kept = {field.name: getattr(current, field.name) for field in deferred}
+    return msgspec.structs.replace(reloaded, **kept), [field.encode_name for field in deferred]
 
 
 def markdown_tables(kind: type[Table], name: str) -> list[str]:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -21,7 +21,7 @@
 EDGES = "fronts, transports and features: bring calls in, carry them to servers"
 ENGINE = "engine: carries the decisions out"
 DECISIONS = "decisions, and the types they share: no I/O, no clock"
-LAYERS_BOTTOM_UP = (DECISIONS, ENGINE, EDGES, APP)
+LAYER_ORDER = (DECISIONS, ENGINE, EDGES, APP)  # lowest first
 
 # By module or package, without `garnethaven.`; the longest matching name decides.
 LAYERS = {
@@ -118,9 +118,7 @@
             continue
         for other in sorted(imported):
             other_layer = layer_of(other, layers)
-            if other_layer is not None and LAYERS_BOTTOM_UP.index(other_layer) > LAYERS_BOTTOM_UP.index(
-                layer
-            ):
+            if other_layer is not None and LAYER_ORDER.index(other_layer) > LAYER_ORDER.index(layer):
                 violations.append(f"{module} imports {other}")
     return violations
 
