--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -27,7 +27,7 @@
 
 
 def key_of(query: bytes) -> str:
-    """The request's affinity key: the raw `user` query parameter, undecoded so that all fronts agree."""
+    """Affinity key: the `user` query parameter, as sent (percent-encoded) so that all fronts agree."""
     for part in query.split(b"&"):
         if part.startswith(b"user="):
             return part[5:].decode("latin-1")
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -44,7 +44,7 @@
 
 
 def said(meaning: str, unit: str = "", waits: bool = False, wanted: str = "", **bounds: Any) -> Meta:
-    """Field metadata; `waits`: a change needs a restart; `wanted`: valid values, as error messages say it."""
+    """Field metadata; `waits`: a change needs a restart; `wanted`: the valid values, for error messages."""
     extra = {"unit": unit, "waits": waits, "wanted": wanted}
     return Meta(description=meaning, extra=extra, **bounds)
 
