--- a/garnethaven/recovery/__init__.py
+++ b/garnethaven/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back: what a sidecar may do that has just begun, and the evidence that ends that."""
+"""Restart recovery: limits for a sidecar that has just started, and evidence that lifts them."""
--- a/garnethaven/recovery/cold.py
+++ b/garnethaven/recovery/cold.py
@@ -1,24 +1,28 @@
-"""Cold servers: what one that has started surely and likely can do, and what all may ask of it. No clock.
+"""Cold servers: what capacity a starting server has, and how much all sidecars may send to it. No clock.
 
-Theory. A started server has `cold_share` of its capacity, and all of it after the ramp; the settings tell
-both. That is its *warmth*, the least that it has: sent more than `fall_multiple` times as much by all
-sidecars together, it falls over. What it *likely* has is more, about twice as much at first; weighed by the
-least, newcomers idle while all others jam, for six in ten of a fleet may be cold at once. So it weighs what
-it likely has, up to `COLD_PART` of what the rule lets the fleet's sum send it.
+A started server has `cold_share` of its capacity, rising to all of it at the end of the ramp; both come from
+the settings. This guaranteed part is its *warmth*. A server that all sidecars together send more than
+`fall_multiple` times as much fails. Its *likely* capacity is higher, about twice as much at first. If servers
+were weighted by warmth, new ones would idle while all others are overloaded, because six in ten servers of a
+fleet may be cold at once. So a cold server is weighted by its likely capacity, up to `COLD_PART` of what the
+rule allows the fleet to send it.
 """
 
 from __future__ import annotations
 
-COLD_PART = 0.75  # of what the rule lets a cold server be sent; the rest is for chance and for overload
+COLD_PART = 0.75  # of the allowed load on a cold server; the rest covers random peaks and overload
 
 
 def warmth_of(age: int, cold_share: float, ramp: int) -> float:
-    """The share of its capacity that a server surely has so long after its start; an age below 0 is none."""
+    """The guaranteed share of a server's capacity at an age; `age` and `ramp` have the same unit of time.
+
+    A negative age counts as 0.
+    """
     if age >= ramp:
         return 1.0
     return cold_share + (1.0 - cold_share) * max(0, age) / ramp
 
 
 def likely(warmth: float) -> float:
-    """The share of its capacity that a starting server most likely has."""
+    """The estimated share of capacity of a starting server with this warmth."""
     return 1.0 - (1.0 - warmth) ** 2
--- a/garnethaven/recovery/window.py
+++ b/garnethaven/recovery/window.py
@@ -1,80 +1,94 @@
-"""The window of a sidecar that has just begun: how many requests it may have under way until it knows a pace.
+"""Startup window: limits the requests in flight of a restarted sidecar until it has a latency estimate.
 
-Theory. Clients of a sidecar that was down come all at once when it is back. One such burst is nothing to the
-servers. Those of most of a fleet are seconds of their work: queues fill that the spare capacity, a part of
-the whole, drains for seconds, while nearly every answer is late; and no sidecar knows a pace by which to
-see it coming. So what a beginner has under way is bounded, by what is known without any answer:
+The clients of a sidecar that was down return all at once when it is back. One such burst does not matter to
+the servers. The bursts of most of a fleet are seconds of work: they fill queues that the spare capacity, a
+part of the whole, drains only in seconds, while nearly every answer is late; and no sidecar has a latency
+estimate yet that would show it. So the requests in flight of a restarted sidecar are limited by what is known
+without any answer:
 
-- All beginners together put at most `START` requests on each server that is warm. One's part of that is
-  `START * servers / fleet_size`, at least `LEAST`. It does not depend on how many have begun, for nobody
-  tells: where one of many has, its part holds what came while it was down for as long as a start takes.
-  A server counts by its size as a multiple of the usual one: what a unit of size does is not told, and a
-  unit is a whole server in one deployment and one core of eight in another.
-- It grows by `PER_AIM` of what it began with in each aim, by the clock: who comes while the burst is
-  worked on is no burst, and a bound on what is under way alone would refuse all until that is done.
-- An answer that needed less than `GOOD` of its aim met no queue, and lets one more in: twice as many with
-  each round of answers, which is the servers' own pace.
-- One that needed more than `LATE` of it, or is late, cuts the window to `CUT` of it, once an aim: what was
-  sent before the cut tells nothing of it. So does a try that a server had no place for.
-- It has done its work where for `CALM` nobody was refused by it and no answer was slow.
+- All restarted sidecars together put at most `INITIAL_REQUESTS_PER_SERVER` requests on each warm server. The
+  part of one sidecar is `INITIAL_REQUESTS_PER_SERVER * servers / fleet_size`, at least `MIN_LIMIT`. It does
+  not depend on how many have restarted, which nobody reports: if only one has, its part holds the requests
+  that arrived during a usual start. A server counts by its size as a multiple of the average size: what a
+  unit of size can do is not reported; in one deployment a unit is a whole server, in another one core of
+  eight.
+- The limit grows by `GROWTH_PER_TARGET` times its initial value per latency target, by the clock. Requests
+  that arrive while the burst is processed are not part of it; with a fixed limit on the requests in flight,
+  all of them would be refused until the burst is done.
+- An answer that needed less than `FAST_FRACTION` of its target met no queue and admits one more request: the
+  limit doubles with each round of answers, at the rate that the servers set.
+- An answer that is late or needed more than `SLOW_FRACTION` of its target multiplies the limit by
+  `CUT_FACTOR`, at most once per target, because requests sent before the cut say nothing about it. An attempt
+  that a server rejects for lack of capacity does the same.
+- The window ends when for `CALM_NS` it refused no request and no answer was slow.
 
-What is over the window is refused at once, safely: it has not been sent. It could do harm where an aim is no
-more than a few times a request's work, for then `START` is a queue in itself, and where clients that were
-refused never come again; both are bounded by `LEAST`, and by the round of answers after which it has doubled.
+A request over the limit is refused at once, which is safe because it has not been sent.
+Limitation: if a latency target is only a few times the duration of a request, the initial limit is a queue in
+itself; and clients that never retry a refused request lose it. Both effects are bounded by `MIN_LIMIT` and by
+the round of answers after which the limit has doubled.
 
-Times are whole nanoseconds of the caller's clock.
+Times are integer nanoseconds of the caller's clock.
 """
 
 from __future__ import annotations
 
-START = 6.0  # requests of all beginners together for each usual server that is warm
-LEAST = 2.0  # under way at the least: one that waits for a silent server must not stop all others
-GOOD = 0.4  # of the aim: an answer that needs less met no queue
-LATE = 0.6  # of the aim: one that needs more met a queue that grows
-CUT = 0.7
-PER_AIM = 2.0  # times what it began with, that it grows by in an aim
-CALM = 2_000_000_000
+INITIAL_REQUESTS_PER_SERVER = 6.0  # of all restarted sidecars together, per warm server of average size
+MIN_LIMIT = 2.0  # requests in flight; with 1, a request to a silent server would block all others
+FAST_FRACTION = 0.4  # of the latency target: a faster answer met no queue
+SLOW_FRACTION = 0.6  # of the latency target: a slower answer met a growing queue
+CUT_FACTOR = 0.7
+GROWTH_PER_TARGET = 2.0  # growth in one latency target, as a multiple of the initial limit
+CALM_NS = 2_000_000_000
 
 
 class Window:
-    """One sidecar's; 0 `most` means that there is no bound, as before it begins and after it has ended."""
+    """Startup window of one sidecar. `most` is the limit of requests in flight; 0 means no limit.
+
+    There is no limit before `begin` and after the window has ended.
+    """
 
     def __init__(self) -> None:
         self.most = 0.0
-        self.aim = 0
-        self.first = 0.0  # what it began with
+        self.target = 0  # shortest latency target
+        self.initial_limit = 0.0
         self.grown_at = 0
         self.cut_at = 0
-        self.busy_at = 0  # when it refused, or an answer was slow
+        self.busy_at = 0  # time of the last refusal or slow answer
+
+    def begin(self, now: int, servers: float, fleet_size: int, target: int) -> None:
+        """Start the window.
 
-    def begin(self, now: int, servers: float, fleet_size: int, aim: int) -> None:
-        """Begin with `servers` of the usual size, each times its warmth; `aim` is the shortest class's."""
-        self.first = self.most = max(LEAST, START * servers / max(1, fleet_size))
-        self.aim = max(1, aim)
+        `servers` counts servers of average size, each multiplied by its warmth. `target` is the shortest
+        latency target of all request classes.
+        """
+        self.initial_limit = self.most = max(
+            MIN_LIMIT, INITIAL_REQUESTS_PER_SERVER * servers / max(1, fleet_size)
+        )
+        self.target = max(1, target)
         self.grown_at = self.cut_at = self.busy_at = now
 
-    def refuses(self, now: int, under_way: int) -> bool:
-        """Whether an arrival is one too many beside those `under_way`."""
+    def refuses(self, now: int, in_flight: int) -> bool:
+        """Whether to refuse an arrival; `in_flight` excludes it."""
         if not self.most:
             return False
-        if now - self.busy_at > CALM:
+        if now - self.busy_at > CALM_NS:
             self.most = 0.0
             return False
-        self.most += PER_AIM * self.first * (now - self.grown_at) / self.aim
+        self.most += GROWTH_PER_TARGET * self.initial_limit * (now - self.grown_at) / self.target
         self.grown_at = now
-        if under_way < self.most:
+        if in_flight < self.most:
             return False
         self.busy_at = now
         return True
 
-    def answered(self, now: int, part: float) -> None:
-        """An answer needed this part of its aim; 1 or more: it was late."""
+    def answered(self, now: int, latency_fraction: float) -> None:
+        """Record an answer by its latency divided by its target; 1 or more means that it was late."""
         if not self.most:
             return
-        if part < GOOD:
+        if latency_fraction < FAST_FRACTION:
             self.most += 1.0
-        elif part > LATE:
+        elif latency_fraction > SLOW_FRACTION:
             self.busy_at = now
-            if now - self.cut_at >= self.aim:
+            if now - self.cut_at >= self.target:
                 self.cut_at = now
-                self.most = max(LEAST, self.most * CUT)
+                self.most = max(MIN_LIMIT, self.most * CUT_FACTOR)
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -8,9 +8,9 @@
 import pytest
 
 from garnethaven.limits.overload import (
-    EASE_HALF,
-    EASE_MEMORY,
-    REFUSE_MOST,
+    LATENCY_EWMA_ANSWERS,
+    MAX_REFUSED_SHARE,
+    REFUSED_SHARE_HALF_LIFE_NS,
     RETRY_BURST,
     RETRY_SHARE,
     Overload,
@@ -51,7 +51,7 @@
 def test_late_answers_are_followed_by_refusals_but_never_of_all() -> None:
     overload = sparse()
     jam(overload)
-    assert overload.refused_share == REFUSE_MOST
+    assert overload.refused_share == MAX_REFUSED_SHARE
     assert 850 < refusals(overload, 1000) < 950
 
 
@@ -93,9 +93,9 @@
 def test_refusals_end_by_the_clock_once_answers_need_little_of_the_aim() -> None:
     overload = sparse()
     now = jam(overload)
-    for n in range(2 * EASE_MEMORY):  # as few as a sidecar gets that refuses most
+    for n in range(2 * LATENCY_EWMA_ANSWERS):  # as few as a sidecar gets that refuses most
         overload.answered(now + n * 100 * MS, 0.1)
-    overload.arrives(now + S + 6 * EASE_HALF)
+    overload.arrives(now + S + 6 * REFUSED_SHARE_HALF_LIFE_NS)
     assert overload.refused_share == 0.0
     assert refusals(overload, 100) == 0
 
@@ -104,7 +104,7 @@
     overload = sparse()
     now = jam(overload)
     overload.arrives(now + 60 * S)
-    assert overload.refused_share == REFUSE_MOST
+    assert overload.refused_share == MAX_REFUSED_SHARE
 
 
 def test_retries_get_their_share_of_what_is_taken_while_first_tries_are_refused() -> None:
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from garnethaven.limits.retry_budget import MAX_TOKENS, TURNED_AWAY_TOKENS, RetryBudget
+from garnethaven.limits.retry_budget import MAX_TOKENS, REJECTION_TOKENS, RetryBudget
 
 
 def play(budget: RetryBudget, turned_away_of_ten: int, rounds: int) -> tuple[int, int]:
@@ -103,7 +103,7 @@
 
 
 def test_it_bears_one_try_of_twelve_turned_away() -> None:
-    for answers, holds in ((TURNED_AWAY_TOKENS + 2, True), (TURNED_AWAY_TOKENS, False)):
+    for answers, holds in ((REJECTION_TOKENS + 2, True), (REJECTION_TOKENS, False)):
         budget = RetryBudget()
         budget.tokens = before = 0.75 * MAX_TOKENS
         budget.turned_away()
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -18,7 +18,16 @@
     Settings,
     Woke,
 )
-from garnethaven.recovery.window import CALM, CUT, GOOD, LATE, LEAST, PER_AIM, START, Window
+from garnethaven.recovery.window import (
+    CALM_NS,
+    CUT_FACTOR,
+    FAST_FRACTION,
+    GROWTH_PER_TARGET,
+    INITIAL_REQUESTS_PER_SERVER,
+    MIN_LIMIT,
+    SLOW_FRACTION,
+    Window,
+)
 
 MS = 1_000_000
 S = 1_000_000_000
@@ -42,7 +51,7 @@
 def test_all_beginners_together_put_a_bounded_queue_on_each_server(fleet: int) -> None:
     capacity = 12.0
     every = sum(taken(begun(capacity, fleet), 0, 1_000) for _ in range(fleet))
-    assert every <= max(START * capacity + fleet, (LEAST + 1) * fleet)
+    assert every <= max(INITIAL_REQUESTS_PER_SERVER * capacity + fleet, (MIN_LIMIT + 1) * fleet)
     assert every >= fleet  # none is without any
 
 
@@ -54,7 +63,7 @@
     window = begun(12.0, 24)
     first = taken(window, 0, 100)
     for _ in range(first):
-        window.answered(0, GOOD / 2)
+        window.answered(0, FAST_FRACTION / 2)
     assert taken(window, 0, 100) == 2 * first
 
 
@@ -63,7 +72,7 @@
     first = taken(window, 0, 100)
     assert window.refuses(0, first)
     assert not window.refuses(S // 4, first)
-    assert taken(window, S, 100) == int(first * (1.0 + PER_AIM))
+    assert taken(window, S, 100) == int(first * (1.0 + GROWTH_PER_TARGET))
 
 
 def test_slow_answers_cut_it_once_an_aim_and_never_to_nothing() -> None:
@@ -73,8 +82,8 @@
         window.answered(S, 1.0)
     assert before * 0.6 < window.most < before
     for second in range(2, 60):
-        window.answered(second * S, LATE + 0.01)
-    assert window.most == LEAST  # the clock lets more in only as they come
+        window.answered(second * S, SLOW_FRACTION + 0.01)
+    assert window.most == MIN_LIMIT  # the clock lets more in only as they come
 
 
 def test_a_try_that_a_server_had_no_place_for_cuts_it_too() -> None:
@@ -87,7 +96,7 @@
     assert balancer.overload.window.most > before  # by the clock; one that has died tells of no queue
     grown = balancer.overload.window.most
     balancer.handle(2 * S, AttemptEnded("a", 1, send.endpoint, Outcome.BUSY))
-    assert balancer.overload.window.most == pytest.approx(grown * CUT)
+    assert balancer.overload.window.most == pytest.approx(grown * CUT_FACTOR)
 
 
 def test_a_process_that_stood_still_begins_anew() -> None:
@@ -95,16 +104,16 @@
     balancer = Balancer(settings, 1)
     listed = tuple(Endpoint(number) for number in range(12))
     balancer.handle(0, Membership(ListKind.FULL, listed))
-    balancer.handle(4 * CALM, Request("calm", 0, S))
+    balancer.handle(4 * CALM_NS, Request("calm", 0, S))
     assert not balancer.overload.window.most  # it has ended
-    balancer.handle(5 * CALM, Woke())
-    actions = [balancer.handle(5 * CALM, Request(str(n), 0, S)) for n in range(40)]
+    balancer.handle(5 * CALM_NS, Woke())
+    actions = [balancer.handle(5 * CALM_NS, Request(str(n), 0, S)) for n in range(40)]
     refused = sum(isinstance(action, Refuse) for some in actions for action in some)
     assert 30 <= refused < 40
 
 
 def test_it_ends_once_it_neither_refuses_nor_sees_slow_answers() -> None:
     window = begun(2.0, 24)
-    assert taken(window, 0, 100) == LEAST
-    assert taken(window, CALM, 100) < 100  # it has refused meanwhile
-    assert taken(window, 2 * CALM + 1, 100) == 100
+    assert taken(window, 0, 100) == MIN_LIMIT
+    assert taken(window, CALM_NS, 100) < 100  # it has refused meanwhile
+    assert taken(window, 2 * CALM_NS + 1, 100) == 100
