--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -1,28 +1,30 @@
-"""Places for clients: who keeps a connection while places are scarce.
+"""Client connections: which idle ones to close when the connection limit comes near.
 
-Theory. A connection that nobody uses costs two budgets at once: a descriptor here, and one of the places
-that the clients may hold on their side, which is smaller and which we are never told of. On calm days
-keeping it is right: the next request saves a handshake. When places run out, each kept for nobody turns
-away somebody who asks now, and from outside that looks like an overload though no server is busy.
+An unused connection counts against two limits: a descriptor in this process, and the connections that the
+clients may hold on their side, which are fewer and whose number is never reported to the sidecar. Under
+normal load it is right to keep unused connections, because the next request saves a handshake. Near the limit
+each of them displaces a client that has a request, which from outside looks like an overload though no server
+is busy.
 
-So every connection has an expected wait until it is used again, from what it has done so far:
+So every connection has an expected wait until its next request, derived from its history:
 
-| it has | expected wait |
+| history | expected wait |
 | --- | --- |
-| never asked | `SILENT_WEIGHT` times its silence: it most likely never will |
-| asked once | its idle time and the usual return time, over the share of such connections that came back |
-| asked again | its own gap while that is not overdue by far, then its idle time: it will wait as long again |
-| been turned away | `BLAME_WEIGHT` times that |
-
-The longest wait is worth least. Pressure runs from 0, at `EASE` of the places, to 1, at `FULL` of them. From
-0 on connections end in order of their worth, and the more of them at once the higher it is. An answer
-that says `Connection: close` is the harmless way and comes first: no request can cross it. Closing in
-silence is left to connections that have not been used for `CROSSING_S`, or are older than `FIRST_S` without
-a request.
-
-Bounds. Below `EASE` nothing here acts, so calm days keep what they have. A connection that is expected back
-within `SPARED_S` is spared until the places are full. It would do harm to clients that open many
-connections ahead of need and use each rarely; they pay a handshake on loopback for each request.
+| no request | `UNUSED_WAIT_FACTOR` times its idle time, as it most likely never sends one |
+| one request | idle time plus typical gap, divided by the share of such connections that return |
+| more requests | its own smoothed gap; its idle time once that is over `OVERDUE_FACTOR` gaps |
+| a rejected request | `REJECTED_WAIT_FACTOR` times the above |
+
+Connections with the longest expected wait are closed first. Pressure runs from 0, at `PRESSURE_START` of the
+limit, to 1, at `PRESSURE_FULL` of it. Above 0, connections are closed in the order of their expected wait,
+and the higher the pressure, the more of them at once. An answer with `Connection: close` is the safe way and
+is preferred, because no request can cross it. A connection is closed without an answer only if it has been
+idle for `REQUEST_IN_TRANSIT_S`, or, without a request so far, for `FIRST_S`.
+
+Bounds. Below `PRESSURE_START` nothing is closed, so normal load is not affected. A connection whose expected
+wait is within `PROTECTED_WAIT_S` is kept until pressure is full.
+Limitation: clients that open many connections ahead of need and use each rarely pay a handshake on loopback
+for each request.
 """
 
 from __future__ import annotations
@@ -32,155 +34,158 @@
 from math import ceil
 from typing import Protocol, TypeVar
 
-EASE = 0.5  # share of the places from which on connections are weighed against each other
-FULL = 0.85  # the same for full pressure: what is left takes the arrivals between two looks
-CALM_WAIT_S = 6.0  # an expected wait that is worth a place while none is scarce
-TIGHT_WAIT_S = 0.15  # the same at full pressure
-SPARED_S = 1.0  # expected back within this: not closed below full pressure
-CROSSING_S = 0.02  # a connection that was used so lately may have its next request on the way
-# A client that connects many at once writes its first request after the last of them is open, and later on a
-# busy machine: until then silence means nothing. Where it is shorter, clients that all come back to a program
-# that has just started lose requests; longer, connections that never ask hold their places for longer.
+PRESSURE_START = 0.5  # share of the limit at which pressure rises above 0
+PRESSURE_FULL = 0.85  # share of the limit at which pressure is 1; the rest takes arrivals between two sweeps
+CALM_WAIT_S = 6.0  # longest expected wait of a connection that is kept at pressure 0
+FULL_PRESSURE_WAIT_S = 0.15  # the same at pressure 1
+PROTECTED_WAIT_S = 1.0  # a connection with a shorter expected wait is not closed below full pressure
+REQUEST_IN_TRANSIT_S = 0.02  # after such a short idle time the next request may be on its way
+# Grace period for the first request. A client that opens many connections at once writes its first request
+# after the last of them is open, and later on a busy machine. With a shorter period, clients that all return
+# to a restarted process lose requests; with a longer one, unused connections stay open for longer.
 FIRST_S = 0.2
-SILENT_WEIGHT = 8.0
-BLAME_WEIGHT = 4.0
-OVERDUE = 4.0  # a gap that has passed this many times tells nothing any more
-GAP_MEMORY = 4  # gaps of one connection over which its own is smoothed
-RETURN_MEMORY = 64  # connections over which the share that comes back is smoothed
-RETURN_LEAST = 0.02
-TRIAL_EVERY = 8  # one in so many is kept against the odds: or nothing would tell that they are better now
+UNUSED_WAIT_FACTOR = 8.0
+REJECTED_WAIT_FACTOR = 4.0
+OVERDUE_FACTOR = 4.0  # after an idle time of so many gaps, the gap no longer predicts the next request
+GAP_EWMA_REQUESTS = 4  # smoothing span of the request gap of one connection
+RETURN_EWMA_CONNECTIONS = 64  # smoothing span of the return share and of the typical gap
+MIN_RETURN_SHARE = 0.02
+TRIAL_INTERVAL = 8  # every so many candidates, one is kept, to detect that such connections return again
 
 
 @dataclass(slots=True)
 class Usage:
-    """What one client's connection has done so far; times in seconds of the caller's clock."""
+    """History of one client connection; times are seconds of the caller's clock."""
 
-    since: float  # when it came, or had its last answer
-    asked: int = 0  # whole requests
-    turned_away: int = 0  # of these, requests that no endpoint might see
+    since: float  # when it was accepted or had its last answer
+    asked: int = 0  # complete requests
+    turned_away: int = 0  # requests that were rejected before any endpoint could see them
     gap: float = 0.0  # smoothed time from an answer to the next request
-    counted: bool = False  # whether it came back after its first answer is already in the share
+    return_counted: bool = False  # whether the return share includes this connection
 
 
-class Ranked(Protocol):
-    """Something with a usage that can be closed."""
+class HasUsage(Protocol):
+    """A connection with a usage history."""
 
     usage: Usage
 
 
-T = TypeVar("T", bound=Ranked)
+Connection = TypeVar("Connection", bound=HasUsage)
 
 
 class Places:
-    """Weighs the connections of one front against its places.
+    """Selects the client connections of one listener that are closed near the limit.
 
-    `ours` is the most connections that this side holds, `theirs` the most that the clients hold on
-    theirs (0: not known). Both are counts, at least 1 for `ours`. An idle connection is worth keeping for
-    `calm_wait_s` seconds while places are plenty.
+    `local_limit` (at least 1) is the largest number of connections on this side, `remote_limit` the largest
+    number that the clients hold on their side (0: unknown). `calm_wait_s` is the longest expected wait, in
+    seconds, of a connection that is kept while there is no pressure.
     """
 
-    def __init__(self, ours: int, theirs: int = 0, calm_wait_s: float = CALM_WAIT_S) -> None:
-        self.resize(ours, theirs, calm_wait_s)
-        self.ended_early = 0  # connections that were ended for want of places
-        self.returning = 1.0  # share of connections that ask a second time
-        self.usual_gap = 0.05
-        self.leaving = 0  # answers that would have ended their connection, for trials
-
-    def resize(self, ours: int, theirs: int, calm_wait_s: float) -> None:
-        """Change the bounds; what was learned of the connections stays."""
-        if ours < 1 or theirs < 0:
-            raise ValueError(f"places must be positive: {ours} here, {theirs} there")
-        self.most = min(ours, theirs) if theirs else ours
+    def __init__(self, local_limit: int, remote_limit: int = 0, calm_wait_s: float = CALM_WAIT_S) -> None:
+        self.resize(local_limit, remote_limit, calm_wait_s)
+        self.ended_early = 0  # connections closed because of the limit
+        self.returning = 1.0  # share of connections with a second request
+        self.typical_gap = 0.05  # smoothed gap of all connections, in seconds
+        self.close_candidates = 0  # answers at which a connection qualified for closing
+
+    def resize(self, local_limit: int, remote_limit: int, calm_wait_s: float) -> None:
+        """Change the limits; keeps the statistics. Raises ValueError if a limit is out of range."""
+        if local_limit < 1 or remote_limit < 0:
+            raise ValueError(f"connection limits out of range: local {local_limit}, remote {remote_limit}")
+        self.most = min(local_limit, remote_limit) if remote_limit else local_limit
         self.calm_wait_s = calm_wait_s
 
-    def pressure(self, held: int) -> float:
-        """How scarce places are, from 0 to 1, with `held` of them taken."""
-        return min(1.0, max(0.0, (held / self.most - EASE) / (FULL - EASE)))
+    def pressure(self, open_count: int) -> float:
+        """How close the number of open connections is to the limit, from 0 to 1."""
+        return min(
+            1.0, max(0.0, (open_count / self.most - PRESSURE_START) / (PRESSURE_FULL - PRESSURE_START))
+        )
 
-    # What connections do
+    # Connection events
 
     def asks(self, usage: Usage, now: float) -> None:
-        """A whole request came on it."""
+        """Record a complete request on a connection."""
         if usage.asked:
             gap = max(0.0, now - usage.since)
-            usage.gap = usage.gap + (gap - usage.gap) / GAP_MEMORY if usage.gap else gap
-            self.usual_gap += (gap - self.usual_gap) / RETURN_MEMORY
-            self._count(usage, 1.0)
+            usage.gap = usage.gap + (gap - usage.gap) / GAP_EWMA_REQUESTS if usage.gap else gap
+            self.typical_gap += (gap - self.typical_gap) / RETURN_EWMA_CONNECTIONS
+            self._count_return(usage, 1.0)
         usage.asked += 1
 
     def gone(self, usage: Usage, now: float) -> None:
-        """It ended: one that idled for long after its first answer did not come back."""
-        if now - usage.since >= SPARED_S:
-            self._did_not_return(usage)
+        """Record the end of a connection; one with a single request and a long idle time did not return."""
+        if now - usage.since >= PROTECTED_WAIT_S:
+            self._count_not_returned(usage)
 
-    def _did_not_return(self, usage: Usage) -> None:
+    def _count_not_returned(self, usage: Usage) -> None:
         if usage.asked == 1:
-            self._count(usage, 0.0)
+            self._count_return(usage, 0.0)
 
-    def _count(self, usage: Usage, came_back: float) -> None:
-        if not usage.counted:
-            usage.counted = True
-            self.returning += (came_back - self.returning) / RETURN_MEMORY
+    def _count_return(self, usage: Usage, returned: float) -> None:
+        if not usage.return_counted:
+            usage.return_counted = True
+            self.returning += (returned - self.returning) / RETURN_EWMA_CONNECTIONS
 
-    # What becomes of them
+    # Selection
 
     def may_be_asking(self, usage: Usage, now: float) -> bool:
-        """Whether a request may be on its way on it: a close in silence would cost that."""
-        return now - usage.since < (CROSSING_S if usage.asked else FIRST_S)
+        """Whether a request may be on its way, which a close without an answer would lose."""
+        return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_S)
 
     def expected_wait(self, usage: Usage, now: float) -> float:
-        """Seconds until it is likely to be used again; the larger, the less it is worth."""
+        """Estimated seconds until the next request."""
         idle = max(0.0, now - usage.since)
         if not usage.asked:
-            wait = SILENT_WEIGHT * idle
+            wait = UNUSED_WAIT_FACTOR * idle
         elif usage.asked == 1:
-            wait = (idle + self.usual_gap) / max(RETURN_LEAST, self.returning)
+            wait = (idle + self.typical_gap) / max(MIN_RETURN_SHARE, self.returning)
         else:
-            wait = usage.gap if idle <= OVERDUE * usage.gap else idle
-        return wait * BLAME_WEIGHT if usage.turned_away else wait
+            wait = usage.gap if idle <= OVERDUE_FACTOR * usage.gap else idle
+        return wait * REJECTED_WAIT_FACTOR if usage.turned_away else wait
 
-    def worth_keeping_s(self, held: int) -> float:
-        """The longest expected wait, in seconds, that is worth a place now."""
-        pressure = self.pressure(held)
-        return float(self.calm_wait_s ** (1.0 - pressure) * TIGHT_WAIT_S**pressure)
+    def max_wait_s(self, open_count: int) -> float:
+        """The longest expected wait, in seconds, of a connection that is kept at the current pressure."""
+        pressure = self.pressure(open_count)
+        return float(self.calm_wait_s ** (1.0 - pressure) * FULL_PRESSURE_WAIT_S**pressure)
 
-    def ends_with_answer(self, usage: Usage, held: int, now: float) -> bool:
-        """Whether the answer that is about to be written should be the connection's last."""
-        if self.pressure(held) <= 0.0 or self.expected_wait(usage, now) <= self.worth_keeping_s(held):
+    def ends_with_answer(self, usage: Usage, open_count: int, now: float) -> bool:
+        """Whether the next answer on a connection should close it."""
+        if self.pressure(open_count) <= 0.0 or self.expected_wait(usage, now) <= self.max_wait_s(open_count):
             return False
-        self.leaving += 1
-        ends = self.leaving % TRIAL_EVERY != 0
+        self.close_candidates += 1
+        ends = self.close_candidates % TRIAL_INTERVAL != 0
         self.ended_early += ends
         return ends
 
-    def to_close(self, idle: Iterable[T], held: int, now: float) -> list[T]:
-        """Those of the idle connections that should go now, the least worth first.
+    def to_close(self, idle: Iterable[Connection], open_count: int, now: float) -> list[Connection]:
+        """Return the idle connections to close now, longest expected wait first.
 
-        As many as bring the places back to `EASE` within a few looks; at full pressure all that is not
-        worth keeping. Connections that never asked press on one another only: however many come and say
-        nothing, those that asked do not lose their places to them.
+        Their number brings the open connections back to `PRESSURE_START` of the limit within a few sweeps; at
+        full pressure it is as many as exceed that. Connections without a request are counted and ranked
+        separately, so that they never displace connections that send requests.
         """
-        silent: list[T] = []
-        asked: list[T] = []
-        for one in idle:
-            (asked if one.usage.asked else silent).append(one)
-        chosen = self._worst(silent, held, now)
-        chosen += self._worst(asked, held - len(silent), now)
+        unused: list[Connection] = []
+        used: list[Connection] = []
+        for connection in idle:
+            (used if connection.usage.asked else unused).append(connection)
+        chosen = self._longest_waits(unused, open_count, now)
+        chosen += self._longest_waits(used, open_count - len(unused), now)
         self.ended_early += len(chosen)
-        for one in chosen:
-            self._did_not_return(one.usage)
+        for connection in chosen:
+            self._count_not_returned(connection.usage)
         return chosen
 
-    def _worst(self, idle: list[T], held: int, now: float) -> list[T]:
-        pressure = self.pressure(held)
+    def _longest_waits(self, idle: list[Connection], open_count: int, now: float) -> list[Connection]:
+        pressure = self.pressure(open_count)
         if pressure <= 0.0:
             return []
-        bar = max(self.worth_keeping_s(held), SPARED_S if pressure < 1.0 else 0.0)
+        min_wait = max(self.max_wait_s(open_count), PROTECTED_WAIT_S if pressure < 1.0 else 0.0)
         ranked = [
-            (wait, one)
-            for one in idle
-            if not self.may_be_asking(one.usage, now) and (wait := self.expected_wait(one.usage, now)) > bar
+            (wait, connection)
+            for connection in idle
+            if not self.may_be_asking(connection.usage, now)
+            and (wait := self.expected_wait(connection.usage, now)) > min_wait
         ]
         ranked.sort(key=lambda pair: -pair[0])
-        wanted = ceil((held - EASE * self.most) * max(0.25, pressure))
-        return [one for _, one in ranked[:wanted]]
+        wanted = ceil((open_count - PRESSURE_START * self.most) * max(0.25, pressure))
+        return [connection for _, connection in ranked[:wanted]]
--- a/garnethaven/recovery/start_times.py
+++ b/garnethaven/recovery/start_times.py
@@ -1,30 +1,31 @@
-"""When servers started, as far as this process may believe it. No I/O, no clock.
+"""Effective start times of servers: bounds on the starts that lists claim. No I/O, no clock.
 
-A list tells a start by a wall clock: of the server's machine or of discovery's, read against this machine's.
-Any of them may be wrong or be stepped, by seconds or by an hour. Slow start is a span of real time, so what
-this process saw on its own monotonic clock bounds what a list claims.
+A list reports a start by the wall clock of the server's machine or of discovery, which is converted with this
+machine's wall clock. Any of these clocks may be wrong or be stepped, by seconds or by an hour. Slow start
+needs a span of real time, so what this process observed on its own monotonic clock bounds the claimed start.
 
-Let `now` be when a list first names a *life* of a server (its id with one claimed start), and `absent_at` the
-last moment at which a sound list did not name it: `now` itself for what comes on an open watch, which tells
-changes at once, else the time of the sound answer before; none before the first answer. Discovery may itself
-hear of a start late, by `LIST_LAG` at the most. Then the life began between `absent_at - LIST_LAG` and `now`:
+An *incarnation* of a server is its id with one claimed start. Let `now` be the time at which a list first
+names an incarnation, and `absent_at` the last time at which a valid list did not name it: `now` for an update
+on an open watch, which reports changes at once; otherwise the time of the previous valid answer; none before
+the first answer. Discovery may learn of a start late, by at most `MAX_DISCOVERY_LAG_NS` ("lag" below). So the
+start lies between `absent_at - lag` and `now`:
 
-| claimed start c | the start that counts |
+| claimed start c | effective start |
 | --- | --- |
 | 0 (long ago) | 0: no clock is read for it |
-| absent_at - LIST_LAG <= c <= now | c |
-| c > now | now: a start that is to come can't hold the server cold for longer than its ramp |
-| c < absent_at - LIST_LAG | now: it was not there, so the clock is wrong; the coldest that it can be |
+| absent_at - lag <= c <= now | c |
+| c > now | now: a future start must not keep the server cold for longer than its ramp |
+| c < absent_at - lag | now: the server was absent then, so the clock is wrong; now is the coldest case |
 
-So a wrong clock can make a server look older by `LIST_LAG` at the most, and younger by the time between its
-start and the moment it is first seen. The first list after the start of this process has nothing to be held
-against: its claims up to `now` are believed.
+So a wrong clock can make a server appear older by at most the lag, and younger by at most the time between
+its start and the moment it is first listed. Nothing bounds the first list after the start of this process
+from below: its claims up to `now` are accepted.
 
-A start that counts is fixed when its life is first seen: later steps of any clock don't move it. A life that
-is listed again after it was missing keeps it for `REMEMBERED` (lists leave out servers that drain). Where the
-claims for one id go back, the latest start that ever counted for it holds.
+The effective start is fixed when the incarnation is first listed; later clock steps don't move it. An
+incarnation that is listed again after an absence keeps it for `RETENTION_NS`, because lists leave out servers
+that drain. If the claims for one id go back in time, its latest effective start remains in force.
 
-Harm: a list that comes later than `LIST_LAG` makes a server that has been warming up begin again; that costs
+Limitation: a list that is later than the lag makes a server that has been warming up start over, which costs
 a share of one server for a while.
 """
 
@@ -34,72 +35,73 @@
 from dataclasses import dataclass, field
 
 SECOND = 1_000_000_000
-LIST_LAG = 6 * SECOND  # between a start and discovery's telling of it, as for any change
-REMEMBERED = 60 * SECOND  # for which the starts of a server that is no longer listed are kept
-MAX_LIVES = 4  # claimed starts of one id that are told apart; a server seldom starts that often in a minute
+MAX_DISCOVERY_LAG_NS = 6 * SECOND  # between a start and the list that names it, as for any change
+RETENTION_NS = 60 * SECOND  # how long the starts of an unlisted server are kept
+MAX_STARTS_PER_SERVER = 4  # remembered claimed starts of one id; few servers start that often in a minute
 
 
 @dataclass(slots=True)
-class Lives:
-    """What is known of one id: the start that counts for each claimed one, and when it went."""
+class ServerStarts:
+    """The incarnations of one server id."""
 
-    starts: dict[int, int] = field(default_factory=dict)
-    latest: int | None = None  # of the starts that count, but for "long ago"
-    gone_at: int | None = None  # None: it is listed
+    starts: dict[int, int] = field(default_factory=dict)  # effective start by claimed start
+    latest: int | None = None  # latest effective start; None if all claims were 0 (long ago)
+    unlisted_at: int | None = None  # None: the server is listed
 
 
 class StartTimes:
-    """The starts that count, by server id. All times are nanoseconds of this machine's monotonic clock."""
+    """Effective starts by server id. All times are nanoseconds of this machine's monotonic clock."""
 
     def __init__(self) -> None:
-        self.known: dict[int, Lives] = {}
-        self.gone: dict[int, None] = {}  # ids that are not listed, the longest gone first
+        self.servers: dict[int, ServerStarts] = {}
+        self.unlisted: dict[int, None] = {}  # ids in the order in which they left the list
 
     def judge(self, endpoint: int, claimed: int, now: int, absent_at: int | None) -> int:
-        """The start that counts for a listed server; 0 for long ago.
+        """Return the effective start of a listed server; 0 means long ago.
 
-        `claimed` is the start by the list, `now` the time at which that was heard; `absent_at` as above.
+        `claimed` is the start in the list and `now` the time at which the list arrived; for `absent_at` see
+        the module's docstring.
         """
-        if not claimed and endpoint not in self.known:
+        if not claimed and endpoint not in self.servers:
             return 0
-        lives = self.known.setdefault(endpoint, Lives())
-        lives.gone_at = None
-        self.gone.pop(endpoint, None)
-        if claimed not in lives.starts:
-            self._add(lives, claimed, now, absent_at)
-        return lives.latest or 0
+        server = self.servers.setdefault(endpoint, ServerStarts())
+        server.unlisted_at = None
+        self.unlisted.pop(endpoint, None)
+        if claimed not in server.starts:
+            self._add(server, claimed, now, absent_at)
+        return server.latest or 0
 
     @staticmethod
-    def _add(lives: Lives, claimed: int, now: int, absent_at: int | None) -> None:
-        """Note a life that is seen for the first time."""
-        earliest = absent_at - LIST_LAG if absent_at is not None else None
-        believed = claimed
+    def _add(server: ServerStarts, claimed: int, now: int, absent_at: int | None) -> None:
+        """Record an incarnation that is listed for the first time."""
+        earliest = absent_at - MAX_DISCOVERY_LAG_NS if absent_at is not None else None
+        effective = claimed
         if claimed and (claimed > now or (earliest is not None and claimed < earliest)):
-            believed = now
-        if len(lives.starts) >= MAX_LIVES:
-            del lives.starts[next(iter(lives.starts))]
-        lives.starts[claimed] = believed
+            effective = now
+        if len(server.starts) >= MAX_STARTS_PER_SERVER:
+            del server.starts[next(iter(server.starts))]
+        server.starts[claimed] = effective
         if claimed:
-            lives.latest = believed if lives.latest is None else max(lives.latest, believed)
+            server.latest = effective if server.latest is None else max(server.latest, effective)
 
     def leave(self, endpoint: int, now: int) -> None:
-        """A server is listed no more."""
-        lives = self.known.get(endpoint)
-        if lives is not None and lives.gone_at is None:
-            lives.gone_at = now
-            self.gone[endpoint] = None
+        """Mark a server as no longer listed."""
+        server = self.servers.get(endpoint)
+        if server is not None and server.unlisted_at is None:
+            server.unlisted_at = now
+            self.unlisted[endpoint] = None
 
     def leave_all_but(self, listed: Iterable[int], now: int) -> None:
-        """A full list names these and no others."""
-        named = set(listed)
-        for endpoint in [known for known in self.known if known not in named]:
+        """Mark all servers that a full list does not name as no longer listed."""
+        listed_ids = set(listed)
+        for endpoint in [known for known in self.servers if known not in listed_ids]:
             self.leave(endpoint, now)
 
     def forget_old(self, now: int) -> None:
-        """Drop the servers that have been gone for `REMEMBERED`."""
-        while self.gone:
-            endpoint = next(iter(self.gone))
-            gone_at = self.known[endpoint].gone_at
-            if gone_at is not None and now - gone_at < REMEMBERED:
+        """Drop the servers that have been unlisted for `RETENTION_NS`."""
+        while self.unlisted:
+            endpoint = next(iter(self.unlisted))
+            unlisted_at = self.servers[endpoint].unlisted_at
+            if unlisted_at is not None and now - unlisted_at < RETENTION_NS:
                 return
-            del self.gone[endpoint], self.known[endpoint]
+            del self.unlisted[endpoint], self.servers[endpoint]
