--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -19,7 +19,8 @@
 limit, to 1, at `PRESSURE_FULL` of it. Above 0, connections are closed in the order of their expected wait,
 and the higher the pressure, the more of them at once. An answer with `Connection: close` is the safe way and
 is preferred, because no request can cross it. A connection is closed without an answer only if it has been
-idle for `REQUEST_IN_TRANSIT_S`, or, without a request so far, for `FIRST_S`.
+idle for `REQUEST_IN_TRANSIT_S`, or, without a request so far, for the grace period
+of the first request.
 
 Bounds. Below `PRESSURE_START` nothing is closed, so normal load is not affected. A connection whose expected
 wait is within `PROTECTED_WAIT_S` is kept until pressure is full.
@@ -70,30 +71,32 @@
     usage: Usage
 
 
-Connection = TypeVar("Connection", bound=HasUsage)
+T = TypeVar("T", bound=HasUsage)
 
 
 class Places:
     """Selects the client connections of one listener that are closed near the limit.
 
     `local_limit` (at least 1) is the largest number of connections on this side, `remote_limit` the largest
-    number that the clients hold on their side (0: unknown). `calm_wait_s` is the longest expected wait, in
-    seconds, of a connection that is kept while there is no pressure.
+    number that the clients hold on their side (0: unknown). `unpressured_wait_s` is the longest expected
+    wait, in seconds, of a connection that is kept while there is no pressure.
     """
 
-    def __init__(self, local_limit: int, remote_limit: int = 0, calm_wait_s: float = CALM_WAIT_S) -> None:
-        self.resize(local_limit, remote_limit, calm_wait_s)
+    def __init__(
+        self, local_limit: int, remote_limit: int = 0, unpressured_wait_s: float = CALM_WAIT_S
+    ) -> None:
+        self.resize(local_limit, remote_limit, unpressured_wait_s)
         self.ended_early = 0  # connections closed because of the limit
         self.returning = 1.0  # share of connections with a second request
         self.typical_gap = 0.05  # smoothed gap of all connections, in seconds
         self.close_candidates = 0  # answers at which a connection qualified for closing
 
-    def resize(self, local_limit: int, remote_limit: int, calm_wait_s: float) -> None:
+    def resize(self, local_limit: int, remote_limit: int, unpressured_wait_s: float) -> None:
         """Change the limits; keeps the statistics. Raises ValueError if a limit is out of range."""
         if local_limit < 1 or remote_limit < 0:
             raise ValueError(f"connection limits out of range: local {local_limit}, remote {remote_limit}")
         self.most = min(local_limit, remote_limit) if remote_limit else local_limit
-        self.calm_wait_s = calm_wait_s
+        self.unpressured_wait_s = unpressured_wait_s
 
     def pressure(self, open_count: int) -> float:
         """How close the number of open connections is to the limit, from 0 to 1."""
@@ -146,7 +149,7 @@
     def max_wait_s(self, open_count: int) -> float:
         """The longest expected wait, in seconds, of a connection that is kept at the current pressure."""
         pressure = self.pressure(open_count)
-        return float(self.calm_wait_s ** (1.0 - pressure) * FULL_PRESSURE_WAIT_S**pressure)
+        return float(self.unpressured_wait_s ** (1.0 - pressure) * FULL_PRESSURE_WAIT_S**pressure)
 
     def ends_with_answer(self, usage: Usage, open_count: int, now: float) -> bool:
         """Whether the next answer on a connection should close it."""
@@ -157,15 +160,15 @@
         self.ended_early += ends
         return ends
 
-    def to_close(self, idle: Iterable[Connection], open_count: int, now: float) -> list[Connection]:
+    def to_close(self, idle: Iterable[T], open_count: int, now: float) -> list[T]:
         """Return the idle connections to close now, longest expected wait first.
 
         Their number brings the open connections back to `PRESSURE_START` of the limit within a few sweeps; at
         full pressure it is as many as exceed that. Connections without a request are counted and ranked
         separately, so that they never displace connections that send requests.
         """
-        unused: list[Connection] = []
-        used: list[Connection] = []
+        unused: list[T] = []
+        used: list[T] = []
         for connection in idle:
             (used if connection.usage.asked else unused).append(connection)
         chosen = self._longest_waits(unused, open_count, now)
@@ -175,7 +178,7 @@
             self._count_not_returned(connection.usage)
         return chosen
 
-    def _longest_waits(self, idle: list[Connection], open_count: int, now: float) -> list[Connection]:
+    def _longest_waits(self, idle: list[T], open_count: int, now: float) -> list[T]:
         pressure = self.pressure(open_count)
         if pressure <= 0.0:
             return []
--- a/garnethaven/recovery/window.py
+++ b/garnethaven/recovery/window.py
@@ -42,13 +42,10 @@
 
 
 class Window:
-    """Startup window of one sidecar. `most` is the limit of requests in flight; 0 means no limit.
-
-    There is no limit before `begin` and after the window has ended.
-    """
+    """Startup window of one sidecar. There is no limit before `begin` and after the window has ended."""
 
     def __init__(self) -> None:
-        self.most = 0.0
+        self.most = 0.0  # limit of the requests in flight; 0: none
         self.target = 0  # shortest latency target
         self.initial_limit = 0.0
         self.grown_at = 0
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -1,4 +1,4 @@
-"""How long a watch may be silent, when to ask out of turn, which answer to believe."""
+"""How long a watch waits, when to call off schedule, and which answers of discovery to apply."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import pytest
 
 from garnethaven.limits.lists import (
-    BEHIND_MOST,
-    DOUBLE_S,
-    EVIDENCE_S,
-    WAIT_LEAST_S,
+    EVIDENCE_WINDOW_S,
+    MAX_STALE_ANSWERS,
+    MIN_WATCH_WAIT_S,
+    OVERDUE_S,
     WAIT_MOST_S,
     Evidence,
     FreshList,
@@ -20,14 +20,14 @@
 
 
 def test_a_small_fleet_renews_its_watch_often_and_a_large_one_seldom() -> None:
-    assert FreshList(3, 10.0).wait_s == WAIT_LEAST_S
+    assert FreshList(3, 10.0).wait_s == MIN_WATCH_WAIT_S
     assert FreshList(133, 10.0).wait_s == WAIT_MOST_S
     assert FreshList(3, 10.0).wait_s < FreshList(30, 10.0).wait_s < FreshList(133, 10.0).wait_s
-    assert FreshList(3, 0.0).wait_s == WAIT_MOST_S  # what discovery can do is not told
+    assert FreshList(3, 0.0).wait_s == WAIT_MOST_S  # discovery's capacity is not configured
 
 
 def test_a_silent_call_is_doubled_before_news_counts_as_told() -> None:
-    assert DOUBLE_S < 2.0 / 2  # so that the call beside it may be repeated once (test_call_schedule.py)
+    assert OVERDUE_S < 2.0 / 2  # leaves time for one repeat of the second call (test_call_schedule.py)
 
 
 def test_one_server_is_no_evidence_however_often_it_fails() -> None:
@@ -47,24 +47,24 @@
 )
 def test_evidence_of_several_servers_is_worth_a_call(kinds: tuple[Evidence, ...], enough: bool) -> None:
     fresh = FreshList(3, 10.0)
-    asked = [fresh.contradicted(1.0 + n / 10, n, kind) is not None for n, kind in enumerate(kinds)]
-    assert asked == [False] * (len(kinds) - 1) + [enough]
+    calls = [fresh.contradicted(1.0 + n / 10, n, kind) is not None for n, kind in enumerate(kinds)]
+    assert calls == [False] * (len(kinds) - 1) + [enough]
 
 
 def test_old_evidence_is_forgotten() -> None:
     fresh = FreshList(3, 10.0)
     assert fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL) is None
-    assert fresh.contradicted(1.1 + EVIDENCE_S, 2, Evidence.REFUSED_DIAL) is None
+    assert fresh.contradicted(1.1 + EVIDENCE_WINDOW_S, 2, Evidence.REFUSED_DIAL) is None
 
 
 def test_a_small_fleet_asks_at_once_and_a_large_one_spreads_its_calls() -> None:
     def delays(size: int) -> list[float]:
-        found = []
+        delays_s = []
         for seed in range(40):
             fresh = FreshList(size, 10.0, seed)
             fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
-            found.append(fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL))
-        return [delay for delay in found if delay is not None]
+            delays_s.append(fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL))
+        return [delay for delay in delays_s if delay is not None]
 
     assert max(delays(3)) <= 0.1
     assert max(delays(1200)) > 15.0 > 3.0 > min(delays(1200))
@@ -74,14 +74,14 @@
     fresh = FreshList(1200, 10.0)
     fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
     assert fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL) is not None
-    fresh.judge(1.2, 0, True, 5)  # nothing new
+    fresh.judge(1.2, 0, True, 5)  # the same revision
     assert fresh.still_wanted()
     fresh.judge(1.3, 9, False, 1)
     assert not fresh.still_wanted()
 
 
 def calls_for_evidence(fresh: FreshList, seconds: float, changes: bool) -> int:
-    """Evidence without end, ten times a second; each call is answered with news or without."""
+    """Count the calls for evidence that comes ten times a second; each answer brings a change or none."""
     calls = 0
     for step in range(int(seconds * 10)):
         now = 1.0 + step / 10
@@ -94,17 +94,17 @@
 def test_calls_that_explain_nothing_become_rarer() -> None:
     explained = calls_for_evidence(FreshList(3, 10.0), 60.0, changes=True)
     unexplained = calls_for_evidence(FreshList(3, 10.0), 60.0, changes=False)
-    assert 10 <= explained <= 60 / FreshList(3, 10.0).pause_s + 3
+    assert 10 <= explained <= 60 / FreshList(3, 10.0).evidence_interval_s + 3
     assert 3 <= unexplained < explained / 2
 
 
 def test_an_answer_that_is_behind_is_passed_over_until_nothing_else_comes() -> None:
     fresh = FreshList(3, 10.0)
     assert fresh.judge(1.0, 40, True, 5) is Verdict.TAKE
-    for _ in range(BEHIND_MOST - 1):
+    for _ in range(MAX_STALE_ANSWERS - 1):
         assert fresh.judge(2.0, 12, True, 5) is Verdict.PASS_OVER
     assert fresh.revision == 40
-    assert fresh.age_s(3.0) == 2.0  # what lies behind does not make the list fresher
+    assert fresh.age_s(3.0) == 2.0  # a stale answer does not renew the list
     assert fresh.judge(2.0, 12, True, 5) is Verdict.TAKE
     assert fresh.revision == 12
 
@@ -128,7 +128,7 @@
     waits = [fresh.ask_again_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
     assert waits[1] <= 0.75 * fresh.call_time_s
-    assert sum(waits) / 200 == pytest.approx(fresh.call_time_s, rel=0.1)  # one call of each in a call time
+    assert sum(waits) / 200 == pytest.approx(fresh.call_time_s, rel=0.1)  # one call in a call time
     assert fresh.judge(2.0, 41, True, 1) is Verdict.TAKE
     assert fresh.ask_again_s() <= 0.375 * fresh.call_time_s
 
@@ -136,30 +136,30 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("size", [3, 30, 133, 1200])
 def test_a_fleet_asks_less_than_discovery_can_do(size: int, seed: int) -> None:
-    """Every instance watches for ever and meets evidence of five servers all the time.
+    """Every instance renews its watch and gets evidence of five servers without end.
 
-    Discovery can answer one call of each instance in 10 s; 50 instances at the least are allowed for.
+    Discovery can answer one call of each instance in 10 s, with a capacity for at least 50 instances.
     """
     rng = random.Random(seed)
     ask_within, seconds = 10.0, 120.0
     fleet = [FreshList(size, ask_within, rng.getrandbits(32)) for _ in range(size)]
-    calls: list[float] = []
-    due = [(rng.uniform(1.0, 1.0 + fleet[0].wait_s), n) for n in range(size)]
-    heapq.heapify(due)
-    while due[0][0] < seconds:
-        now, n = heapq.heappop(due)
-        calls.append(now)
-        heapq.heappush(due, (now + fleet[n].wait_s, n))
+    call_times: list[float] = []
+    next_watches = [(rng.uniform(1.0, 1.0 + fleet[0].wait_s), n) for n in range(size)]
+    heapq.heapify(next_watches)
+    while next_watches[0][0] < seconds:
+        now, n = heapq.heappop(next_watches)
+        call_times.append(now)
+        heapq.heappush(next_watches, (now + fleet[n].wait_s, n))
     for fresh in fleet:
-        first = rng.uniform(1.0, 11.0)
-        for step in range(int((seconds - first) * 2)):
-            now = first + step / 2
+        first_evidence_at = rng.uniform(1.0, 11.0)
+        for step in range(int((seconds - first_evidence_at) * 2)):
+            now = first_evidence_at + step / 2
             delay = fresh.contradicted(now, step % 5, Evidence.REFUSED_DIAL)
             if delay is not None:
-                calls.append(now + delay)
+                call_times.append(now + delay)
     capacity = max(size, 50) / ask_within
     for start in range(10, int(seconds) - 10, 5):
-        within = sum(start <= at < start + 10 for at in calls)
-        assert within / 10 <= capacity, (seed, size, start)
-    news_older_than = fleet[0].wait_s + 2 * DOUBLE_S  # when the call beside a silent watch is repeated
-    assert news_older_than < 22.0  # a silent watch's news counts as told 2 s after its wait
+        calls_in_window = sum(start <= at < start + 10 for at in call_times)
+        assert calls_in_window / 10 <= capacity, (seed, size, start)
+    max_update_age_s = fleet[0].wait_s + 2 * OVERDUE_S  # the second call is repeated
+    assert max_update_age_s < 22.0  # an update has to be known 2 s after the wait of a silent watch
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -128,7 +128,7 @@
 def test_usual_clients_find_places_among_those_that_ask_once_and_stay(seed: int) -> None:
     """A limit of 128 connections; 100 clients a second send one request and stay, 30 return regularly.
 
-    If idle connections were kept for `CALM_WAIT_S`, those of the first kind would be 600.
+    If idle connections were kept as long as without pressure, there would be 600 of the first kind.
     """
     rng = random.Random(seed)
     places, open_connections, now, missed, closed_regulars = Places(160, 128), [], 0.0, 0, 0
