--- a/garnethaven/limits/__init__.py
+++ b/garnethaven/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits and recovery: who gets what is scarce, how old a list may be, and when an overload is over.
+"""Limits: budgets of connections and memory, freshness of server lists, retry budget, and overload control.
 
-Each file holds one kind of decision, reads no clock and does no I/O; its theory is told at its top.
+Each decision module reads no clock and does no I/O; its docstring explains the model.
 """
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -1,72 +1,74 @@
-"""Descriptors and memory as budgets, in one place.
-
-Descriptors. The platform gives a process so many, for everything. `SPARE` of them are for what nobody asks
-for: the loop's own, discovery's, the listeners, the standard three, connections that are taken only to be
-refused, and those that are just being closed. The rest is shared by clients and endpoints: each side is sure
-of `SURE_PART` of it, and clients may have what endpoints leave. Endpoints never get more than
-`ENDPOINTS_MOST`: with more, a sidecar dials where it would have waited, and each new connection costs its
-server work. So a burst of dials to endpoints that stall can't shut clients out, nor can a crowd of clients
-keep requests from being sent on. What one side has taken it keeps until it closes it: the other side's limit
-shrinks by that, never below what is sure.
-
-Memory. An answer of the ordinary size is held whole, so that a spoilt one can be tried again; a longer one
-flows (net/flow.py). Those that can't flow, as an answer that is no 200, are held too, and many of them at
-once are more than a small process has: beyond `ANSWERS_PART` of the memory the larger ones break off as
-spoilt ones do. A body or an answer that flows takes its most from the same budget; where that is used up,
-a request whose body is long is refused at once, and trying again is harmless.
-
-A list of servers is held whole until it is read: one of up to `LIST_PART` of the memory, or `MIN_LIST_BYTES`
-where that is more. A list and what is made of it take some 20 bytes for each of its own, so that one at the
-bound fits from 64 MB on; docs/design/sizes.md has the figures.
-
-While a new version starts beside the old one, both have half of either. `SPARE` is for both together: neither
-has that many things that nobody asks for.
+"""Budgets of descriptors and memory.
+
+Descriptors. The platform limits the descriptors of a process. A fixed number of them is reserved for what is
+neither a client nor an endpoint connection: the event loop, discovery, the listeners, the three standard
+streams, connections that are accepted only to be refused, and those that are being closed. Clients and
+endpoints share the rest. Each side is guaranteed `GUARANTEED_SHARE` of it, and clients may use what endpoints
+leave. Endpoints never get more than `MAX_ENDPOINTS_SHARE`: with more, a sidecar dials where it would have
+waited, and each new connection costs its server work. So a burst of dials to stalled endpoints can't shut
+clients out, and a crowd of clients can't keep requests from being sent. A side keeps the connections it has
+until it closes them: the limit of the other side shrinks by their number, but never below its guaranteed
+share.
+
+Memory. An answer of ordinary size is buffered completely, so that the request can be retried if the answer
+turns out to be invalid; a longer one is streamed (net/flow.py). Answers that can't be streamed, such as those
+with a status other than 200, are buffered too. Many of them at once can exceed the memory of a small process,
+so once the buffers are over their share of it, larger answers are aborted like invalid ones. A streamed body
+or answer reserves its maximum from the same budget; when the budget is used up, a request with a long body is
+refused at once, which is safe to retry.
+
+Server lists. A list is buffered completely before it is parsed. Its length is limited to `LIST_MEMORY_SHARE`
+of the memory, or to `MIN_LIST_BYTES` if that is more. A list and the objects made from it take about 20 bytes
+per byte of JSON, so that a list at the limit fits from 64 MB on; docs/design/sizes.md has the figures.
+
+While a new version starts beside the old one, each has half of both budgets. The reserve is shared by the
+two, because they don't need it twice.
 """
 
 from __future__ import annotations
 
-SPARE = 64
-SURE_PART = 0.35
-ENDPOINTS_MOST = 0.5
-LEAST = 8  # connections that each side is sure of, however few descriptors there are
-ANSWERS_PART = 0.25
-ORDINARY_ANSWER = 64 * 1024
+SPARE = 64  # descriptors reserved for other uses than client and endpoint connections
+GUARANTEED_SHARE = 0.35  # of the available descriptors, for each side
+MAX_ENDPOINTS_SHARE = 0.5  # of the available descriptors
+LEAST = 8  # connections guaranteed to each side, however few descriptors there are
+ANSWERS_PART = 0.25  # of the memory, for buffered answers
+MAX_PROTECTED_ANSWER_BYTES = 64 * 1024  # a smaller answer is never aborted for lack of memory
 MB = 1024 * 1024
-LIST_PART = 1 / 32
+LIST_MEMORY_SHARE = 1 / 32  # of the memory, for the JSON text of a server list
 MIN_LIST_BYTES = 2 * MB
 
 
 class Descriptors:
-    """How many connections clients and endpoints may hold; counts, `total` being the process's limit."""
+    """Limits of client and endpoint connections; `total` is the descriptor limit of the process."""
 
     def __init__(self, total: int) -> None:
         self.total = total
         self.share(1)
 
     def share(self, processes: int) -> None:
-        """So many processes of one sidecar share what the platform gives."""
-        self.shared = max(2 * LEAST, (self.total - SPARE) // processes)
-        self.sure = max(LEAST, int(self.shared * SURE_PART))
+        """Divide the budget among the processes of one sidecar."""
+        self.available = max(2 * LEAST, (self.total - SPARE) // processes)
+        self.guaranteed = max(LEAST, int(self.available * GUARANTEED_SHARE))
 
     def clients(self, endpoints_held: int) -> int:
-        """The most client connections while endpoints hold so many."""
+        """The largest number of client connections beside so many endpoint connections."""
         return self._rest(endpoints_held)
 
     def endpoints(self, clients_held: int) -> int:
-        """The most connections to endpoints while clients hold so many."""
-        return min(max(LEAST, int(self.shared * ENDPOINTS_MOST)), self._rest(clients_held))
+        """The largest number of endpoint connections beside so many client connections."""
+        return min(max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._rest(clients_held))
 
-    def _rest(self, held: int) -> int:
-        return max(self.sure, self.shared - max(self.sure, held))
+    def _rest(self, used_by_other_side: int) -> int:
+        return max(self.guaranteed, self.available - max(self.guaranteed, used_by_other_side))
 
 
 def max_list_bytes(memory_mb: int) -> int:
-    """The longest list of servers that is taken, in bytes of JSON; `memory_mb` is the process's limit."""
-    return max(MIN_LIST_BYTES, int(memory_mb * MB * LIST_PART))
+    """The largest server list that is accepted, in bytes of JSON; `memory_mb` is the process's limit."""
+    return max(MIN_LIST_BYTES, int(memory_mb * MB * LIST_MEMORY_SHARE))
 
 
 class AnswerMemory:
-    """What answers may take up together, in bytes; `memory_mb` is the process's limit."""
+    """Memory of all buffered answers, in bytes; `memory_mb` is the process's memory limit."""
 
     def __init__(self, memory_mb: int) -> None:
         self.memory_mb = memory_mb
@@ -74,7 +76,7 @@
         self.share(1)
 
     def share(self, processes: int) -> None:
-        """So many processes of one sidecar share what the platform gives."""
+        """Divide the budget among the processes of one sidecar."""
         self.most = int(self.memory_mb * MB * ANSWERS_PART) // processes
 
     def grows(self, size: int) -> None:
@@ -84,9 +86,9 @@
         self.held -= size
 
     def full(self) -> bool:
-        """Whether nothing more may begin that holds a part of it; long bodies are refused then."""
+        """Whether the budget is used up, so that long request bodies are refused."""
         return self.held > self.most
 
     def too_much(self, size: int) -> bool:
-        """Whether an answer that has grown to this size may not be held any longer."""
-        return self.held > self.most and size > ORDINARY_ANSWER
+        """Whether an answer that has grown to `size` bytes must be aborted."""
+        return self.held > self.most and size > MAX_PROTECTED_ANSWER_BYTES
--- a/garnethaven/limits/feature.py
+++ b/garnethaven/limits/feature.py
@@ -1,4 +1,4 @@
-"""The table `[limits]` at work: the operators' view, and bounds for clients and lists."""
+"""Applies the table `[limits]`: serves the operators' view and bounds client connections and watches."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     fresh: FreshList
 
 
-class Bounded(Protocol):
-    """What this bounds, and what it shows."""
+class LimitedParts(Protocol):
+    """The parts of the sidecar that the feature limits and reports."""
 
     @property
     def listener(self) -> Listener: ...
@@ -30,10 +30,10 @@
     def figures(self) -> Callable[[], dict[str, object]]: ...
 
 
-class LimitsFeature(Feature[Limits, Bounded]):
+class LimitsFeature(Feature[Limits, LimitedParts]):
     name = "limits"
 
-    def __init__(self, table: Limits, parts: Bounded) -> None:
+    def __init__(self, table: Limits, parts: LimitedParts) -> None:
         super().__init__(table, parts)
         self.view: LimitsView | None = None
 
--- a/garnethaven/limits/front.py
+++ b/garnethaven/limits/front.py
@@ -1,7 +1,7 @@
-"""The operators' own front: `GET /-/limits` says which limit acts and why. Only where the file names it.
+"""HTTP server for `GET /-/limits`, which reports the active limits. Started only if configured.
 
-It is a socket of its own, so that it answers also while clients' places are gone, and it is bounded: a few
-connections, a short head, one answer each.
+It has a socket of its own, so that it also answers while the limit of client connections is reached. Its load
+is bounded: few connections, a short request head, one response per connection.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from garnethaven.addresses import Address
 
-MOST = 4  # connections at once; more are closed unheard
-HEAD_LIMIT = 4096
-READ_S = 2.0
+MAX_CONNECTIONS = 4  # concurrent connections; further ones are closed unread
+MAX_HEAD_BYTES = 4096
+READ_TIMEOUT_S = 2.0
 
 
 class LimitsView:
-    """Serves the view until `close`; raises OSError from `start` where its address can't be had."""
+    """Serves the report from `start` to `close`; `start` raises OSError if the address can't be bound."""
 
     def __init__(self, report: Callable[[], dict[str, object]]) -> None:
         self.report = report
-        self.open = 0
+        self.open_connections = 0
         self.server: asyncio.Server | None = None
         self.address: Address | None = None
 
     async def start(self, address: Address) -> LimitsView:
-        self.server = await asyncio.start_server(self._serve, *address, limit=HEAD_LIMIT)
+        self.server = await asyncio.start_server(self._serve, *address, limit=MAX_HEAD_BYTES)
         self.address = self.server.sockets[0].getsockname()
         return self
 
@@ -39,34 +39,34 @@
             self.server = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open += 1
+        self.open_connections += 1
         try:
-            if self.open <= MOST:
+            if self.open_connections <= MAX_CONNECTIONS:
                 with contextlib.suppress(ConnectionError, TimeoutError):
-                    writer.write(await asyncio.wait_for(self._answer(reader), READ_S))
+                    writer.write(await asyncio.wait_for(self._respond(reader), READ_TIMEOUT_S))
                     await writer.drain()
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader) -> bytes:
+    async def _respond(self, reader: asyncio.StreamReader) -> bytes:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.LimitOverrunError:
-            return answer(431, b"")
+            return format_response(431, b"")
         except asyncio.IncompleteReadError:
             return b""
-        words = head.split(b"\r\n", 1)[0].split(b" ")
-        if len(words) != 3 or not words[2].startswith(b"HTTP/1."):
-            return answer(400, b"")
-        if words[0] != b"GET":
-            return answer(405, b"")
-        if words[1] != b"/-/limits":
-            return answer(404, b"")
-        return answer(200, json.dumps(self.report(), indent=1).encode() + b"\n")
+        request_line = head.split(b"\r\n", 1)[0].split(b" ")
+        if len(request_line) != 3 or not request_line[2].startswith(b"HTTP/1."):
+            return format_response(400, b"")
+        if request_line[0] != b"GET":
+            return format_response(405, b"")
+        if request_line[1] != b"/-/limits":
+            return format_response(404, b"")
+        return format_response(200, json.dumps(self.report(), indent=1).encode() + b"\n")
 
 
-PHRASES = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -75,9 +75,9 @@
 }
 
 
-def answer(status: int, body: bytes) -> bytes:
+def format_response(status: int, body: bytes) -> bytes:
     lines = (
-        b"HTTP/1.1 %d %s" % (status, PHRASES[status]),
+        b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status]),
         b"Content-Type: application/json",
         b"Content-Length: %d" % len(body),
         b"Connection: close",
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -10,7 +10,7 @@
 
 
 class Limits(Table, frozen=True):
-    """What bounds clients and lists."""
+    """Limits of client connections and of watches."""
 
     view: Annotated[At | None, said("where `GET /-/limits` is answered", "address:port", waits=True)] = None
     client_places: Annotated[
--- a/tests/limits/test_view.py
+++ b/tests/limits/test_view.py
@@ -1,4 +1,4 @@
-"""Which limit acts and why, in words; how often it is said; the operators' front on a socket."""
+"""The report of active limits, how often it is logged, and the HTTP server for it on a socket."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 
-from garnethaven.limits.front import HEAD_LIMIT, MOST, LimitsView
-from garnethaven.limits.view import LINE_EVERY_S, Figures, LogLine, acting, report
+from garnethaven.limits.front import MAX_CONNECTIONS, MAX_HEAD_BYTES, LimitsView
+from garnethaven.limits.view import LOG_INTERVAL_S, Figures, LogLine, acting, report
 from tests.loopback import read_message, run, until
 
 CALM = Figures(
@@ -53,19 +53,19 @@
     ],
 )
 def test_each_limit_is_named_with_its_reason(change: dict[str, float], name: str, word: str) -> None:
-    found = acting(replace(CALM, **change))  # type: ignore[arg-type]
-    assert list(found) == [name]
-    assert word in found[name]
+    reasons = acting(replace(CALM, **change))  # type: ignore[arg-type]
+    assert list(reasons) == [name]
+    assert word in reasons[name]
 
 
 def test_the_log_tells_the_beginning_and_the_end_and_little_between() -> None:
-    line, busy = LogLine(), replace(CALM, refused_share=0.5)
-    said = [line.due(busy if 10 <= second < 40 else CALM, float(second)) for second in range(60)]
-    told = [second for second, text in enumerate(said) if text]
-    assert told == [10, 20, 30, 40]
-    assert 3 * LINE_EVERY_S <= 40 - 10
-    assert said[40] == "limits: none acts any more"
-    assert "overload" in str(said[10])
+    log_line, overloaded = LogLine(), replace(CALM, refused_share=0.5)
+    lines = [log_line.due(overloaded if 10 <= second < 40 else CALM, float(second)) for second in range(60)]
+    logged_at = [second for second, line in enumerate(lines) if line]
+    assert logged_at == [10, 20, 30, 40]
+    assert 3 * LOG_INTERVAL_S <= 40 - 10
+    assert lines[40] == "limits: none is active any more"
+    assert "overload" in str(lines[10])
 
 
 async def ask(port: int, text: bytes) -> tuple[bytes, bytes]:
@@ -89,12 +89,12 @@
             (b"GET /api HTTP/1.1\r\n\r\n", b" 404 "),
             (b"POST /-/limits HTTP/1.1\r\n\r\n", b" 405 "),
             (b"\x16\x03\x01 what\r\n\r\n", b" 400 "),
-            (b"GET /" + b"x" * 2 * HEAD_LIMIT, b" 431 "),
+            (b"GET /" + b"x" * 2 * MAX_HEAD_BYTES, b" 431 "),
         ):
             assert status in (await ask(port, text))[0]
-        crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MOST + 3)]
-        await until(lambda: sum(reader.at_eof() for reader, _ in crowd) == 3)  # closed unheard
-        for _, writer in crowd:
+        connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CONNECTIONS + 3)]
+        await until(lambda: sum(reader.at_eof() for reader, _ in connections) == 3)  # closed unread
+        for _, writer in connections:
             writer.close()
         await view.close()
 
