--- a/garnethaven/benchlink.py
+++ b/garnethaven/benchlink.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output; it decides nothing.
+"""Adapter for the simulator's line protocol on standard input and output.
 
-Each instance named on the wire gets a Balancer of its own. Only parsed endpoint lists are shared
-between instances, as immutable input.
+Each instance named in the protocol has a Balancer of its own, which makes all decisions. Only parsed endpoint
+lists are shared between instances, as immutable input.
 """
 
 from __future__ import annotations
@@ -54,104 +54,104 @@
     "skipped": Outcome.SKIPPED,
 }
 STATES = {"up": State.UP, "draining": State.DRAINING, "removed": State.REMOVED}
-LISTS = {
+LIST_KINDS = {
     "Partial": ListKind.DELTA,
     "Complete": ListKind.FULL,
     "Persisted": ListKind.PERSISTED,
     "Error": ListKind.FAILED,
 }
-REPEAT_BIT = 2
+RETRY_FLAG = 2
 
 
 class WireError(Exception):
-    """The input is not what the wire's page describes."""
+    """The input violates the protocol."""
 
 
 def read_fields(parts: list[str]) -> Fields:
     fields = {}
     for part in parts:
-        name, mark, value = part.partition("=")
-        if not mark:
+        name, separator, value = part.partition("=")
+        if not separator:
             raise WireError(f"'{part}' is not name=value")
         fields[name] = value
     return fields
 
 
-def need(fields: Fields, name: str) -> str:
+def required(fields: Fields, name: str) -> str:
     if name not in fields:
         raise WireError(f"field '{name}' is missing")
     return fields[name]
 
 
-def need_int(fields: Fields, name: str) -> int:
-    return to_int(need(fields, name), name)
+def required_int(fields: Fields, name: str) -> int:
+    return parse_int(required(fields, name), name)
 
 
-def to_int(text: str, name: str) -> int:
+def parse_int(text: str, name: str) -> int:
     try:
         return int(text)
     except ValueError:
         raise WireError(f"'{name}' is not a whole number: {text!r}") from None
 
 
-def to_float(text: str, name: str) -> float:
+def parse_float(text: str, name: str) -> float:
     try:
         return float(text)
     except ValueError:
         raise WireError(f"'{name}' is not a number: {text!r}") from None
 
 
-def maybe_int(fields: Fields, name: str) -> int:
+def optional_int(fields: Fields, name: str) -> int:
     text = fields.get(name)
-    return 0 if text is None else to_int(text, name)
+    return 0 if text is None else parse_int(text, name)
 
 
 def read_report(fields: Fields) -> tuple[float, ...]:
     text = fields.get("report")
-    return tuple(to_float(value, "report") for value in text.split(",")) if text else ()
+    return tuple(parse_float(value, "report") for value in text.split(",")) if text else ()
 
 
-def read_facts(text: str) -> Settings:
+def read_settings_text(text: str) -> Settings:
     try:
         return read_settings(json.loads(text))
-    except ValueError as problem:
-        raise WireError(f"the settings cannot be read: {problem}") from None
-    except SettingsError as problem:
-        raise WireError(str(problem)) from None
+    except ValueError as error:
+        raise WireError(f"the settings cannot be read: {error}") from None
+    except SettingsError as error:
+        raise WireError(str(error)) from None
 
 
 def read_entry(fields: Fields) -> Endpoint:
     return Endpoint(
-        id=need_int(fields, "endpoint"),
-        zone=maybe_int(fields, "campus"),
-        kind=maybe_int(fields, "type"),
-        cell=maybe_int(fields, "bay"),
-        # a state this version does not know is no licence to send
-        state=STATES.get(need(fields, "health"), State.DRAINING),
-        units=to_float(fields.get("units", "1"), "units"),
-        started=maybe_int(fields, "lastStartNs"),
+        id=required_int(fields, "endpoint"),
+        zone=optional_int(fields, "campus"),
+        kind=optional_int(fields, "type"),
+        cell=optional_int(fields, "bay"),
+        # an unknown state must not receive requests
+        state=STATES.get(required(fields, "health"), State.DRAINING),
+        units=parse_float(fields.get("units", "1"), "units"),
+        started=optional_int(fields, "lastStartNs"),
     )
 
 
 def read_request(fields: Fields) -> Event:
     return Request(
-        id=need(fields, "id"),
-        grade=need_int(fields, "qos"),
-        budget=need_int(fields, "timeBudgetNs"),
-        tenant=maybe_int(fields, "account"),
+        id=required(fields, "id"),
+        grade=required_int(fields, "qos"),
+        budget=required_int(fields, "timeBudgetNs"),
+        tenant=optional_int(fields, "account"),
         key=fields.get("affinity", ""),
-        repeat=bool(maybe_int(fields, "bitmap") & REPEAT_BIT),
+        repeat=bool(optional_int(fields, "bitmap") & RETRY_FLAG),
     )
 
 
 def read_attempt(fields: Fields) -> Event:
     return AttemptEnded(
-        id=need(fields, "id"),
-        attempt=need_int(fields, "hop"),
-        endpoint=need_int(fields, "endpoint"),
-        # an outcome this version does not know may have run
-        outcome=OUTCOMES.get(need(fields, "how"), Outcome.ERROR),
-        duration=maybe_int(fields, "durationNs"),
+        id=required(fields, "id"),
+        attempt=required_int(fields, "hop"),
+        endpoint=required_int(fields, "endpoint"),
+        # an attempt with an unknown outcome may have been executed
+        outcome=OUTCOMES.get(required(fields, "how"), Outcome.ERROR),
+        duration=optional_int(fields, "durationNs"),
         final=fields.get("final", "0") == "1",
         report=read_report(fields),
     )
@@ -159,9 +159,9 @@
 
 def read_probe(fields: Fields) -> Event:
     return ProbeEnded(
-        endpoint=need_int(fields, "endpoint"),
-        outcome=OUTCOMES.get(need(fields, "how"), Outcome.ERROR),
-        duration=maybe_int(fields, "durationNs"),
+        endpoint=required_int(fields, "endpoint"),
+        outcome=OUTCOMES.get(required(fields, "how"), Outcome.ERROR),
+        duration=optional_int(fields, "durationNs"),
         report=read_report(fields),
     )
 
@@ -170,9 +170,9 @@
     "request": read_request,
     "report_back": read_attempt,
     "probe_result": read_probe,
-    "ring": lambda fields: TimerFired(need_int(fields, "cookie")),
-    "gone": lambda fields: ClientLeft(need(fields, "id")),
-    "first": lambda fields: StreamBegan(need(fields, "id"), need_int(fields, "hop")),
+    "ring": lambda fields: TimerFired(required_int(fields, "cookie")),
+    "gone": lambda fields: ClientLeft(required(fields, "id")),
+    "first": lambda fields: StreamBegan(required(fields, "id"), required_int(fields, "hop")),
 }
 
 
@@ -181,8 +181,8 @@
 
 
 def write_refuse(action: Refuse) -> str:
-    advice = f" backoffNs={action.retry_after}" if action.retry_after else ""
-    return f"shed id={action.id}{advice}"
+    backoff = f" backoffNs={action.retry_after}" if action.retry_after else ""
+    return f"shed id={action.id}{backoff}"
 
 
 WRITERS: dict[type, Callable[[Any], str]] = {
@@ -203,7 +203,7 @@
 
 
 class Adapter:
-    """Reads batches, hands events to the instances, and collects each batch's reply."""
+    """Reads batches of events, passes them to the instances, and writes one reply per batch."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
@@ -211,51 +211,51 @@
         self.line_number = 0
         self.now = 0
         self.instance = -1
-        self.speaker = -1
+        self.reported_instance = -1  # instance of the last `by` line in the reply
         self.balancers: dict[int, Balancer] = {}
         self.rosters: dict[int, tuple[Endpoint, ...]] = {}
         self.reply: list[str] = []
 
     def run(self) -> None:
-        lines = self._lines()
+        lines = self._read_lines()
         for line in lines:
             if line:
-                self._batch(line, lines)
+                self._handle_batch(line, lines)
 
-    def _lines(self) -> Iterator[str]:
+    def _read_lines(self) -> Iterator[str]:
         for line in self.source:
             self.line_number += 1
             yield line.rstrip("\r\n")
 
-    def _batch(self, line: str, lines: Iterator[str]) -> None:
+    def _handle_batch(self, line: str, lines: Iterator[str]) -> None:
         kind, *parts = line.split()
         if kind != "frame":
             raise WireError(f"a batch begins with 'frame', not with '{kind}'")
-        self.now = need_int(read_fields(parts), "nowNs")
-        self.instance = self.speaker = -1
+        self.now = required_int(read_fields(parts), "nowNs")
+        self.instance = self.reported_instance = -1
         self.reply = []
         for line in lines:
             if line == "your_turn":
                 break
             if line:
-                self._line(line, lines)
+                self._handle_line(line, lines)
         else:
             raise WireError("the input ends inside a batch")
         self.reply.append("end\n")
         self.sink.write("\n".join(self.reply))
         self.sink.flush()
 
-    def _line(self, line: str, lines: Iterator[str]) -> None:
+    def _handle_line(self, line: str, lines: Iterator[str]) -> None:
         kind, _, rest = line.partition(" ")
         reader = READERS.get(kind)
         if reader is not None:
-            self._decide(reader(read_fields(rest.split())))
+            self._handle_event(reader(read_fields(rest.split())))
         elif kind == "instance":
-            self.instance = need_int(read_fields(rest.split()), "sidecarId")
+            self.instance = required_int(read_fields(rest.split()), "sidecarId")
         elif kind == "membership":
-            self._membership(read_fields(rest.split()))
+            self._handle_membership(read_fields(rest.split()))
         elif kind == "roster":
-            self._roster(read_fields(rest.split()), lines)
+            self._read_roster(read_fields(rest.split()), lines)
         elif kind == "launch":
             self._launch(rest)
         elif kind == "down":
@@ -264,59 +264,59 @@
             raise WireError(f"'{kind}' outside its place")
 
     def _launch(self, rest: str) -> None:
-        head, mark, facts = f" {rest}".partition(" facts=")
-        if not mark:
+        head, separator, settings_text = f" {rest}".partition(" facts=")
+        if not separator:
             raise WireError("field 'facts' is missing")
-        seed = need_int(read_fields(head.split()), "entropy")
+        seed = required_int(read_fields(head.split()), "entropy")
         if self.instance < 0:
             raise WireError("'launch' before any 'instance'")
-        self.balancers[self.instance] = Balancer(read_facts(facts), seed)
-        self._decide(Started())
+        self.balancers[self.instance] = Balancer(read_settings_text(settings_text), seed)
+        self._handle_event(Started())
 
-    def _roster(self, fields: Fields, lines: Iterator[str]) -> None:
-        number, count = need_int(fields, "rosterId"), need_int(fields, "entries")
+    def _read_roster(self, fields: Fields, lines: Iterator[str]) -> None:
+        number, count = required_int(fields, "rosterId"), required_int(fields, "entries")
         if count < 0:
             raise WireError(f"'entries' is below zero: {count}")
-        self.rosters[number] = tuple(self._entry(lines) for _ in range(count))
+        self.rosters[number] = tuple(self._read_entry(lines) for _ in range(count))
 
-    def _entry(self, lines: Iterator[str]) -> Endpoint:
+    def _read_entry(self, lines: Iterator[str]) -> Endpoint:
         kind, *parts = next(lines, "").split() or [""]
         if kind != "entry":
             raise WireError(f"an 'entry' is due, not '{kind}'")
         return read_entry(read_fields(parts))
 
-    def _membership(self, fields: Fields) -> None:
-        scope = need(fields, "scope")
-        kind = LISTS.get(scope)
+    def _handle_membership(self, fields: Fields) -> None:
+        scope = required(fields, "scope")
+        kind = LIST_KINDS.get(scope)
         if kind is None:
             raise WireError(f"scope '{scope}' is unknown")
         if kind is ListKind.FAILED:
-            self._decide(Membership(kind))
+            self._handle_event(Membership(kind))
             return
-        number = need_int(fields, "rosterId")
+        number = required_int(fields, "rosterId")
         if number not in self.rosters:
             raise WireError(f"roster {number} has not been sent")
-        self._decide(Membership(kind, self.rosters[number]))
+        self._handle_event(Membership(kind, self.rosters[number]))
 
-    def _decide(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"instance {self.instance} has not been launched")
         try:
             actions = balancer.handle(self.now, event)
-        except Exception as problem:  # the wire wants a failed module named, not a dead adapter
+        except Exception as error:  # the protocol reports a failed instance; the adapter continues
             traceback.print_exc(file=sys.stderr)
-            self._say(f"bail_out message={one_line(f'{type(problem).__name__}: {problem}')}")
+            self._add_reply(f"bail_out message={one_line(f'{type(error).__name__}: {error}')}")
             return
         for action in actions:
-            self._write(action)
+            self._add_action(action)
 
-    def _write(self, action: Action) -> None:
-        self._say(WRITERS[type(action)](action))
+    def _add_action(self, action: Action) -> None:
+        self._add_reply(WRITERS[type(action)](action))
 
-    def _say(self, line: str) -> None:
-        if self.speaker != self.instance:
-            self.speaker = self.instance
+    def _add_reply(self, line: str) -> None:
+        if self.reported_instance != self.instance:
+            self.reported_instance = self.instance
             self.reply.append(f"by sidecarId={self.instance}")
         self.reply.append(line)
 
@@ -325,8 +325,8 @@
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
-    except WireError as problem:
-        print(f"garnethaven: line {adapter.line_number}: {problem}", file=sys.stderr)
+    except WireError as error:
+        print(f"garnethaven: line {adapter.line_number}: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -50,13 +50,13 @@
         self.available = max(2 * LEAST, (self.total - SPARE) // processes)
         self.guaranteed = max(LEAST, int(self.available * GUARANTEED_SHARE))
 
-    def clients(self, endpoints_held: int) -> int:
+    def clients(self, endpoint_connections: int) -> int:
         """The largest number of client connections beside so many endpoint connections."""
-        return self._rest(endpoints_held)
+        return self._rest(endpoint_connections)
 
-    def endpoints(self, clients_held: int) -> int:
+    def endpoints(self, client_connections: int) -> int:
         """The largest number of endpoint connections beside so many client connections."""
-        return min(max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._rest(clients_held))
+        return min(max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._rest(client_connections))
 
     def _rest(self, used_by_other_side: int) -> int:
         return max(self.guaranteed, self.available - max(self.guaranteed, used_by_other_side))
--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -1,4 +1,4 @@
-"""Reading the settings object, which the simulator's wire and a real sidecar's configuration share."""
+"""Reads the settings object, whose format the simulator's protocol and a sidecar's configuration share."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class SettingsError(Exception):
-    """The settings object is not what the documents describe."""
+    """The settings object is malformed or incomplete."""
 
 
 @dataclass(slots=True, frozen=True)
 class Names:
-    """What sockets name in words and the module in numbers, each at its index."""
+    """Names of request classes, tenants, zones and host types, each at the balancer's index for it."""
 
     grades: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -30,104 +30,108 @@
 def _number(
     table: dict[str, Any],
     name: str,
-    kind: type[int] | type[float],
+    number_type: type[int] | type[float],
     *default: float,
-    least: float = 0.0,
-    most: float = math.inf,
+    min_value: float = 0.0,
+    max_value: float = math.inf,
 ) -> Any:
-    """One figure of a table; what can't be read is named, what is missing without a default a KeyError."""
-    told = table.get(name, *default) if default else table[name]
+    """Read a number of a table.
+
+    Raises SettingsError if the value is not a number or out of range, KeyError if it is missing and there is
+    no default.
+    """
+    raw = table.get(name, *default) if default else table[name]
     try:
-        if isinstance(told, bool) or not math.isfinite(float(told)):
+        if isinstance(raw, bool) or not math.isfinite(float(raw)):
             raise ValueError
-        value = kind(told)
+        value = number_type(raw)
     except (ValueError, TypeError, OverflowError):
-        raise SettingsError(f"setting {name!r} cannot be read: {told!r}") from None
-    if not least <= value <= most:
-        bound = f"under {least:g}" if value < least else f"over {most:g}"
-        raise SettingsError(f"setting {name!r} is {bound}: {told!r}")
+        raise SettingsError(f"setting {name!r} cannot be read: {raw!r}") from None
+    if not min_value <= value <= max_value:
+        bound = f"under {min_value:g}" if value < min_value else f"over {max_value:g}"
+        raise SettingsError(f"setting {name!r} is {bound}: {raw!r}")
     return value
 
 
-def _word(told: Any, name: str, kind: type[Word]) -> Word:
-    """One of a setting's words."""
+def _choice(raw: Any, name: str, enum: type[Word]) -> Word:
+    """Read one of the values of an enum; raises SettingsError for any other."""
     try:
-        return kind(told)
+        return enum(raw)
     except ValueError:
-        known = ", ".join(str(word.value) for word in kind)
+        choices = ", ".join(str(member.value) for member in enum)
         raise SettingsError(
-            f"the settings cannot be read: {name!r} is {told!r}, not one of {known}"
+            f"the settings cannot be read: {name!r} is {raw!r}, not one of {choices}"
         ) from None
 
 
-def read_settings(facts: dict[str, Any]) -> Settings:
-    """Turn the settings object into Settings; what is unknown is skipped."""
+def read_settings(document: dict[str, Any]) -> Settings:
+    """Convert the settings object to Settings; unknown entries are ignored. Raises SettingsError."""
     try:
-        rules, limits, prices = facts["rules"], facts["limits"], facts.get("prices", {})
+        rules, limits, prices = document["rules"], document["limits"], document.get("prices", {})
         return Settings(
-            grades=tuple(read_grade(grade) for grade in facts["grades"]),
+            grades=tuple(read_request_class(entry) for entry in document["grades"]),
             tenants=tuple(
                 Tenant(_number(tenant, "share", float), _number(tenant, "allowancePerS", float))
-                for tenant in facts.get("tenants", ())
+                for tenant in document.get("tenants", ())
             ),
-            slot=_number(facts, "slotNo", int),
-            fleet_size=_number(facts, "fleetSize", int, least=1),
-            zone=_number(facts, "zone", int),
-            ask_discovery=facts["membershipMode"] == "ask",
+            slot=_number(document, "slotNo", int),
+            fleet_size=_number(document, "fleetSize", int, min_value=1),
+            zone=_number(document, "zone", int),
+            ask_discovery=document["membershipMode"] == "ask",
             ask_within=_number(rules, "askWithinNs", int, 0),
             drain_grace=_number(rules, "drainGraceNs", int),
-            cold_share=_number(rules, "coldShare", float, most=1.0),
+            cold_share=_number(rules, "coldShare", float, max_value=1.0),
             ramp_time=_number(rules, "rampTimeNs", int),
             fall_multiple=_number(rules, "fallMultiple", float, 3.0),
             dial_timeout=_number(limits, "dialTimeoutNs", int, 0),
             conn_idle=_number(limits, "connIdleNs", int, 0),
-            streams_per_conn=_number(limits, "streamsPerConn", int, 1, least=1),
-            max_attempts=_number(limits, "maxAttempts", int, least=1),
+            streams_per_conn=_number(limits, "streamsPerConn", int, 1, min_value=1),
+            max_attempts=_number(limits, "maxAttempts", int, min_value=1),
             second_copies=bool(limits.get("secondCopies", False)),
             cancel=bool(limits.get("cancel", False)),
             probes=bool(limits.get("probes", False)),
-            warm_keys=bool(facts.get("familyInfo", {}).get("warmKeys", False)),
-            over_share_worth=_number(facts, "overShareWorth", float, 1.0),
+            warm_keys=bool(document.get("familyInfo", {}).get("warmKeys", False)),
+            over_share_worth=_number(document, "overShareWorth", float, 1.0),
             cross_zone_price=_number(prices, "crossZone", float, 0.0),
             waste_price=_number(prices, "waste", float, 0.0),
             probe_price=_number(prices, "probe", float, 0.0),
             retry_after=bool(limits.get("retryAfter", False)),
             max_retry_after=_number(limits, "maxRetryAfterNs", int, 0),
-            report_fields=tuple(facts.get("report", {}).get("fields", ())),
+            report_fields=tuple(document.get("report", {}).get("fields", ())),
         )
     except KeyError as missing:
         raise SettingsError(f"setting {missing} is missing") from None
-    except (ValueError, TypeError, AttributeError) as problem:
-        raise SettingsError(f"the settings cannot be read: {problem}") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise SettingsError(f"the settings cannot be read: {error}") from None
 
 
-def read_grade(grade: dict[str, Any]) -> Grade:
+def read_request_class(entry: dict[str, Any]) -> Grade:
     return Grade(
-        aim=_number(grade, "aimNs", int),
-        deadline=_number(grade, "deadlineNs", int),
-        effect=_word(grade["effect"], "effect", Effect),
-        scope=_word(grade.get("keyScope") or "all", "keyScope", Scope),
-        window=_number(grade, "dedupWindowNs", int, 0),
-        worth=_number(grade, "importance", float),
-        late_value=_number(grade, "lateValue", float, 0.0),
+        aim=_number(entry, "aimNs", int),
+        deadline=_number(entry, "deadlineNs", int),
+        effect=_choice(entry["effect"], "effect", Effect),
+        scope=_choice(entry.get("keyScope") or "all", "keyScope", Scope),
+        window=_number(entry, "dedupWindowNs", int, 0),
+        worth=_number(entry, "importance", float),
+        late_value=_number(entry, "lateValue", float, 0.0),
     )
 
 
 def numbered(names: tuple[str, ...]) -> dict[str, int]:
-    """The module's number of each name."""
+    """Return the index of each name."""
     return {name: index for index, name in enumerate(names)}
 
 
-def read_names(facts: dict[str, Any]) -> Names:
-    """The names behind the module's numbers; only a real sidecar meets them."""
+def read_names(document: dict[str, Any]) -> Names:
+    """Read the names behind the balancer's indexes; only a sidecar has them. Raises SettingsError."""
     try:
         return Names(
-            grades=tuple(str(grade["name"]) for grade in facts["grades"]),
-            tenants=tuple(str(tenant["name"]) for tenant in facts.get("tenants", ())),
-            zones=tuple(map(str, facts["zones"])),
-            kinds=tuple(map(str, facts["hostTypes"])),
+            grades=tuple(str(grade["name"]) for grade in document["grades"]),
+            tenants=tuple(str(tenant["name"]) for tenant in document.get("tenants", ())),
+            zones=tuple(map(str, document["zones"])),
+            kinds=tuple(map(str, document["hostTypes"])),
         )
     except KeyError as missing:
         raise SettingsError(f"setting {missing} is missing") from None
-    except TypeError as problem:
-        raise SettingsError(f"the settings cannot be read: {problem}") from None
+    except TypeError as error:
+        raise SettingsError(f"the settings cannot be read: {error}") from None
