--- a/garnethaven/benchlink.py
+++ b/garnethaven/benchlink.py
@@ -282,7 +282,7 @@
     def _read_entry(self, lines: Iterator[str]) -> Endpoint:
         kind, *parts = next(lines, "").split() or [""]
         if kind != "entry":
-            raise WireError(f"an 'entry' is due, not '{kind}'")
+            raise WireError(f"expected an 'entry' line, not '{kind}'")
         return read_entry(read_fields(parts))
 
     def _handle_membership(self, fields: Fields) -> None:
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: it closes on tries that are turned away, and answers open it again."""
+"""The retry budget: rejected attempts close it, good answers reopen it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def play(budget: RetryBudget, turned_away_of_ten: int, rounds: int) -> tuple[int, int]:
-    """Tries, of which so many of ten are turned away, each of those tried once more; wanted and made."""
+    """Reject some of every ten attempts and retry each of these once; returns wanted and made retries."""
     wanted = made = 0
     for _ in range(rounds):
-        for turn in range(10):
-            if turn >= turned_away_of_ten:
+        for number in range(10):
+            if number >= turned_away_of_ten:
                 budget.answered()
                 continue
             budget.turned_away()
@@ -44,7 +44,7 @@
     while budget.allows() and turned_away <= MAX_TOKENS:
         budget.turned_away()
         turned_away += 1
-    assert turned_away == 5  # half of the tokens, ten each
+    assert turned_away == 5  # half of the tokens, at ten per rejection
 
 
 def test_answers_open_it_again_however_many_were_turned_away() -> None:
@@ -82,7 +82,7 @@
 
 def test_a_lost_zone_does_not_close_it_where_nobody_is_turned_away() -> None:
     budget = RetryBudget()
-    for _ in range(1_000):  # four of ten tries fail and are made again
+    for _ in range(1_000):  # four of ten attempts fail and are retried
         for _ in range(4):
             assert budget.allows()
             budget.spend()
@@ -103,11 +103,11 @@
 
 
 def test_it_bears_one_try_of_twelve_turned_away() -> None:
-    for answers, holds in ((REJECTION_TOKENS + 2, True), (REJECTION_TOKENS, False)):
+    for answers, keeps_level in ((REJECTION_TOKENS + 2, True), (REJECTION_TOKENS, False)):
         budget = RetryBudget()
         budget.tokens = before = 0.75 * MAX_TOKENS
         budget.turned_away()
         budget.spend()
         for _ in range(int(answers)):
             budget.answered()
-        assert (budget.tokens > before) is holds
+        assert (budget.tokens > before) is keeps_level
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -1,4 +1,4 @@
-"""Clients that never mark a retry: one that comes too late for any worth is told by the time it has left."""
+"""Unmarked retries that arrive too late to be useful are recognized by the time budget they have left."""
 
 from __future__ import annotations
 
@@ -7,30 +7,32 @@
 from garnethaven.interface import ClientLeft, Outcome, Refuse
 from tests.helpers import MS, SAFE, SETTINGS, Driver, S, fleet, of, sends
 
-PROMPT = replace(SAFE, late_value=0.0)  # an answer after the aim is worth nothing
+PROMPT = replace(SAFE, late_value=0.0)  # an answer after the latency target has no value
 LASTING = replace(SAFE, late_value=0.25)
 PROMPT_CLASS, LASTING_CLASS = 0, 1
-GIVEN = 1_600 * MS  # what clients give a first try, of a deadline of 2 s
+FIRST_TIMEOUT = 1_600 * MS  # client timeout of a first attempt; the deadline is 2 s
 
 
 def sidecar() -> Driver:
     driver = Driver(fleet(8), replace(SETTINGS, grades=(PROMPT, LASTING)))
     for request_class in (PROMPT_CLASS, LASTING_CLASS):
-        driver.serve(grade=request_class, budget=GIVEN)
+        driver.serve(grade=request_class, budget=FIRST_TIMEOUT)
     return driver
 
 
 def refuse_one(driver: Driver) -> None:
-    """Leave one request unserved, as where its server broke off and no further attempt is allowed."""
+    """Leave one request unserved: its server fails and the retry budget allows no further attempt."""
     driver.balancer.retry_budget.tokens = 0.0
-    send = sends(driver.ask(budget=GIVEN))[0]
+    send = sends(driver.ask(budget=FIRST_TIMEOUT))[0]
     assert of(driver.end(send, Outcome.ERROR), Refuse)
 
 
 def test_one_past_its_aim_is_refused_and_takes_no_servers_room() -> None:
     driver = sidecar()
     refuse_one(driver)
-    actions = driver.ask(PROMPT_CLASS, budget=1_400 * MS)  # 0.6 s of its 2 s are over, the aim was 0.5 s
+    actions = driver.ask(
+        PROMPT_CLASS, budget=1_400 * MS
+    )  # 0.6 s of its 2 s are over, the latency target is 0.5 s
     assert not sends(actions)
     assert len(of(actions, Refuse)) == 1
 
@@ -38,7 +40,7 @@
 def test_one_before_its_aim_is_sent_as_a_first_try_is() -> None:
     driver = sidecar()
     refuse_one(driver)
-    driver.balancer.patience[PROMPT_CLASS] = 2 * S  # the clients give a try all its time
+    driver.balancer.patience[PROMPT_CLASS] = 2 * S  # clients use the whole deadline as timeout
     (send,) = sends(driver.ask(PROMPT_CLASS, budget=1_700 * MS))
     assert send.limit == PROMPT.aim
 
@@ -69,7 +71,7 @@
 
 def test_a_client_that_gave_its_try_up_may_come_again() -> None:
     driver = sidecar()
-    send = sends(driver.ask(budget=GIVEN))[0]
+    send = sends(driver.ask(budget=FIRST_TIMEOUT))[0]
     driver.feed(ClientLeft(send.id), 300 * MS)
     assert not sends(driver.ask(PROMPT_CLASS, budget=1_400 * MS))
 
@@ -78,5 +80,5 @@
     driver = sidecar()
     refuse_one(driver)
     sent = [len(sends(driver.ask(PROMPT_CLASS, after=100 * MS, budget=1_400 * MS))) for _ in range(30)]
-    assert sent[:19] == [0] * 19  # up to the deadline of the one that was not served, 2 s
+    assert sent[:19] == [0] * 19  # until the deadline of the unserved request, 2 s
     assert sent[19:] == [1] * 11
--- a/tests/recovery/test_coming_back.py
+++ b/tests/recovery/test_coming_back.py
@@ -1,4 +1,4 @@
-"""Most of a fleet restarted at once, in simulated time: how soon first tries are served in time again."""
+"""Restart of most of a fleet at once, in simulated time: when first attempts are served in time again."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from tests.limits.world import Clients, S, World
 
-SIDECARS, SERVERS, RATE = 24, 12, 160.0  # half of what the servers can do
+SIDECARS, SERVERS, RATE = 24, 12, 160.0  # requests per second, half of the servers' capacity
 
 
 def come_back(seed: int, killed: int, down_s: float, tries: int = 3, honours: bool = False) -> World:
-    """Kill some, replace a third of the servers meanwhile where most are killed, and play 9 s on."""
+    """Kill sidecars and, if more than one, replace a third of the servers meanwhile; then run for 9 s."""
     clients = Clients(RATE / SIDECARS, tries=tries, honours=honours)
     world = World(seed, SIDECARS, SERVERS, clients, cores=2, work=0.08)
     world.run(5.0)
     world.kill(world.rng.sample(range(SIDECARS), killed), down_s, 0.5, 2.0)
     world.run(0.2)
     if killed > 1:
-        gone = world.rng.sample(sorted(world.hosts), SERVERS // 3)
-        world.crash(gone)
-        world.replace(gone, cold=0.2, ramp=6 * S)
+        replaced = world.rng.sample(sorted(world.hosts), SERVERS // 3)
+        world.crash(replaced)
+        world.replace(replaced, cold=0.2, ramp=6 * S)
     world.run(down_s + 9.0)
     return world
 
 
 def since_back(world: World, since: float, until: float) -> float:
-    last = (world.back_at - world.began) / S
-    return world.in_time(last + since, last + until)
+    last_return = (world.back_at - world.began) / S
+    return world.in_time(last_return + since, last_return + until)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -47,5 +47,5 @@
 def test_a_lone_restart_refuses_a_few_of_those_who_waited_and_nobody_after(seed: int) -> None:
     world = come_back(seed, 1, 0.5)
     assert since_back(world, 0.0, 1.0) > 0.97, seed
-    waited = sum(first for at, first in world.refusals if at - world.back_at < S // 20)
-    assert waited == sum(first for _, first in world.refusals) <= 5, seed
+    refused_waiting = sum(first for at, first in world.refusals if at - world.back_at < S // 20)
+    assert refused_waiting == sum(first for _, first in world.refusals) <= 5, seed
--- a/tests/recovery/test_standing_still.py
+++ b/tests/recovery/test_standing_still.py
@@ -1,4 +1,4 @@
-"""A program whose process stood still begins its window anew; a busy moment is no standstill."""
+"""A process that was stopped restarts its startup window; a short busy period does not count as a stop."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
             window = sidecar.engine.balancer.overload.window
-            window.most = 0.0  # it has served for a while
+            window.most = 0.0  # the window has ended
             await asyncio.sleep(0.1)
-            time.sleep(stood_s)  # nothing runs meanwhile
+            time.sleep(stood_s)  # blocks the event loop
             await asyncio.sleep(0.1)
             assert bool(window.most) is anew
 
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -1,4 +1,4 @@
-"""The window of a beginner: its part of what all beginners may send, and what opens and ends it."""
+"""The startup window: its part of the requests of all restarted sidecars, its growth, cuts and end."""
 
 from __future__ import annotations
 
@@ -33,57 +33,57 @@
 S = 1_000_000_000
 
 
-def begun(capacity: float, fleet: int) -> Window:
+def started_window(capacity: float, fleet: int) -> Window:
     window = Window()
     window.begin(0, capacity, fleet, S)
     return window
 
 
-def taken(window: Window, now: int, arrivals: int) -> int:
-    """How many of a burst are let in, none of them answered yet."""
-    under_way = 0
+def admitted(window: Window, now: int, arrivals: int) -> int:
+    """Count the admitted requests of a burst before any answer."""
+    in_flight = 0
     for _ in range(arrivals):
-        under_way += not window.refuses(now, under_way)
-    return under_way
+        in_flight += not window.refuses(now, in_flight)
+    return in_flight
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 24, 96])
 def test_all_beginners_together_put_a_bounded_queue_on_each_server(fleet: int) -> None:
     capacity = 12.0
-    every = sum(taken(begun(capacity, fleet), 0, 1_000) for _ in range(fleet))
-    assert every <= max(INITIAL_REQUESTS_PER_SERVER * capacity + fleet, (MIN_LIMIT + 1) * fleet)
-    assert every >= fleet  # none is without any
+    total = sum(admitted(started_window(capacity, fleet), 0, 1_000) for _ in range(fleet))
+    assert total <= max(INITIAL_REQUESTS_PER_SERVER * capacity + fleet, (MIN_LIMIT + 1) * fleet)
+    assert total >= fleet  # each admits at least one
 
 
 def test_before_it_begins_nothing_is_bounded() -> None:
-    assert taken(Window(), 0, 1_000) == 1_000
+    assert admitted(Window(), 0, 1_000) == 1_000
 
 
 def test_good_answers_double_it_with_each_round() -> None:
-    window = begun(12.0, 24)
-    first = taken(window, 0, 100)
+    window = started_window(12.0, 24)
+    first = admitted(window, 0, 100)
     for _ in range(first):
         window.answered(0, FAST_FRACTION / 2)
-    assert taken(window, 0, 100) == 2 * first
+    assert admitted(window, 0, 100) == 2 * first
 
 
 def test_it_grows_by_the_clock_for_those_who_come_while_a_burst_is_worked_on() -> None:
-    window = begun(12.0, 24)
-    first = taken(window, 0, 100)
+    window = started_window(12.0, 24)
+    first = admitted(window, 0, 100)
     assert window.refuses(0, first)
     assert not window.refuses(S // 4, first)
-    assert taken(window, S, 100) == int(first * (1.0 + GROWTH_PER_TARGET))
+    assert admitted(window, S, 100) == int(first * (1.0 + GROWTH_PER_TARGET))
 
 
 def test_slow_answers_cut_it_once_an_aim_and_never_to_nothing() -> None:
-    window = begun(24.0, 1)
+    window = started_window(24.0, 1)
     before = window.most
     for _ in range(50):
         window.answered(S, 1.0)
     assert before * 0.6 < window.most < before
     for second in range(2, 60):
         window.answered(second * S, SLOW_FRACTION + 0.01)
-    assert window.most == MIN_LIMIT  # the clock lets more in only as they come
+    assert window.most == MIN_LIMIT  # growth by the clock applies only to arrivals
 
 
 def test_a_try_that_a_server_had_no_place_for_cuts_it_too() -> None:
@@ -93,10 +93,12 @@
     before = balancer.overload.window.most
     (send,) = (a for a in balancer.handle(2 * S, Request("a", 0, 3 * S)) if isinstance(a, Send))
     balancer.handle(2 * S, AttemptEnded("a", 0, send.endpoint, Outcome.CONNECT_FAILED))
-    assert balancer.overload.window.most > before  # by the clock; one that has died tells of no queue
-    grown = balancer.overload.window.most
+    assert (
+        balancer.overload.window.most > before
+    )  # growth by the clock; a failed dial does not indicate a queue
+    grown_limit = balancer.overload.window.most
     balancer.handle(2 * S, AttemptEnded("a", 1, send.endpoint, Outcome.BUSY))
-    assert balancer.overload.window.most == pytest.approx(grown * CUT_FACTOR)
+    assert balancer.overload.window.most == pytest.approx(grown_limit * CUT_FACTOR)
 
 
 def test_a_process_that_stood_still_begins_anew() -> None:
@@ -108,12 +110,12 @@
     assert not balancer.overload.window.most  # it has ended
     balancer.handle(5 * CALM_NS, Woke())
     actions = [balancer.handle(5 * CALM_NS, Request(str(n), 0, S)) for n in range(40)]
-    refused = sum(isinstance(action, Refuse) for some in actions for action in some)
+    refused = sum(isinstance(action, Refuse) for batch in actions for action in batch)
     assert 30 <= refused < 40
 
 
 def test_it_ends_once_it_neither_refuses_nor_sees_slow_answers() -> None:
-    window = begun(2.0, 24)
-    assert taken(window, 0, 100) == MIN_LIMIT
-    assert taken(window, CALM_NS, 100) < 100  # it has refused meanwhile
-    assert taken(window, 2 * CALM_NS + 1, 100) == 100
+    window = started_window(2.0, 24)
+    assert admitted(window, 0, 100) == MIN_LIMIT
+    assert admitted(window, CALM_NS, 100) < 100  # it refused requests within the calm time
+    assert admitted(window, 2 * CALM_NS + 1, 100) == 100
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings object that the platform gives: what is missing, and what can't be read."""
+"""The settings object of the platform: defaults, missing entries, and values that can't be read."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from garnethaven.__main__ import main
 from garnethaven.settings import SettingsError, read_settings
 from tests.loopback import config_file
-from tests.loopback import facts as facts_of_a_sidecar
+from tests.loopback import facts as sidecar_settings
 
 
-def told(**rules: Any) -> dict[str, Any]:
+def settings_object(**rules: Any) -> dict[str, Any]:
     return {
         "grades": [],
         "slotNo": 0,
@@ -26,26 +26,26 @@
 
 
 def test_what_a_fleet_needs_has_defaults() -> None:
-    settings = read_settings(told())
+    settings = read_settings(settings_object())
     assert (settings.fall_multiple, settings.ask_within) == (3.0, 0)
-    assert read_settings(told(fallMultiple=2.5)).fall_multiple == 2.5
+    assert read_settings(settings_object(fallMultiple=2.5)).fall_multiple == 2.5
 
 
 @pytest.mark.parametrize("value", ["three", None, [3], float("nan"), float("inf"), {}])
 @pytest.mark.parametrize("name", ["fallMultiple", "askWithinNs", "coldShare"])
 def test_a_figure_that_cannot_be_read_is_named(name: str, value: Any) -> None:
     with pytest.raises(SettingsError, match=f"'{name}' cannot be read"):
-        read_settings(told(**{name: value}))
+        read_settings(settings_object(**{name: value}))
 
 
 def test_a_missing_one_without_a_default_is_named() -> None:
-    facts = told()
-    del facts["rules"]["coldShare"]
+    document = settings_object()
+    del document["rules"]["coldShare"]
     with pytest.raises(SettingsError, match="'coldShare' is missing"):
-        read_settings(facts)
+        read_settings(document)
 
 
-GRADE = {"aimNs": 10, "deadlineNs": 20, "effect": "dedup", "keyScope": "cell", "importance": 1.0}
+REQUEST_CLASS = {"aimNs": 10, "deadlineNs": 20, "effect": "dedup", "keyScope": "cell", "importance": 1.0}
 
 
 @pytest.mark.parametrize(
@@ -67,18 +67,23 @@
     ],
 )
 def test_what_contradicts_itself_is_named(place: str, name: str, value: Any) -> None:
-    facts = told()
-    facts["grades"] = [dict(GRADE)]
-    table = {"grade": facts["grades"][0], "rules": facts["rules"], "limits": facts["limits"], "facts": facts}
+    document = settings_object()
+    document["grades"] = [dict(REQUEST_CLASS)]
+    table = {
+        "grade": document["grades"][0],
+        "rules": document["rules"],
+        "limits": document["limits"],
+        "facts": document,
+    }
     table[place][name] = value
     with pytest.raises(SettingsError, match=f"'{name}'"):
-        read_settings(facts)
+        read_settings(document)
 
 
 def test_a_class_without_a_window_is_honoured() -> None:
-    facts = told()
-    facts["grades"] = [dict(GRADE)]
-    assert read_settings(facts).grades[0].window == 0  # nothing that may have run is repeated
+    document = settings_object()
+    document["grades"] = [dict(REQUEST_CLASS)]
+    assert read_settings(document).grades[0].window == 0  # no retry of an attempt that may have been executed
 
 
 @pytest.mark.parametrize(
@@ -88,9 +93,9 @@
         ({"limits": {"memory_mb": 64, "sockets": 40}}, "limits.sockets"),
         ({"limits": {"memory_mb": float("inf"), "sockets": 256}}, "limits.memory_mb"),
         ({"limits": {"memory_mb": 64, "sockets": float("nan")}}, "limits.sockets"),
-        ({"settings": facts_of_a_sidecar() | {"grades": []}}, "'grades'"),
+        ({"settings": sidecar_settings() | {"grades": []}}, "'grades'"),
         ({"settings": []}, "'settings'"),
-        ({"settings": facts_of_a_sidecar() | {"rules": None}}, "settings"),
+        ({"settings": sidecar_settings() | {"rules": None}}, "settings"),
         ({"known": None}, "'known'"),
         ({"seed": "xyz"}, "'seed'"),
     ],
@@ -105,5 +110,5 @@
     path = config_file(tmp_path / "c.json", **changes)
     monkeypatch.setenv("NODE_CONFIG", str(path))
     assert main([]) == 2
-    told_at_the_end = capsys.readouterr().err
-    assert said in told_at_the_end and "Traceback" not in told_at_the_end
+    error_output = capsys.readouterr().err
+    assert said in error_output and "Traceback" not in error_output
