--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -1,4 +1,4 @@
-"""Places and fresh lists on loopback sockets, with the stand-ins as peers: the hard cases one by one."""
+"""Limits of client connections and freshness of lists, on loopback sockets with stand-ins as peers."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from tests.loopback import ANSWER, Sidecar, request, run, running, says, until
 
 
-def ledger() -> Ledger:
+def new_ledger() -> Ledger:
     return Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
 
 
 class Estate:
-    """A sidecar of a fleet of three that watches a stand-in, before check servers of one rack."""
+    """A sidecar of a fleet of three, a discovery stand-in that it watches, and check servers in one rack."""
 
     def __init__(self) -> None:
-        self.book = ledger()
-        self.discovery = Discovery(self.book)
+        self.ledger = new_ledger()
+        self.discovery = Discovery(self.ledger)
         self.rack = Rack(0, 6.0)
         self.servers: list[CheckServer] = []
 
     async def add(self, count: int) -> list[CheckServer]:
-        new = []
+        added = []
         for number in range(len(self.servers), len(self.servers) + count):
-            server = CheckServer(f"s{number}", self.rack, self.book, random.Random(number), work_s=0.01)
-            new.append(await server.start())
-        self.servers += new
-        return new
+            server = CheckServer(f"s{number}", self.rack, self.ledger, random.Random(number), work_s=0.01)
+            added.append(await server.start())
+        self.servers += added
+        return added
 
     async def ask(self, count: int = 1) -> list[int]:
-        """Requests one after the other; their statuses."""
-        found = []
+        """Send requests one after the other; returns their statuses."""
+        statuses = []
         for _ in range(count):
-            call_id = f"r{len(self.book.sent)}"
-            self.book.sends(call_id, "k1", 0.0, 3.0, True)
-            found.append((await self.sidecar.ask(request(X_Call_Id=call_id)))[0])
-        return found
+            call_id = f"r{len(self.ledger.sent)}"
+            self.ledger.sends(call_id, "k1", 0.0, 3.0, True)
+            statuses.append((await self.sidecar.ask(request(X_Call_Id=call_id)))[0])
+        return statuses
 
     def names(self) -> set[str]:
         """The servers that the sidecar may send to."""
@@ -54,134 +54,134 @@
 
 @contextlib.asynccontextmanager
 async def estate(servers: int, wait_s: float = 2.0) -> AsyncIterator[Estate]:
-    small = Estate()
-    await small.discovery.start()
-    small.discovery.publish(server.member() for server in await small.add(servers))
-    small.sidecar = Sidecar([])
-    client: Client = small.sidecar.discovery
+    env = Estate()
+    await env.discovery.start()
+    env.discovery.publish(server.member() for server in await env.add(servers))
+    env.sidecar = Sidecar([])
+    client: Client = env.sidecar.discovery
     client.fresh.wait_s = wait_s
-    client.move(("127.0.0.1", small.discovery.port))
+    client.move(("127.0.0.1", env.discovery.port))
     try:
-        await until(lambda: len(small.names()) == servers)
-        yield small
+        await until(lambda: len(env.names()) == servers)
+        yield env
     finally:
-        small.sidecar.listener.drain()
-        client.pushed = False  # or it would ask on
-        small.discovery.close()
-        for server in small.servers:
+        env.sidecar.listener.drain()
+        client.pushed = False  # otherwise it would keep calling
+        env.discovery.close()
+        for server in env.servers:
             await server.close()
 
 
 def test_a_watch_that_discovery_has_forgotten_is_doubled_by_another_call() -> None:
     async def case() -> None:
-        async with estate(2) as small:
-            await until(lambda: len(small.discovery.call_times) >= 2)  # the watch is out
-            small.discovery.forget_watches()
-            small.discovery.publish(server.member() for server in await small.add(1))
-            await until(lambda: small.names() == {"s0", "s1", "s2"})
-            assert small.sidecar.discovery.extra_calls >= 1
+        async with estate(2) as env:
+            await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
+            env.discovery.forget_watches()
+            env.discovery.publish(server.member() for server in await env.add(1))
+            await until(lambda: env.names() == {"s0", "s1", "s2"})
+            assert env.sidecar.discovery.extra_calls >= 1
 
     run(case())
 
 
 def test_servers_that_refuse_while_they_are_listed_cause_a_call_at_once() -> None:
     async def case() -> None:
-        async with estate(4, wait_s=60.0) as small:
-            await until(lambda: len(small.discovery.call_times) >= 2)  # the watch is out
-            small.discovery.forget_watches()
-            small.discovery.publish(server.member() for server in await small.add(2))
-            small.discovery.publish(server.member("DELETED") for server in small.servers[:3])
-            for server in small.servers[:3]:
+        async with estate(4, wait_s=60.0) as env:
+            await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
+            env.discovery.forget_watches()
+            env.discovery.publish(server.member() for server in await env.add(2))
+            env.discovery.publish(server.member("DELETED") for server in env.servers[:3])
+            for server in env.servers[:3]:
                 server.crash()
-            assert small.names() == {"s0", "s1", "s2", "s3"}
-            assert set(await small.ask(12)) == {200}
-            await until(lambda: small.names() == {"s3", "s4", "s5"})
+            assert env.names() == {"s0", "s1", "s2", "s3"}
+            assert set(await env.ask(12)) == {200}
+            await until(lambda: env.names() == {"s3", "s4", "s5"})
 
     run(case())
 
 
 def test_a_list_that_lies_behind_brings_nothing_back() -> None:
     async def case() -> None:
-        async with estate(3) as small:
-            await small.discovery.become(Mood.BEHIND)
-            small.discovery.frozen = (0, [server.member() for server in small.servers])
-            fresh = small.sidecar.discovery.fresh
+        async with estate(3) as env:
+            await env.discovery.become(Mood.BEHIND)
+            env.discovery.frozen = (0, [server.member() for server in env.servers])
+            fresh = env.sidecar.discovery.fresh
             fresh.revision = 50
-            before = small.names()
-            small.discovery.publish([small.servers[0].member("DRAINING")])
+            before = env.names()
+            env.discovery.publish([env.servers[0].member("DRAINING")])
             await until(lambda: fresh.behind > 0)
-            assert small.names() == before
-            await until(lambda: fresh.revision == 0)  # nothing else comes: its count has begun anew
+            assert env.names() == before
+            await until(lambda: fresh.revision == 0)  # only stale answers arrive: the count has been reset
 
     run(case())
 
 
 def test_an_empty_list_is_obeyed_and_asked_for_again() -> None:
     async def case() -> None:
-        async with estate(2) as small:
-            await small.discovery.become(Mood.EMPTY)
-            small.sidecar.discovery.ask_for_full_list()
-            await until(lambda: small.names() == set())
-            assert await small.ask() == [503]
-            await small.discovery.become(Mood.GOOD)
-            await until(lambda: small.names() == {"s0", "s1"})
-            assert await small.ask() == [200]
+        async with estate(2) as env:
+            await env.discovery.become(Mood.EMPTY)
+            env.sidecar.discovery.ask_for_full_list()
+            await until(lambda: env.names() == set())
+            assert await env.ask() == [503]
+            await env.discovery.become(Mood.GOOD)
+            await until(lambda: env.names() == {"s0", "s1"})
+            assert await env.ask() == [200]
 
     run(case())
 
 
 def test_an_empty_list_is_asked_for_again_also_after_calls_that_failed() -> None:
     async def case() -> None:
-        async with estate(2) as small:
-            discovery, mine = small.discovery, small.sidecar.discovery
-            mine.fresh.call_time_s = 0.2
-            await discovery.become(Mood.EMPTY)
-            mine.ask_for_full_list()
-            await until(lambda: small.names() == set())
-            await discovery.become(Mood.DOWN)
-            failed = mine.extra_calls
-            await until(lambda: mine.extra_calls >= failed + 3)
-            await discovery.become(Mood.GOOD)
-            await until(lambda: small.names() == {"s0", "s1"})
-            asked = mine.extra_calls
+        async with estate(2) as env:
+            stand_in, client = env.discovery, env.sidecar.discovery
+            client.fresh.call_time_s = 0.2
+            await stand_in.become(Mood.EMPTY)
+            client.ask_for_full_list()
+            await until(lambda: env.names() == set())
+            await stand_in.become(Mood.DOWN)
+            failed = client.extra_calls
+            await until(lambda: client.extra_calls >= failed + 3)
+            await stand_in.become(Mood.GOOD)
+            await until(lambda: env.names() == {"s0", "s1"})
+            asked = client.extra_calls
             await asyncio.sleep(0.5)
-            assert mine.extra_calls == asked
+            assert client.extra_calls == asked
 
     run(case())
 
 
 def test_a_slow_answer_is_still_taken_in() -> None:
     async def case() -> None:
-        async with estate(1) as small:
-            small.discovery.lag_s = 0.4
-            await small.discovery.become(Mood.SLOW)
-            small.discovery.publish(server.member() for server in await small.add(1))
-            await until(lambda: small.names() == {"s0", "s1"})
+        async with estate(1) as env:
+            env.discovery.lag_s = 0.4
+            await env.discovery.become(Mood.SLOW)
+            env.discovery.publish(server.member() for server in await env.add(1))
+            await until(lambda: env.names() == {"s0", "s1"})
 
     run(case())
 
 
 def test_those_that_ask_once_and_stay_leave_room_for_the_usual_clients() -> None:
-    """Forty of them in turn before 16 places; two usual ones come round all the while."""
+    """Limit of 16 connections: forty clients in turn send one request and stay, two others send regularly."""
 
     async def case() -> None:
         async with running(says(ANSWER), connections=32, client_places=16) as (sidecar, _):
             places = sidecar.listener.places
             assert places.most == 16
-            usual = [await sidecar.connect() for _ in range(2)]
+            regulars = [await sidecar.connect() for _ in range(2)]
             guests = []
             for number in range(40):
                 guests.append(await sidecar.connect())
                 guests[-1][1].write(request(X_Call_Id=f"g{number}"))
                 await guests[-1][0].readuntil(b"hello")
-                for n, (reader, writer) in enumerate(usual):
+                for n, (reader, writer) in enumerate(regulars):
                     writer.write(request(X_Call_Id=f"u{number}-{n}"))
-                    await reader.readuntil(b"hello")  # on the connection that it has had all the time
+                    await reader.readuntil(b"hello")  # its connection has stayed open
                 held = sidecar.listener.held()
                 assert held <= 16, number
                 await asyncio.sleep(0.06)
             assert places.ended_early >= 20
-            for _, writer in usual + guests:
+            for _, writer in regulars + guests:
                 writer.close()
 
     run(case())
@@ -208,15 +208,15 @@
 def test_the_stand_in_clients_share_one_allowance() -> None:
     async def case() -> None:
         async with running(says(ANSWER), connections=32) as (sidecar, _):
-            book, allowance = ledger(), Allowance(4)
-            guests = Guests("g", sidecar.port, book, allowance, random.Random(1))
-            hogging = asyncio.create_task(guests.say_nothing(4, 1.0))
+            ledger, allowance = new_ledger(), Allowance(4)
+            guests = Guests("g", sidecar.port, ledger, allowance, random.Random(1))
+            holding = asyncio.create_task(guests.say_nothing(4, 1.0))
             await until(lambda: allowance.held == 4)
             habits = replace(Habits(), retries=0)
-            application = Application("a", sidecar.port, book, allowance, random.Random(2), habits)
+            application = Application("a", sidecar.port, ledger, allowance, random.Random(2), habits)
             await application._ask()
-            assert book.tally()["refused"] == 1  # before it was sent
-            await hogging
+            assert ledger.tally()["refused"] == 1  # the client had no connection left, so nothing was sent
+            await holding
             assert allowance.held == 0
 
     run(case())
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -150,9 +150,9 @@
 # The balancer with 15 simulated servers at three quarters of their capacity
 
 
-def world(seed: int, sidecars: int, rate: float, honours: bool, patience: int = 3 * S) -> World:
+def world(seed: int, sidecars: int, rate: float, honours: bool, timeout: int = 3 * S) -> World:
     work = 0.75 * 15 * 4 / (sidecars * rate)
-    clients = Clients(rate, tries=3, patience=patience, honours=honours)
+    clients = Clients(rate, tries=3, timeout=timeout, honours_backoff=honours)
     return World(seed, sidecars, 15, clients, work=work)
 
 
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -10,29 +10,28 @@
 PROMPT = replace(SAFE, late_value=0.0)  # an answer after the latency target has no value
 LASTING = replace(SAFE, late_value=0.25)
 PROMPT_CLASS, LASTING_CLASS = 0, 1
-FIRST_TIMEOUT = 1_600 * MS  # client timeout of a first attempt; the deadline is 2 s
+FIRST_ATTEMPT_TIMEOUT = 1_600 * MS  # client timeout of a first attempt; the deadline is 2 s
 
 
 def sidecar() -> Driver:
     driver = Driver(fleet(8), replace(SETTINGS, grades=(PROMPT, LASTING)))
     for request_class in (PROMPT_CLASS, LASTING_CLASS):
-        driver.serve(grade=request_class, budget=FIRST_TIMEOUT)
+        driver.serve(grade=request_class, budget=FIRST_ATTEMPT_TIMEOUT)
     return driver
 
 
 def refuse_one(driver: Driver) -> None:
     """Leave one request unserved: its server fails and the retry budget allows no further attempt."""
     driver.balancer.retry_budget.tokens = 0.0
-    send = sends(driver.ask(budget=FIRST_TIMEOUT))[0]
+    send = sends(driver.ask(budget=FIRST_ATTEMPT_TIMEOUT))[0]
     assert of(driver.end(send, Outcome.ERROR), Refuse)
 
 
 def test_one_past_its_aim_is_refused_and_takes_no_servers_room() -> None:
     driver = sidecar()
     refuse_one(driver)
-    actions = driver.ask(
-        PROMPT_CLASS, budget=1_400 * MS
-    )  # 0.6 s of its 2 s are over, the latency target is 0.5 s
+    # 0.6 s of its 2 s are over, and the latency target is 0.5 s.
+    actions = driver.ask(PROMPT_CLASS, budget=1_400 * MS)
     assert not sends(actions)
     assert len(of(actions, Refuse)) == 1
 
@@ -71,7 +70,7 @@
 
 def test_a_client_that_gave_its_try_up_may_come_again() -> None:
     driver = sidecar()
-    send = sends(driver.ask(budget=FIRST_TIMEOUT))[0]
+    send = sends(driver.ask(budget=FIRST_ATTEMPT_TIMEOUT))[0]
     driver.feed(ClientLeft(send.id), 300 * MS)
     assert not sends(driver.ask(PROMPT_CLASS, budget=1_400 * MS))
 
--- a/tests/recovery/test_coming_back.py
+++ b/tests/recovery/test_coming_back.py
@@ -11,7 +11,7 @@
 
 def come_back(seed: int, killed: int, down_s: float, tries: int = 3, honours: bool = False) -> World:
     """Kill sidecars and, if more than one, replace a third of the servers meanwhile; then run for 9 s."""
-    clients = Clients(RATE / SIDECARS, tries=tries, honours=honours)
+    clients = Clients(RATE / SIDECARS, tries=tries, honours_backoff=honours)
     world = World(seed, SIDECARS, SERVERS, clients, cores=2, work=0.08)
     world.run(5.0)
     world.kill(world.rng.sample(range(SIDECARS), killed), down_s, 0.5, 2.0)
@@ -25,7 +25,7 @@
 
 
 def since_back(world: World, since: float, until: float) -> float:
-    last_return = (world.back_at - world.began) / S
+    last_return = (world.last_restart_at - world.began) / S
     return world.in_time(last_return + since, last_return + until)
 
 
@@ -47,5 +47,5 @@
 def test_a_lone_restart_refuses_a_few_of_those_who_waited_and_nobody_after(seed: int) -> None:
     world = come_back(seed, 1, 0.5)
     assert since_back(world, 0.0, 1.0) > 0.97, seed
-    refused_waiting = sum(first for at, first in world.refusals if at - world.back_at < S // 20)
+    refused_waiting = sum(first for at, first in world.refusals if at - world.last_restart_at < S // 20)
     assert refused_waiting == sum(first for _, first in world.refusals) <= 5, seed
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -93,9 +93,8 @@
     before = balancer.overload.window.most
     (send,) = (a for a in balancer.handle(2 * S, Request("a", 0, 3 * S)) if isinstance(a, Send))
     balancer.handle(2 * S, AttemptEnded("a", 0, send.endpoint, Outcome.CONNECT_FAILED))
-    assert (
-        balancer.overload.window.most > before
-    )  # growth by the clock; a failed dial does not indicate a queue
+    # The limit has grown by the clock; a failed dial does not indicate a queue.
+    assert balancer.overload.window.most > before
     grown_limit = balancer.overload.window.most
     balancer.handle(2 * S, AttemptEnded("a", 1, send.endpoint, Outcome.BUSY))
     assert balancer.overload.window.most == pytest.approx(grown_limit * CUT_FACTOR)
