--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -49,7 +49,7 @@
 OVERDUE_S = 0.6  # after the end of a watch's wait
 TOLD_S = 6.0  # maximum delay of a change
 BOUNDED_WATCH_WAIT_S = 3.4  # plus OVERDUE_S and discovery's queue time: within the maximum delay
-MAX_BOUNDED_WATCH_LOAD_SHARE = 0.8  # of the service, with watches bounded to BOUNDED_WATCH_WAIT_S
+MAX_BOUNDED_WATCH_LOAD_SHARE = 0.8  # of the service's capacity, up to which watches are bounded so
 AGENT_CALL_TIME_S = 0.5  # call time of a local agent; limits calls for evidence and for empty lists
 AGENT_WATCH_WAIT_S = 1.0
 AGENT_OVERDUE_S = 0.2
@@ -57,8 +57,9 @@
 MIN_EVIDENCE_INTERVAL_S = 0.5  # between two calls for evidence, however small the fleet
 MAX_BACKOFF_FACTOR = 8  # of that interval
 MAX_CALL_TOKENS = 2.0  # calls that may be saved up
-MAX_STALE_ANSWERS = 3
-FIRST_EMPTY_RETRY_FRACTION = 0.25  # of the call time; a discovery that has just started soon has entries
+MAX_STALE_ANSWERS = 3  # the last of so many in a row is applied, if it is a full list
+# Of the call time; a discovery service that has just started usually has entries soon.
+FIRST_EMPTY_RETRY_FRACTION = 0.25
 MIN_EVIDENCE_WEIGHT = 1.5  # sum over servers that causes a call
 
 
@@ -73,7 +74,7 @@
 class Verdict(Enum):
     """What to do with an answer of discovery."""
 
-    TAKE = "apply the answer"
+    APPLY = "apply the answer"
     TAKE_AND_ASK = "apply the answer and fetch the full list again"
     PASS_OVER = "ignore the stale answer and fetch the full list"
 
@@ -158,9 +159,8 @@
         if self.call_tokens < 1.0:
             return False
         self.call_tokens -= 1.0
-        self.backoff_factor = min(
-            MAX_BACKOFF_FACTOR, self.backoff_factor * 2
-        )  # reset by an answer with a change
+        # An answer with a change resets the factor.
+        self.backoff_factor = min(MAX_BACKOFF_FACTOR, self.backoff_factor * 2)
         return True
 
     # Answers
@@ -184,7 +184,7 @@
         if entries and changed:
             self.backoff_factor = 1
             self.evidence.clear()
-        return Verdict.TAKE_AND_ASK if complete and not entries else Verdict.TAKE
+        return Verdict.TAKE_AND_ASK if complete and not entries else Verdict.APPLY
 
     def ask_again_s(self) -> float:
         """Seconds until the next fetch of a list that was empty, with jitter; doubles with each call."""
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -31,22 +31,23 @@
 
 from random import Random
 
-from garnethaven.recovery.window import Window
+from garnethaven.recovery.window import StartupWindow
 
 LATE_SHARE_TARGET = 0.3  # a few bad servers can make this share of answers late; more is overload
 REFUSED_SHARE_GAIN = 1 / 16  # how far one answer moves the refused share
 MAX_REFUSED_SHARE = 0.9  # the rest is admitted, to detect the end of the overload
-ARRIVAL_MIX_EWMA_REQUESTS = 64  # smoothing span of the arrivals by value
-ARRIVAL_GAP_EWMA_REQUESTS = 16  # smoothing span of the time between arrivals
-MAX_ANSWER_GAP_EWMA_ANSWERS = 64  # bounds of the smoothing span of the time between answers
+# Spans of the EWMAs: a new sample has the weight 1 / span.
+ARRIVAL_MIX_EWMA_REQUESTS = 64  # arrivals by value
+ARRIVAL_GAP_EWMA_REQUESTS = 16  # time between arrivals
+MAX_ANSWER_GAP_EWMA_ANSWERS = 64  # bounds of the span for the time between answers
 MIN_ANSWER_GAP_EWMA_ANSWERS = 8
-# Time that the span covers, within these bounds: against an estimate that is seconds old, a rise in arrivals
+# Time that this span covers, within the bounds: against an estimate that is seconds old, a rise in arrivals
 # looks like a queue.
 ANSWER_GAP_EWMA_NS = 400_000_000
 BUSY_GAP_NS = 50_000_000  # with shorter gaps between requests, a sidecar can detect a queue on its own
 MAX_QUEUE_FRACTION = 1.0  # of the latency target: estimated time to serve the requests in flight
 MAX_QUEUE_FRACTION_OVER_SHARE = 0.8  # the same for a tenant that exceeds its share
-LATENCY_EWMA_ANSWERS = 3  # smoothing span of the latency fraction
+LATENCY_EWMA_ANSWERS = 3  # EWMA span of the latency fraction
 MAX_UNQUEUED_FRACTION = 0.4  # an average latency fraction below this means that there is no queue
 REFUSED_SHARE_HALF_LIFE_NS = 250_000_000  # while there is no queue
 # A smaller share becomes 0: one refusal in fifty requests gives no information and costs its client an
@@ -61,7 +62,7 @@
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
-        self.window = Window()  # admission limit after a start, before there is a latency estimate
+        self.window = StartupWindow()  # admission limit after a start, before there is a latency estimate
         self.gap = 0.0  # smoothed time between arrivals
         self.last_arrival = 0
         self.answer_gap = 0.0  # smoothed time between good answers
@@ -129,7 +130,7 @@
         self.arrivals_by_value[value] = self.arrivals_by_value.get(value, 0.0) + 1.0
         refused = (
             self._queue_is_long(target, in_flight, over_share)
-            or self.window.refuses(self.last_arrival, in_flight)
+            or self.window.should_refuse(self.last_arrival, in_flight)
             or self._refused_by_share(value, is_retry)
         )
         if not refused:
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -48,8 +48,9 @@
 UNUSED_WAIT_FACTOR = 8.0
 REJECTED_WAIT_FACTOR = 4.0
 OVERDUE_FACTOR = 4.0  # after an idle time of so many gaps, the gap no longer predicts the next request
-GAP_EWMA_REQUESTS = 4  # smoothing span of the request gap of one connection
-RETURN_EWMA_CONNECTIONS = 64  # smoothing span of the return share and of the typical gap
+# Spans of the EWMAs: a new sample has the weight 1 / span.
+GAP_EWMA_REQUESTS = 4  # request gap of one connection
+RETURN_EWMA_CONNECTIONS = 64  # return share, and typical gap
 MIN_RETURN_SHARE = 0.02
 TRIAL_INTERVAL = 8  # every so many candidates, one is kept, to detect that such connections return again
 
--- a/garnethaven/limits/view.py
+++ b/garnethaven/limits/view.py
@@ -38,7 +38,7 @@
     oldest_s: float
 
 
-def acting(figures: Figures) -> dict[str, str]:
+def active_limits(figures: Figures) -> dict[str, str]:
     """The active limits by name, each with its reason."""
     reasons = {}
     if figures.pressure > 0.0:
@@ -67,7 +67,7 @@
 
 def report(figures: Figures) -> dict[str, object]:
     """The object that `GET /-/limits` returns."""
-    return {"acting": acting(figures), "figures": asdict(figures)}
+    return {"acting": active_limits(figures), "figures": asdict(figures)}
 
 
 class LogLine:
@@ -79,7 +79,7 @@
 
     def due(self, figures: Figures, now: float) -> str | None:
         """The line to log now, if any; `now` is in seconds."""
-        active = acting(figures)
+        active = active_limits(figures)
         names = frozenset(active)
         changed = names - self.logged_names or (self.logged_names and not names)
         if not changed and not (names and now - self.logged_at >= LOG_INTERVAL_S):
--- a/garnethaven/recovery/window.py
+++ b/garnethaven/recovery/window.py
@@ -36,12 +36,12 @@
 MIN_LIMIT = 2.0  # requests in flight; with 1, a request to a silent server would block all others
 FAST_FRACTION = 0.4  # of the latency target: a faster answer met no queue
 SLOW_FRACTION = 0.6  # of the latency target: a slower answer met a growing queue
-CUT_FACTOR = 0.7
+CUT_FACTOR = 0.7  # of the limit, after a slow answer
 GROWTH_PER_TARGET = 2.0  # growth in one latency target, as a multiple of the initial limit
-CALM_NS = 2_000_000_000
+CALM_NS = 2_000_000_000  # time without a refusal or a slow answer that ends the window
 
 
-class Window:
+class StartupWindow:
     """Startup window of one sidecar. There is no limit before `begin` and after the window has ended."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self.target = max(1, target)
         self.grown_at = self.cut_at = self.busy_at = now
 
-    def refuses(self, now: int, in_flight: int) -> bool:
+    def should_refuse(self, now: int, in_flight: int) -> bool:
         """Whether to refuse an arrival; `in_flight` excludes it."""
         if not self.most:
             return False
--- a/tests/limits/test_view.py
+++ b/tests/limits/test_view.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnethaven.limits.front import MAX_CONNECTIONS, MAX_HEAD_BYTES, LimitsView
-from garnethaven.limits.view import LOG_INTERVAL_S, Figures, LogLine, acting, report
+from garnethaven.limits.view import LOG_INTERVAL_S, Figures, LogLine, active_limits, report
 from tests.loopback import read_message, run, until
 
 CALM = Figures(
@@ -38,7 +38,7 @@
 
 
 def test_nothing_acts_on_a_calm_day() -> None:
-    assert acting(CALM) == {}
+    assert active_limits(CALM) == {}
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
     ],
 )
 def test_each_limit_is_named_with_its_reason(change: dict[str, float], name: str, word: str) -> None:
-    reasons = acting(replace(CALM, **change))  # type: ignore[arg-type]
+    reasons = active_limits(replace(CALM, **change))  # type: ignore[arg-type]
     assert list(reasons) == [name]
     assert word in reasons[name]
 
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -26,24 +26,24 @@
     INITIAL_REQUESTS_PER_SERVER,
     MIN_LIMIT,
     SLOW_FRACTION,
-    Window,
+    StartupWindow,
 )
 
 MS = 1_000_000
 S = 1_000_000_000
 
 
-def started_window(capacity: float, fleet: int) -> Window:
-    window = Window()
+def started_window(capacity: float, fleet: int) -> StartupWindow:
+    window = StartupWindow()
     window.begin(0, capacity, fleet, S)
     return window
 
 
-def admitted(window: Window, now: int, arrivals: int) -> int:
+def admitted(window: StartupWindow, now: int, arrivals: int) -> int:
     """Count the admitted requests of a burst before any answer."""
     in_flight = 0
     for _ in range(arrivals):
-        in_flight += not window.refuses(now, in_flight)
+        in_flight += not window.should_refuse(now, in_flight)
     return in_flight
 
 
@@ -56,7 +56,7 @@
 
 
 def test_before_it_begins_nothing_is_bounded() -> None:
-    assert admitted(Window(), 0, 1_000) == 1_000
+    assert admitted(StartupWindow(), 0, 1_000) == 1_000
 
 
 def test_good_answers_double_it_with_each_round() -> None:
@@ -70,8 +70,8 @@
 def test_it_grows_by_the_clock_for_those_who_come_while_a_burst_is_worked_on() -> None:
     window = started_window(12.0, 24)
     first = admitted(window, 0, 100)
-    assert window.refuses(0, first)
-    assert not window.refuses(S // 4, first)
+    assert window.should_refuse(0, first)
+    assert not window.should_refuse(S // 4, first)
     assert admitted(window, S, 100) == int(first * (1.0 + GROWTH_PER_TARGET))
 
 
