--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -52,13 +52,15 @@
 
     def clients(self, endpoint_connections: int) -> int:
         """The largest number of client connections beside so many endpoint connections."""
-        return self._rest(endpoint_connections)
+        return self._limit_beside(endpoint_connections)
 
     def endpoints(self, client_connections: int) -> int:
         """The largest number of endpoint connections beside so many client connections."""
-        return min(max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._rest(client_connections))
+        return min(
+            max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._limit_beside(client_connections)
+        )
 
-    def _rest(self, used_by_other_side: int) -> int:
+    def _limit_beside(self, used_by_other_side: int) -> int:
         return max(self.guaranteed, self.available - max(self.guaranteed, used_by_other_side))
 
 
--- a/tests/recovery/test_start_times.py
+++ b/tests/recovery/test_start_times.py
@@ -1,5 +1,4 @@
-"""Effective start times of servers with wrong or stepped clocks, over sequences of lists in simulated
-time."""
+"""Effective start times of servers whose clocks are wrong or stepped, over simulated sequences of lists."""
 
 from __future__ import annotations
 
