--- a/garnethaven/limits/feature.py
+++ b/garnethaven/limits/feature.py
@@ -1,4 +1,4 @@
-"""The table `[limits]` at work: the operators' view, and bounds for clients and lists."""
+"""Applies the table `[limits]`: serves the operators' view and bounds client connections and watches."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     fresh: FreshList
 
 
-class Bounded(Protocol):
-    """What this bounds, and what it shows."""
+class LimitedParts(Protocol):
+    """The parts of the sidecar that the feature limits and reports."""
 
     @property
     def listener(self) -> Listener: ...
@@ -30,10 +30,10 @@
     def figures(self) -> Callable[[], dict[str, object]]: ...
 
 
-class LimitsFeature(Feature[Limits, Bounded]):
+class LimitsFeature(Feature[Limits, LimitedParts]):
     name = "limits"
 
-    def __init__(self, table: Limits, parts: Bounded) -> None:
+    def __init__(self, table: Limits, parts: LimitedParts) -> None:
         super().__init__(table, parts)
         self.view: LimitsView | None = None
 
@@ -44,7 +44,7 @@
 
     def renewed(self) -> None:
         self.parts.listener.set_limits(self.table.client_places, self.table.calm_idle_s)
-        self.parts.discovery.fresh.set_wait_most(self.table.watch_most_s)
+        self.parts.discovery.fresh.set_max_watch_wait(self.table.watch_most_s)
 
     async def close(self) -> None:
         if self.view is not None:
