--- a/garnethaven/ops/__init__.py
+++ b/garnethaven/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Daily running: the operators' address, figures, endpoints out by hand, and what two processes share."""
+"""Day-to-day operation: the operators' address, metrics, cordons, and state shared by two processes."""
--- a/garnethaven/ops/cordons.py
+++ b/garnethaven/ops/cordons.py
@@ -1,9 +1,10 @@
-"""Which endpoints operators have cordoned, and the text in which that outlives the process. No I/O here.
+"""The endpoints that operators have cordoned, and the text that stores them across restarts. No I/O here.
 
-An endpoint is known by discovery's id. Calls are idempotent: one call back undoes any number of calls out.
+An endpoint is identified by its id in discovery. Operations are idempotent: a single uncordon undoes any
+number of cordons.
 
-A change that an operator has asked of this process stands here at once. Until the text that holds it is
-known to be kept it is also *unsaved*: what another process writes meanwhile is merged with it.
+A change that an operator requests from this process applies here at once. It is also *unsaved* until a text
+that contains it is known to be stored; meanwhile it is merged with what another process writes.
 """
 
 from __future__ import annotations
@@ -11,78 +12,81 @@
 import json
 
 VERSION = 1
-MAX_CORDONED = 4096  # ids; against a caller that fills the memory
-MAX_TEXT_BYTES = 1024 * 1024  # one that is longer was not written here
+MAX_CORDONED = 4096  # ids; keeps a caller from filling the memory
+MAX_TEXT_BYTES = 1024 * 1024  # this program writes no longer text
 
 
 class CordonError(Exception):
-    """A text is not what this program wrote, or there are too many."""
+    """A text was not written by this program, or too many endpoints are cordoned."""
 
 
 class Cordons:
-    """The cordoned endpoints: nothing new is sent there, whatever discovery's list says."""
+    """The cordoned endpoints: they get no new attempts, whatever discovery reports."""
 
     def __init__(self, name: str) -> None:
-        self.name = name  # the sidecar's: another's text is left alone
+        self.name = name  # the sidecar's; a text with another name is ignored
         self.cordoned: set[str] = set()
-        self.unsaved: dict[str, bool] = {}  # this process's own changes that no text is known to keep
+        self.unsaved: dict[str, bool] = {}  # this process's changes that are not known to be stored
 
     def cordon(self, endpoint: str) -> None:
-        """Raises CordonError where there are too many to keep."""
+        """Cordon an endpoint; raises CordonError if too many are cordoned to be stored."""
         if endpoint not in self.cordoned:
-            self._check_room(endpoint)
+            self._check_limits(endpoint)
         self.cordoned.add(endpoint)
         self.unsaved[endpoint] = True
 
-    def _check_room(self, endpoint: str) -> None:
+    def _check_limits(self, endpoint: str) -> None:
         if len(self.cordoned) >= MAX_CORDONED:
             raise CordonError(f"{MAX_CORDONED} endpoints are out already")
-        if len(self._text(self.cordoned | {endpoint})) > MAX_TEXT_BYTES:
+        if len(self._serialize(self.cordoned | {endpoint})) > MAX_TEXT_BYTES:
             raise CordonError(f"the ids of those that are out would be longer than {MAX_TEXT_BYTES} bytes")
 
     def uncordon(self, endpoint: str) -> None:
         self.cordoned.discard(endpoint)
         self.unsaved[endpoint] = False
 
-    def text(self) -> str:
-        return self._text(self.cordoned)
+    def serialize(self) -> str:
+        """The text that stores the cordoned endpoints."""
+        return self._serialize(self.cordoned)
 
-    def _text(self, out: set[str]) -> str:
-        return json.dumps({"version": VERSION, "name": self.name, "out": sorted(out)})
+    def _serialize(self, cordoned: set[str]) -> str:
+        return json.dumps({"version": VERSION, "name": self.name, "out": sorted(cordoned)})
 
-    def saved(self) -> None:
-        """The text of now is kept."""
+    def mark_saved(self) -> None:
+        """Record that the current text has been stored."""
         self.unsaved.clear()
 
-    def read(self, text: str) -> list[tuple[str, bool]]:
-        """Take over what another process wrote, with the own unsaved changes on top of it.
+    def merge(self, text: str) -> list[tuple[str, bool]]:
+        """Take over the cordons that another process wrote, with this process's unsaved changes on top.
 
-        Returns the ids that this takes out (True) or puts back. Raises CordonError where the text is not this
-        sidecar's or not whole; nothing changes then.
+        Returns the ids that become cordoned (True) or uncordoned (False). Raises CordonError, and changes
+        nothing, if the text is incomplete or belongs to another sidecar.
         """
-        out = parsed(text, self.name)
-        for endpoint, is_out in self.unsaved.items():
-            (out.add if is_out else out.discard)(endpoint)
-        changes = [(one, True) for one in sorted(out - self.cordoned)]
-        changes += [(one, False) for one in sorted(self.cordoned - out)]
-        self.cordoned = out
+        cordoned = parse(text, self.name)
+        for endpoint, is_cordoned in self.unsaved.items():
+            (cordoned.add if is_cordoned else cordoned.discard)(endpoint)
+        changes = [(endpoint_id, True) for endpoint_id in sorted(cordoned - self.cordoned)]
+        changes += [(endpoint_id, False) for endpoint_id in sorted(self.cordoned - cordoned)]
+        self.cordoned = cordoned
         return changes
 
 
-def parsed(text: str, name: str) -> set[str]:
-    """The ids that a text says are out; CordonError where it is not this sidecar's or not whole."""
+def parse(text: str, name: str) -> set[str]:
+    """The cordoned ids in a text; raises CordonError if it is incomplete or belongs to another sidecar."""
     try:
-        told = json.loads(text)
-        if told["version"] != VERSION or told["name"] != name:
-            raise CordonError(f"it is of version {told['version']!r} and of {told['name']!r}")
-        out = told["out"]
+        document = json.loads(text)
+        if document["version"] != VERSION or document["name"] != name:
+            raise CordonError(
+                f"version {document['version']!r} of sidecar {document['name']!r} can't be used here"
+            )
+        cordoned = document["out"]
     except (ValueError, KeyError, TypeError, RecursionError) as problem:
         raise CordonError(f"it cannot be read: {problem!r}") from None
-    # Two processes may each have taken out so many before they heard of each other.
+    # Two processes may each have cordoned the maximum before they read each other's changes.
     if (
-        not isinstance(out, list)
-        or len(out) > 2 * MAX_CORDONED
-        or not all(isinstance(one, str) for one in out)
+        not isinstance(cordoned, list)
+        or len(cordoned) > 2 * MAX_CORDONED
+        or not all(isinstance(endpoint, str) for endpoint in cordoned)
     ):
-        raise CordonError(f"it holds no list of {2 * MAX_CORDONED} ids at the most")
-    return set(out)
+        raise CordonError(f"'out' is not a list of at most {2 * MAX_CORDONED} ids")
+    return set(cordoned)
--- a/garnethaven/ops/figures.py
+++ b/garnethaven/ops/figures.py
@@ -1,4 +1,4 @@
-"""The figures of `GET /_vars` in the Prometheus text format; the names are those of the operators' page."""
+"""The metrics of `GET /_vars` in the Prometheus text format; the operators' page documents their names."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from garnethaven.engine.account import Account, End
 
-PREFIX = "edge_node_"
-COUNTED = (End.SERVED, End.REFUSED, End.FAILED)
+METRIC_PREFIX = "edge_node_"
+COUNTED_ENDS = (End.SERVED, End.REFUSED, End.FAILED)
 HELP = {
     "served": "Requests answered with an endpoint's answer, since the process began.",
     "refused": "Requests refused: trying again is harmless.",
@@ -21,33 +21,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Endpoints:
+class EndpointCounts:
     known: int
     excluded: int
 
 
-def rendered(account: Account, names: Sequence[str], endpoints: Endpoints) -> str:
-    """All figures; `names` are the classes', by number."""
+def render(account: Account, class_names: Sequence[str], endpoints: EndpointCounts) -> str:
+    """All metrics as text; `class_names` are indexed by class number."""
     lines: list[str] = []
-    for end in COUNTED:
+    for end in COUNTED_ENDS:
         lines += _heading(end.value, "counter")
-        for name, count in zip(names, account.ended[end], strict=False):
-            lines.append(f'{PREFIX}{end.value}{{class="{escaped(name)}"}} {count}')
-    plain = (
+        for name, count in zip(class_names, account.ended[end], strict=False):
+            lines.append(f'{METRIC_PREFIX}{end.value}{{class="{escape_label(name)}"}} {count}')
+    unlabeled = (
         ("attempts", "counter", account.attempts),
         ("in_flight", "gauge", account.in_flight),
         ("endpoints_known", "gauge", endpoints.known),
         ("endpoints_excluded", "gauge", endpoints.excluded),
     )
-    for name, kind, value in plain:
-        lines += [*_heading(name, kind), f"{PREFIX}{name} {value}"]
+    for name, kind, value in unlabeled:
+        lines += [*_heading(name, kind), f"{METRIC_PREFIX}{name} {value}"]
     return "\n".join(lines) + "\n"
 
 
 def _heading(name: str, kind: str) -> list[str]:
-    return [f"# HELP {PREFIX}{name} {HELP[name]}", f"# TYPE {PREFIX}{name} {kind}"]
+    return [f"# HELP {METRIC_PREFIX}{name} {HELP[name]}", f"# TYPE {METRIC_PREFIX}{name} {kind}"]
 
 
-def escaped(label: str) -> str:
-    """A label's value as the format wants it."""
-    return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+def escape_label(value: str) -> str:
+    """A label value, escaped for the text format."""
+    return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/garnethaven/ops/files.py
+++ b/garnethaven/ops/files.py
@@ -1,6 +1,6 @@
-"""Files of processes that share a folder: replaced as a whole, and locked by the living.
+"""Files in a folder that several processes use: atomic replacement and locks that end with their process.
 
-Every function raises OSError where a call of the file system fails.
+Every function raises OSError if a file system call fails.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 import time
 from pathlib import Path
 
-LOCK_WAIT_SECONDS = 0.05  # for another process's write; the event loop stands still meanwhile
-LOCK_PAUSE_SECONDS = 0.002
+LOCK_WAIT_SECONDS = 0.05  # covers another process's write; the event loop is blocked meanwhile
+LOCK_RETRY_SECONDS = 0.002
 
 
 def sync_folder(folder: Path) -> None:
-    """Have the names in a folder outlive a loss of the machine; raises OSError."""
+    """Sync a folder, so that its entries survive a crash of the machine; raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -24,51 +24,53 @@
         os.close(descriptor)
 
 
-def replace_file(path: Path, aside: Path, content: bytes) -> None:
-    """Put `content` in the place of a file, as a whole or not at all, and have it outlive the machine.
+def replace_file(path: Path, temporary: Path, content: bytes) -> None:
+    """Atomically replace the file at `path` with `content`, durably.
 
-    It is written to `aside` first, which must be in the same folder. Raises OSError; the old file is still
-    there then, or, where only the sync of the folder failed, the new one.
+    The content is first written to `temporary`, which must be in the same folder. If OSError is raised, the
+    old file is still in place, or the new one if only the sync of the folder failed.
     """
     try:
-        with open(aside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(content)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(aside, path)
+        os.replace(temporary, path)
     except OSError:
         with contextlib.suppress(OSError):
-            aside.unlink()  # it may be what fills the disk
+            temporary.unlink()  # the temporary file itself may have filled the disk
         raise
     sync_folder(path.parent)
 
 
-def lock_soon(descriptor: int) -> None:
-    """Lock a file that others lock for moments only; raises BlockingIOError where one holds it for longer.
+def lock_with_timeout(descriptor: int) -> None:
+    """Lock a file exclusively; raises BlockingIOError if it stays locked for `LOCK_WAIT_SECONDS`.
 
-    A process that was stopped while it held the lock must not stop this one too.
+    Other processes hold the lock only briefly; the timeout keeps a process that was stopped while it held the
+    lock from blocking this one.
     """
-    until = time.monotonic() + LOCK_WAIT_SECONDS
+    deadline = time.monotonic() + LOCK_WAIT_SECONDS
     while True:
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             return
         except BlockingIOError:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 raise
-        time.sleep(LOCK_PAUSE_SECONDS)
+        time.sleep(LOCK_RETRY_SECONDS)
 
 
-def locked_file(path: Path) -> int:
-    """The descriptor of a file that is locked for as long as this process lives; raises OSError.
+def open_locked(path: Path) -> int:
+    """Create a file, lock it for the lifetime of this process and return its descriptor; raises OSError.
 
-    Another process may look at it between its making and its locking, and take it away as a dead one's.
+    Between the creation and the lock, another process may take the file for one of a dead process and remove
+    it; that raises FileNotFoundError.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         if os.fstat(descriptor).st_nlink == 0:
-            raise FileNotFoundError(f"{path} was taken away before it was locked")
+            raise FileNotFoundError(f"{path} was removed before it was locked")
     except OSError:
         os.close(descriptor)
         raise
--- a/garnethaven/ops/front.py
+++ b/garnethaven/ops/front.py
@@ -1,7 +1,8 @@
-"""The operators' address: HTTP/1.1, one call to a connection, closed after the answer.
+"""The operators' address: HTTP/1.1, one request per connection, closed after the response.
 
-A caller waits 1 s, and some connect and finish no call. A connection that has not asked in `STALL_S` is
-closed; beyond `PLACES` the one that has waited longest goes: stalling callers never keep others out.
+Callers wait 1 s for a response, and some connect without completing a request. A connection without a
+complete request after `REQUEST_TIMEOUT_S` is closed. Beyond `MAX_CONNECTIONS` the oldest one is closed, so
+that stalled callers never keep others from connecting.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 from garnethaven.addresses import Address
 
-PLACES = 16
-HEAD_LIMIT = 8192
-STALL_S = 4.0
-WRITE_S = 2.0  # for an answer that the caller does not read
+MAX_CONNECTIONS = 16
+MAX_HEAD_BYTES = 8192
+REQUEST_TIMEOUT_S = 4.0
+RESPONSE_TIMEOUT_S = 2.0  # for a caller that does not read its response
 BACKLOG = 64
-PLAIN = b"text/plain; version=0.0.4; charset=utf-8"
-PHRASES = {
+CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -30,26 +31,26 @@
     500: b"Internal Server Error",
     503: b"Service Unavailable",
 }
-Handler = Callable[[bytes], tuple[int, str]]  # an id, or nothing; the status and what is said
+Handler = Callable[[bytes], tuple[int, str]]  # gets an endpoint id or b""; returns status and body
 
 
 class Routes:
-    """Finds what answers a call; nothing here knows a socket."""
+    """Maps request paths to handlers. No I/O here."""
 
     def __init__(self) -> None:
         self.exact: dict[bytes, tuple[bytes, Handler]] = {}
         self.prefixed: dict[bytes, tuple[bytes, Handler]] = {}
 
-    def answer(self, head: bytes) -> tuple[int, str]:
-        """The status and the body for a whole head."""
-        words = head.split(b"\r\n", 1)[0].split(b" ")
-        if len(words) != 3 or not words[2].startswith(b"HTTP/1.") or not words[1].startswith(b"/"):
+    def respond(self, head: bytes) -> tuple[int, str]:
+        """The status and body for a complete request head."""
+        fields = head.split(b"\r\n", 1)[0].split(b" ")
+        if len(fields) != 3 or not fields[2].startswith(b"HTTP/1.") or not fields[1].startswith(b"/"):
             return 400, "this is no HTTP/1.1 request\n"
-        path = words[1].partition(b"?")[0]
+        path = fields[1].partition(b"?")[0]
         method, handler, name = self._find(path)
         if handler is None:
             return 404, "no such path\n"
-        if words[0] != method:
+        if fields[0] != method:
             return 405, f"the method is {method.decode()}\n"
         return handler(name)
 
@@ -63,59 +64,59 @@
         return b"", None, b""
 
 
-class Caller(asyncio.Protocol):
-    """One connection of a caller."""
+class OperatorConnection(asyncio.Protocol):
+    """One connection of an operator."""
 
     def __init__(self, front: Front) -> None:
         self.front = front
         self.head = bytearray()
-        self.answered = False
+        self.responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.timer = self.front.loop.call_later(STALL_S, self.transport.abort)
-        self.front.came(self)
+        self.timer = self.front.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
+        self.front.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        if self.responded:
             return
         self.head += data
         end = self.head.find(b"\r\n\r\n")
         if end >= 0:
-            self._say(*self.front.answer(bytes(self.head[:end])))
-        elif len(self.head) > HEAD_LIMIT:
-            self._say(431, "the head is too long\n")
+            self._respond(*self.front.respond(bytes(self.head[:end])))
+        elif len(self.head) > MAX_HEAD_BYTES:
+            self._respond(431, "the head is too long\n")
         elif b"\n" in self.head and b" HTTP/" not in self.head.split(b"\n", 1)[0]:
-            self._say(400, "this is no HTTP/1.1 request\n")
+            self._respond(400, "this is no HTTP/1.1 request\n")
 
-    def _say(self, status: int, text: str) -> None:
-        self.answered = True
+    def _respond(self, status: int, text: str) -> None:
+        self.responded = True
         body = text.encode()
         lines = (
-            b"HTTP/1.1 %d %s" % (status, PHRASES[status]),
-            b"Content-Type: " + PLAIN,
+            b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status]),
+            b"Content-Type: " + CONTENT_TYPE,
             b"Content-Length: %d" % len(body),
             b"Connection: close",
         )
         self.transport.write(b"\r\n".join([*lines, b"", body]))
         self.timer.cancel()
-        self.timer = self.front.loop.call_later(WRITE_S, self.transport.abort)
+        self.timer = self.front.loop.call_later(RESPONSE_TIMEOUT_S, self.transport.abort)
         if self.transport.can_write_eof():
-            self.transport.write_eof()  # and not a close: bytes unread would be a reset to the caller
+            self.transport.write_eof()  # a close with unread bytes would reset the connection
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.timer.cancel()
-        self.front.callers.pop(self, None)
+        self.front.connections.pop(self, None)
 
 
 class Front:
-    """The socket. Bound by the constructor, which raises OSError where the address can't be had."""
+    """The listening socket; the constructor binds it and raises OSError if the address is not available."""
 
     def __init__(self, address: Address, routes: Routes, log: Callable[[str], None]) -> None:
         self.loop = asyncio.get_running_loop()
         self.routes = routes
         self.log = log
-        self.callers: dict[Caller, None] = {}  # the longest here first
+        self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self.server: asyncio.Server | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -127,25 +128,27 @@
             raise
 
     async def open(self) -> None:
-        self.server = await self.loop.create_server(lambda: Caller(self), sock=self.sock, backlog=BACKLOG)
+        self.server = await self.loop.create_server(
+            lambda: OperatorConnection(self), sock=self.sock, backlog=BACKLOG
+        )
 
-    def came(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > PLACES:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
+    def add_connection(self, connection: OperatorConnection) -> None:
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
             oldest.transport.abort()
 
-    def answer(self, head: bytes) -> tuple[int, str]:
+    def respond(self, head: bytes) -> tuple[int, str]:
         try:
-            return self.routes.answer(head)
-        except Exception as fault:  # a fault of one call must not end the program
-            self.log(f"a call of an operator failed: {fault!r}")
+            return self.routes.respond(head)
+        except Exception as problem:  # a faulty handler must not end the program
+            self.log(f"an operator's call failed, it is answered with 500: {problem!r}")
             return 500, "the call failed; see the log\n"
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
         self.sock.close()
-        for caller in list(self.callers):
-            caller.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
--- a/garnethaven/ops/shared.py
+++ b/garnethaven/ops/shared.py
@@ -1,16 +1,16 @@
-"""What two processes of one sidecar share while a new version takes over: files in `$TMPDIR`, nothing else.
+"""State shared by two processes of one sidecar during an upgrade, kept only in files in `$TMPDIR`.
 
-Any call of the file system may fail for a while (a full disk, an I/O error). A change by hand then stands in
-this process and is written again at each look until it is kept; what can't be read is read again. `change`
-has returned without an error only once file and folder are synced, so that neither a kill of the process nor
-a loss of the machine forgets it; a kill before that leaves the last whole file.
+Any file system call may fail for a while (a full disk, an I/O error). A cordon change then applies in this
+process and is written again at each poll until that succeeds; a failed read is repeated. `set_cordoned`
+returns without an error only after file and folder are synced, so that neither a kill of the process nor a
+crash of the machine loses the change; a kill before that leaves the previous complete file.
 
-| file | holds |
+| file | content |
 | --- | --- |
-| `petrelspan-NAME.json` | who is out by hand (cordons.py); replaced as a whole, under the lock |
-| `petrelspan-NAME.new` | the next of these while it is written; replaced too where a kill left it |
-| `petrelspan-NAME.lock` | nothing; locked for a change |
-| `petrelspan-NAME-PID.life` | nothing; locked for as long as that process lives, however it ends |
+| `petrelspan-NAME.json` | the cordoned endpoints (cordons.py); replaced atomically, under the lock |
+| `petrelspan-NAME.new` | the next version of that file while it is written; overwritten if a kill left it |
+| `petrelspan-NAME.lock` | empty; locked during a change |
+| `petrelspan-NAME-PID.life` | empty; locked as long as that process lives, however it ends |
 """
 
 from __future__ import annotations
@@ -22,33 +22,33 @@
 from pathlib import Path
 
 from garnethaven.ops.cordons import MAX_TEXT_BYTES, CordonError, Cordons
-from garnethaven.ops.files import lock_soon, locked_file, replace_file
+from garnethaven.ops.files import lock_with_timeout, open_locked, replace_file
 
-LIFE = ".life"
+LIVENESS_SUFFIX = ".life"
 LOCK_WAIT_SECONDS = (
-    0.05  # for another process's write of some kilobytes; the event loop stands still meanwhile
+    0.05  # covers another process's write of some kilobytes; the event loop is blocked meanwhile
 )
-LOCK_PAUSE_SECONDS = 0.002
+LOCK_RETRY_SECONDS = 0.002
 
 
-def prefix_of(name: str) -> str:
-    """What the names of a sidecar's files begin with."""
-    safe = "".join(sign if sign.isalnum() or sign in "-_." else "_" for sign in name)
+def file_prefix(name: str) -> str:
+    """The common prefix of the names of a sidecar's files; unsafe characters of `name` become `_`."""
+    safe = "".join(character if character.isalnum() or character in "-_." else "_" for character in name)
     return f"petrelspan-{safe}"
 
 
-def files_of_others(folder: Path, prefix: str, ending: str, separator: str = "-") -> Iterator[Path]:
-    """The files `prefix-PIDending` of other processes; none where the folder can't be read."""
-    own = str(os.getpid())
+def files_of_other_processes(folder: Path, prefix: str, suffix: str, separator: str = "-") -> Iterator[Path]:
+    """The files `prefix-PIDsuffix` of other processes; none if the folder can't be read."""
+    own_pid = str(os.getpid())
     with contextlib.suppress(OSError):
         for name in sorted(os.listdir(folder)):
-            middle = name.removeprefix(prefix + separator).removesuffix(ending)
-            if name == f"{prefix}{separator}{middle}{ending}" and middle.isdigit() and middle != own:
+            pid = name.removeprefix(prefix + separator).removesuffix(suffix)
+            if name == f"{prefix}{separator}{pid}{suffix}" and pid.isdigit() and pid != own_pid:
                 yield folder / name
 
 
-def is_held(path: Path) -> bool:
-    """Whether the process that locked this file lives; True also where that can't be told just now."""
+def is_locked(path: Path) -> bool:
+    """Whether the process that locked this file lives; also True if the file can't be checked now."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
@@ -65,52 +65,55 @@
 
 
 class Shared:
-    """Cordons that outlive the process, and who else serves under this name.
+    """Cordons that outlive the process, and a count of the other processes of the same sidecar.
 
-    Without a folder all of it holds in this process alone.
+    Without a folder, cordons apply in this process only and no other process is seen.
     """
 
     def __init__(self, folder: str | None, name: str, log: Callable[[str], None]) -> None:
         self.cordons = Cordons(name)
         self.log = log
         self.folder = Path(folder) if folder else None
-        self.prefix = prefix_of(name)
-        self.life: int | None = None
-        self.last_text: str | None = None  # of the file, as it was read or written last
-        self.changes: dict[str, bool] = {}  # by others, that no caller of this object has been told of yet
-        self.problems: dict[str, str] = {}  # by what fails just now: the last line that was logged of it
+        self.prefix = file_prefix(name)
+        self.liveness_descriptor: int | None = None
+        self.last_text: str | None = None  # content of the cordon file when it was last read or written
+        self.pending_changes: dict[str, bool] = {}  # by other processes; not yet returned to a caller
+        self.logged_problems: dict[str, str] = {}  # the last line logged for each operation that now fails
 
-    # Who else serves
+    # Other processes
 
-    def enter(self) -> None:
-        """Let others of this name know that this process lives; tried again at each look where it fails."""
-        if self.folder is None or self.life is not None:
+    def register(self) -> None:
+        """Create the liveness file of this process; each poll repeats a failed attempt."""
+        if self.folder is None or self.liveness_descriptor is not None:
             return
-        path = self.folder / f"{self.prefix}-{os.getpid()}{LIFE}"
+        path = self.folder / f"{self.prefix}-{os.getpid()}{LIVENESS_SUFFIX}"
         try:
-            self.life = locked_file(path)
+            self.liveness_descriptor = open_locked(path)
         except OSError as problem:
-            self._fails("life", f"other processes can't see this one: {problem}")
+            self._log_failure(
+                "life", f"other processes don't see this one until its file is locked: {problem}"
+            )
             return
-        self._works("life")
+        self._clear_failure("life")
 
-    def leave(self) -> None:
-        if self.folder is not None and self.life is not None:
+    def unregister(self) -> None:
+        """Remove the liveness file of this process."""
+        if self.folder is not None and self.liveness_descriptor is not None:
             with contextlib.suppress(OSError):
-                os.unlink(self.folder / f"{self.prefix}-{os.getpid()}{LIFE}")
-            os.close(self.life)
-            self.life = None
+                os.unlink(self.folder / f"{self.prefix}-{os.getpid()}{LIVENESS_SUFFIX}")
+            os.close(self.liveness_descriptor)
+            self.liveness_descriptor = None
 
-    def others(self) -> int:
-        """How many other processes serve under this name; what dead ones left is taken away."""
+    def count_other_processes(self) -> int:
+        """The number of other live processes of this sidecar; removes the liveness files of dead ones."""
         if self.folder is None:
             return 0
-        self.enter()
-        return sum(map(self._lives, files_of_others(self.folder, self.prefix, LIFE)))
+        self.register()
+        return sum(map(self._is_alive, files_of_other_processes(self.folder, self.prefix, LIVENESS_SUFFIX)))
 
     @staticmethod
-    def _lives(path: Path) -> bool:
-        if is_held(path):
+    def _is_alive(path: Path) -> bool:
+        if is_locked(path):
             return True
         with contextlib.suppress(OSError):
             os.unlink(path)
@@ -118,48 +121,49 @@
 
     # Cordons
 
-    def news(self) -> list[tuple[str, bool]]:
-        """What another process has changed since the last look: ids and whether they are out.
+    def poll_changes(self) -> list[tuple[str, bool]]:
+        """Changes by other processes since the last poll: endpoint ids and whether they are now cordoned.
 
-        Also writes the own changes that could not be written before.
+        Also writes the changes of this process that could not be written before.
         """
         if self.folder is None:
             return []
         try:
             self._save() if self.cordons.unsaved else self._merge()
         except OSError as problem:
-            self._fails("bans", f"{self._path()} can't be used now: {problem}")
+            self._log_failure("bans", f"{self._path()} can't be used, the next poll retries: {problem}")
         else:
-            self._works("bans")
+            self._clear_failure("bans")
         return self._take_changes()
 
-    def change(self, endpoint: str, out: bool) -> list[tuple[str, bool]]:
-        """Take an endpoint out or put it back, for all processes; what else has changed meanwhile.
+    def set_cordoned(self, endpoint: str, cordoned: bool) -> list[tuple[str, bool]]:
+        """Cordon or uncordon an endpoint for all processes; returns other processes' changes since then.
 
-        Raises OSError where it can't be kept yet: it holds in this process all the same, and `news` tries to
-        keep it. Raises CordonError, and changes nothing, where too many are out.
+        Raises OSError if the change can't be saved yet: it applies in this process, and `poll_changes` tries
+        again to save it. Raises CordonError, and changes nothing, if too many endpoints are cordoned.
         """
-        if out:
+        if cordoned:
             self.cordons.cordon(endpoint)
         else:
             self.cordons.uncordon(endpoint)
-        self.changes.pop(endpoint, None)  # an older one of another process
+        self.pending_changes.pop(endpoint, None)  # an older change by another process
         self._save()
         return self._take_changes()
 
     def _take_changes(self) -> list[tuple[str, bool]]:
-        found = list(self.changes.items())
-        self.changes.clear()
-        return found
+        changes = list(self.pending_changes.items())
+        self.pending_changes.clear()
+        return changes
 
     def _path(self) -> Path:
         assert self.folder is not None
         return self.folder / f"{self.prefix}.json"
 
     def _merge(self) -> None:
-        """Note what others have written since the last look; raises OSError where it can't be read.
+        """Merge what other processes have written since the last read; raises OSError if it can't be read.
 
-        By the text itself: inodes are used again and file times follow a clock that may be set back.
+        Changes are detected by comparing the text itself: inodes are reused, and file times follow a clock
+        that may be set back.
         """
         try:
             with open(self._path(), encoding="utf-8", errors="replace") as file:
@@ -170,27 +174,27 @@
             return
         self.last_text = text
         try:
-            self.changes |= self.cordons.read(text)
+            self.pending_changes |= self.cordons.merge(text)
         except CordonError as problem:
-            self.log(f"{self._path()} is left alone: {problem}")
+            self.log(f"{self._path()} is ignored: {problem}")
 
     def _save(self) -> None:
-        """Write the own changes together with those of others; raises OSError."""
+        """Write this process's changes merged with those of others; raises OSError."""
         if self.folder is None:
-            self.cordons.saved()
+            self.cordons.mark_saved()
             return
         with self._locked():
-            self._merge()  # where that fails nothing is written: it would undo what others have changed
+            self._merge()  # if that raises, nothing is written: a write would undo other processes' changes
             self._remove_leftovers()
-            text = self.cordons.text()
+            text = self.cordons.serialize()
             replace_file(self._path(), self.folder / f"{self.prefix}.new", text.encode())
         self.last_text = text
-        self.cordons.saved()
+        self.cordons.mark_saved()
 
     def _remove_leftovers(self) -> None:
-        """Remove what earlier versions left half written; only for the holder of the lock."""
+        """Remove incomplete files that earlier versions left; the caller must hold the lock."""
         assert self.folder is not None
-        for path in files_of_others(self.folder, self.prefix, ".new", separator="."):
+        for path in files_of_other_processes(self.folder, self.prefix, ".new", separator="."):
             with contextlib.suppress(OSError):
                 path.unlink()
 
@@ -200,18 +204,18 @@
         path = self.folder / f"{self.prefix}.lock"
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            lock_soon(descriptor)
+            lock_with_timeout(descriptor)
             yield
         finally:
             os.close(descriptor)
 
-    # The log
+    # Logging
 
-    def _fails(self, what: str, line: str) -> None:
-        """One line for a problem that lasts."""
-        if self.problems.get(what) != line:
-            self.problems[what] = line
+    def _log_failure(self, operation: str, line: str) -> None:
+        """Log a failure once, however often the same one repeats."""
+        if self.logged_problems.get(operation) != line:
+            self.logged_problems[operation] = line
             self.log(line)
 
-    def _works(self, what: str) -> None:
-        self.problems.pop(what, None)
+    def _clear_failure(self, operation: str) -> None:
+        self.logged_problems.pop(operation, None)
--- a/tests/ops/test_account.py
+++ b/tests/ops/test_account.py
@@ -1,4 +1,4 @@
-"""The figures held against what scripted peers counted, through everything that can end a request."""
+"""Request counters agree with the counts of scripted peers, for every way in which a request can end."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from garnethaven.engine.account import End
 from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, until
 
-REFUSAL = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-FAULT = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
-ENDS = (
+REJECTION = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+SERVER_ERROR = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+ANSWERS = (
     ANSWER,
     ANSWER,
     ANSWER,
-    REFUSAL,
-    FAULT,
+    REJECTION,
+    SERVER_ERROR,
     b"\x00noise",
     b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal",
     b"",
 )
 REQUESTS = 240
-AT_ONCE = 24
+CLIENTS = 24
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -32,45 +32,48 @@
     rng = random.Random(seed)
     print(f"seed {seed}")
 
-    async def answers(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def random_answer(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(rng.random() * 0.01)
-        text = rng.choice(ENDS)
-        if not text:
+        answer = rng.choice(ANSWERS)
+        if not answer:
             raise ConnectionError
-        writer.write(text)
+        writer.write(answer)
 
     async def case() -> None:
-        async with running(answers, answers, answers, connections=4 * AT_ONCE) as (sidecar, peers):
-            seen: Counter[int] = Counter()
-            numbers = iter(range(REQUESTS))
+        async with running(random_answer, random_answer, random_answer, connections=4 * CLIENTS) as (
+            sidecar,
+            peers,
+        ):
+            statuses: Counter[int] = Counter()
+            call_numbers = iter(range(REQUESTS))
 
             async def client() -> None:
-                for number in numbers:
-                    keyed = {} if number % 2 else {"Idempotency_Key": ""}
-                    seen[await asks(sidecar, request(X_Call_Id=f"c{number}", **keyed), rng)] += 1
+                for number in call_numbers:
+                    headers = {} if number % 2 else {"Idempotency_Key": ""}
+                    statuses[await ask(sidecar, request(X_Call_Id=f"c{number}", **headers), rng)] += 1
 
-            await asyncio.gather(*(client() for _ in range(AT_ONCE)))
+            await asyncio.gather(*(client() for _ in range(CLIENTS)))
             await until(lambda: not sidecar.engine.calls)
             account = sidecar.engine.account
             assert account.in_flight == 0
             assert account.taken[0] == sum(counts[0] for counts in account.ended.values())
             gone = account.ended[End.GONE][0]
-            assert gone <= seen[0]  # some had their answer before they left
-            spare = seen[0] - gone
-            for end, count in ((End.SERVED, seen[200]), (End.REFUSED, seen[503])):
-                assert count <= account.ended[end][0] <= count + spare
-            failed = seen[502] + seen[504] + seen[409]
-            assert failed <= account.ended[End.FAILED][0] <= failed + spare
+            assert gone <= statuses[0]  # some clients were answered before they disconnected
+            uncertain = statuses[0] - gone
+            for end, count in ((End.SERVED, statuses[200]), (End.REFUSED, statuses[503])):
+                assert count <= account.ended[end][0] <= count + uncertain
+            failed = statuses[502] + statuses[504] + statuses[409]
+            assert failed <= account.ended[End.FAILED][0] <= failed + uncertain
             assert account.attempts >= sum(len(peer.requests) for peer in peers)
             assert account.attempts <= sum(len(peer.requests) for peer in peers) + account.attempts // 20
 
     run(case())
 
 
-async def asks(sidecar: Sidecar, text: bytes, rng: random.Random) -> int:
-    """The status, or 0 for a client that went away."""
+async def ask(sidecar: Sidecar, request_bytes: bytes, rng: random.Random) -> int:
+    """Send a request and return the status, or 0 if this client disconnects before the answer."""
     reader, writer = await sidecar.connect()
-    writer.write(text)
+    writer.write(request_bytes)
     if rng.random() < 0.1:
         await asyncio.sleep(rng.random() * 0.01)
         writer.transport.abort()
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -1,4 +1,4 @@
-"""The operators' address on loopback: calls, noise, callers that stall, and what a call out does to sends."""
+"""The operators' address on loopback: calls, invalid input, stalled callers, and the effect of a cordon."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from garnethaven.addresses import Address
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
-from garnethaven.ops.front import PLACES
+from garnethaven.ops.front import MAX_CONNECTIONS
 from garnethaven.ops.service import Ops
 from garnethaven.ops.shared import Shared
 from tests.loopback import ANSWER, WAIT_S, Sidecar, request, run, running, says, until
 
 
-async def opened(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
+async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
     shared = Shared(str(folder), "t", sidecar.engine.log)
     ops = Ops(
         ("127.0.0.1", 0),
@@ -25,47 +25,47 @@
         shared,
         sidecar.config.names.grades,
         lambda: not sidecar.listener.draining,
-        lambda others: None,
+        lambda other_processes: None,
     )
     ops.prepare()
     await ops.open()
     return ops, ops.front.sock.getsockname()[1]
 
 
-async def call(port: int, text: bytes) -> tuple[int, str]:
+async def call(port: int, request_bytes: bytes) -> tuple[int, str]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(text)
-    answer = await asyncio.wait_for(reader.read(), WAIT_S)  # to its close
+    writer.write(request_bytes)
+    answer = await asyncio.wait_for(reader.read(), WAIT_S)  # until the connection is closed
     writer.close()
     return int(answer.split()[1]), answer.partition(b"\r\n\r\n")[2].decode()
 
 
-def asks(method: str, path: str) -> bytes:
+def operator_request(method: str, path: str) -> bytes:
     return f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode()
 
 
-def out(name: str) -> bytes:
-    return asks("POST", f"/_endpoints/detach/{name}")
+def detach(name: str) -> bytes:
+    return operator_request("POST", f"/_endpoints/detach/{name}")
 
 
-def back(name: str) -> bytes:
-    return asks("POST", f"/_endpoints/attach/{name}")
+def attach(name: str) -> bytes:
+    return operator_request("POST", f"/_endpoints/attach/{name}")
 
 
 @pytest.mark.parametrize(
     ("text", "status"),
     [
-        (asks("GET", "/_ready"), 200),
-        (asks("GET", "/_vars?x=1"), 200),
-        (asks("POST", "/_ready"), 405),
-        (asks("GET", "/_endpoints/detach/s0"), 405),
-        (asks("GET", "/nothing"), 404),
-        (asks("POST", "/_endpoints/detach/"), 404),
-        (out("s9"), 404),
-        (out("%ff%00"), 404),
-        (back("s9"), 404),
-        (back("s0"), 200),
-        (out("%730"), 200),  # s0
+        (operator_request("GET", "/_ready"), 200),
+        (operator_request("GET", "/_vars?x=1"), 200),
+        (operator_request("POST", "/_ready"), 405),
+        (operator_request("GET", "/_endpoints/detach/s0"), 405),
+        (operator_request("GET", "/nothing"), 404),
+        (operator_request("POST", "/_endpoints/detach/"), 404),
+        (detach("s9"), 404),
+        (detach("%ff%00"), 404),
+        (attach("s9"), 404),
+        (attach("s0"), 200),
+        (detach("%730"), 200),  # s0
         (b"\x00noise\r\n", 400),
         (b"GET / HTTP/1.1\r\nX: " + b"x" * 20_000, 431),
     ],
@@ -73,7 +73,7 @@
 def test_a_call_has_its_answer(text: bytes, status: int, tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            ops, port = await opened(sidecar, tmp_path)
+            ops, port = await open_ops(sidecar, tmp_path)
             assert (await call(port, text))[0] == status
             ops.close()
 
@@ -83,9 +83,9 @@
 def test_ready_says_no_while_the_planned_end_runs(tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            ops, port = await opened(sidecar, tmp_path)
+            ops, port = await open_ops(sidecar, tmp_path)
             sidecar.listener.drain()
-            assert (await call(port, asks("GET", "/_ready")))[0] == 503
+            assert (await call(port, operator_request("GET", "/_ready")))[0] == 503
             ops.close()
 
     run(case())
@@ -94,13 +94,14 @@
 def test_callers_that_stall_keep_nobody_out(tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, _):
-            ops, port = await opened(sidecar, tmp_path)
-            stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(PLACES)]
+            ops, port = await open_ops(sidecar, tmp_path)
+            stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CONNECTIONS)]
             for _, writer in stalled:
                 writer.write(b"GET /_ready HT")
             for _ in range(3):
-                assert (await call(port, asks("GET", "/_ready")))[0] == 200
-            assert await asyncio.wait_for(stalled[0][0].read(), WAIT_S) == b""  # it has waited longest
+                assert (await call(port, operator_request("GET", "/_ready")))[0] == 200
+            # The oldest connection is closed.
+            assert await asyncio.wait_for(stalled[0][0].read(), WAIT_S) == b""
             for _, writer in stalled:
                 writer.close()
             ops.close()
@@ -111,16 +112,18 @@
 def test_nothing_goes_to_what_is_out_whatever_the_list_says(tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER), says(ANSWER)) as (sidecar, (first, second)):
-            ops, port = await opened(sidecar, tmp_path)
-            assert (await call(port, out("s0")))[0] == 200
+            ops, port = await open_ops(sidecar, tmp_path)
+            assert (await call(port, detach("s0")))[0] == 200
             members = [first.member("s0"), second.member("s1")]
-            for listed in (members, members[1:], members):  # off the list and back on it
+            for listed in (members, members[1:], members):  # removed from discovery's list and added again
                 sidecar.tell(listed)
                 for number in range(6):
                     assert (await sidecar.ask(request(X_Call_Id=f"{len(listed)}-{number}")))[0] == 200
             assert first.requests == [] and len(second.requests) == 18
-            assert "edge_node_endpoints_excluded 1" in (await call(port, asks("GET", "/_vars")))[1]
-            assert (await call(port, back("s0")))[0] == 200
+            assert (
+                "edge_node_endpoints_excluded 1" in (await call(port, operator_request("GET", "/_vars")))[1]
+            )
+            assert (await call(port, attach("s0")))[0] == 200
             while not first.requests:
                 await sidecar.ask(request(X_Call_Id=f"b{len(second.requests)}"))
             ops.close()
@@ -131,11 +134,11 @@
 def test_with_all_of_them_out_requests_are_refused_at_once(tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
-            ops, port = await opened(sidecar, tmp_path)
-            assert (await call(port, out("s0")))[0] == 200
+            ops, port = await open_ops(sidecar, tmp_path)
+            assert (await call(port, detach("s0")))[0] == 200
             assert (await sidecar.ask(request()))[0] == 503 and peer.requests == []
             ops.close()
-            ops, port = await opened(sidecar, tmp_path)  # as a next version does
+            ops, port = await open_ops(sidecar, tmp_path)  # as the next version does at its start
             assert ops.shared.cordons.cordoned == {"s0"}
             ops.close()
 
@@ -146,13 +149,13 @@
     async def case() -> None:
         refusal = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         async with running(says(ANSWER), says(refusal)) as (sidecar, peers):
-            ops, port = await opened(sidecar, tmp_path)
-            seen = [(await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] for n in range(12)]
-            text = (await call(port, asks("GET", "/_vars")))[1]
-            assert f'edge_node_served{{class="check"}} {seen.count(200)}' in text
-            assert f'edge_node_refused{{class="check"}} {seen.count(503)}' in text
-            assert f"edge_node_attempts {sum(len(peer.requests) for peer in peers)}" in text
-            assert "edge_node_in_flight 0" in text
+            ops, port = await open_ops(sidecar, tmp_path)
+            statuses = [(await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] for n in range(12)]
+            metrics = (await call(port, operator_request("GET", "/_vars")))[1]
+            assert f'edge_node_served{{class="check"}} {statuses.count(200)}' in metrics
+            assert f'edge_node_refused{{class="check"}} {statuses.count(503)}' in metrics
+            assert f"edge_node_attempts {sum(len(peer.requests) for peer in peers)}" in metrics
+            assert "edge_node_in_flight 0" in metrics
             ops.close()
 
     run(case())
@@ -165,21 +168,22 @@
 
     async def case() -> None:
         async with running(says(ANSWER), says(ANSWER)) as (sidecar, (first, second)):
-            ops, port = await opened(sidecar, tmp_path)
+            ops, port = await open_ops(sidecar, tmp_path)
 
-            async def hangs(target: Target, address: Address) -> Connection:
+            async def connect_or_hang(target: Target, address: Address) -> Connection:
                 if address[1] == first.port:
                     await asyncio.Event().wait()
                 return await connect(target, address)
 
-            monkeypatch.setattr(Target, "_connect", hangs)
+            monkeypatch.setattr(Target, "_connect", connect_or_hang)
             sidecar.transport.dial_timeout = WAIT_S
-            text = request(Idempotency_Key="")  # no copy of it may go elsewhere meanwhile
+            request_bytes = request(Idempotency_Key="")  # without a key, the request is not hedged
             tasks = [
-                asyncio.create_task(sidecar.ask(text.replace(b"c1", b"c%d" % n, 1))) for n in range(10, 14)
+                asyncio.create_task(sidecar.ask(request_bytes.replace(b"c1", b"c%d" % n, 1)))
+                for n in range(10, 14)
             ]
             await until(lambda: len(second.requests) == 2)
-            assert (await call(port, out("s0")))[0] == 200
+            assert (await call(port, detach("s0")))[0] == 200
             assert [status for status, _ in await asyncio.gather(*tasks)] == [200] * 4
             assert first.requests == [] and len(second.requests) == 4
             ops.close()
@@ -190,16 +194,16 @@
 def test_one_that_comes_back_at_another_address_stays_out(tmp_path: Path) -> None:
     async def case() -> None:
         async with running(says(ANSWER), says(ANSWER), says(ANSWER)) as (sidecar, (first, second, third)):
-            ops, port = await opened(sidecar, tmp_path)
+            ops, port = await open_ops(sidecar, tmp_path)
             sidecar.tell([first.member("s0"), second.member("s1")])
-            assert (await call(port, out("s0")))[0] == 200
+            assert (await call(port, detach("s0")))[0] == 200
             sidecar.tell([second.member("s1")])
-            assert (await call(port, out("s0")))[0] == 200  # it is on no list, and out already
+            assert (await call(port, detach("s0")))[0] == 200  # not listed, but already cordoned
             sidecar.tell([third.member("s0"), second.member("s1")])
             for number in range(6):
                 assert (await sidecar.ask(request(X_Call_Id=f"c{number}")))[0] == 200
             assert first.requests == third.requests == []
-            assert (await call(port, back("s0")))[0] == 200
+            assert (await call(port, attach("s0")))[0] == 200
             while not third.requests:
                 await sidecar.ask(request(X_Call_Id=f"b{len(second.requests)}"))
             ops.close()
