--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -413,7 +413,8 @@
         baseline = play(load, MostRecentlyUsed(15.0), seed)
         current = play(load, ReusePolicy(15.0), seed)
         print(
-            f"seed {seed}: opened {baseline.opened} {current.opened}, open {baseline.mean_open} {current.mean_open}"
+            f"seed {seed}: opened {baseline.opened} {current.opened},"
+            f" open {baseline.mean_open} {current.mean_open}"
         )
         assert current.opened <= baseline.opened * 1.05
         assert current.mean_open <= baseline.mean_open * 1.05
