--- a/garnethaven/state/__init__.py
+++ b/garnethaven/state/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives a process: kept every few seconds, taken back as far as it is still worth.
+"""State that outlives a process: saved every few seconds and restored at a start as far as it is still valid.
 
-Imported only where the operator's file switches it on.
+Imported only if the operator's file enables it.
 """
--- a/garnethaven/state/ageing.py
+++ b/garnethaven/state/ageing.py
@@ -1,27 +1,27 @@
-"""What a figure that was kept is still worth after a time away. No I/O, no clock; times are nanoseconds.
+"""How far saved statistics are still valid after a downtime. No I/O, no clock; times are nanoseconds.
 
-Theory. A figure is evidence, and evidence ages by the memory of what it tells of, whether its process lived
-meanwhile or not. So each figure is worth after t away what it would be worth after t without news:
+Theory. Statistics age with the memory of what they describe, whether or not a process ran meanwhile. After a
+downtime t, each one therefore counts as much as it would after t without new observations:
 
-| figure | its memory | after t away |
+| statistic | memory | after a downtime t |
 | --- | --- | --- |
-| errors of a server | health's half-life h (the settings' ramp) | errors * 0.5^(t/h), as in the module |
-| a server's own pace | what takes part of a machine: `OWN_S` | answers that count * 0.5^(t/`OWN_S`) |
-| a kind's pace, a class's usual time | those of a release: `RELEASE_S` | whole, then nothing |
-| the time between two requests | 16 of them | whole: a burst at the start would tell of a denser one |
-| the budgets of copies and retries | none: they grow by requests, not by time | as they were, never more |
-| the refused share | under a second | nothing: the window of a beginner stands for it |
-| the list | it tells what was; discovery tells what is | a hint where to dial, until a list is confirmed |
-| an idle limit | grows back by half in `RECOVER_S` of idle_limits.py | learned * 1.5^(t/`RECOVER_S`) |
-| where a keyed request ran | its window | the rack, until the window has ended; see keyed.py |
-
-How long it was away. Within one life of the machine the clock that counts from its boot, sleep included,
-tells it, whatever the wall clock was set to. Over a boot there is only the wall clock, and it may have been
-set: the time away is what it tells, but where it runs backwards nothing is known, and all that ages is
-dropped.
-
-Nothing here may make a server look better than it was when it was kept: errors decay as in life, a server
-that has started anew is a new one and takes nothing over, and a budget is what it was.
+| errors of a server | health's half-life h (the settings' ramp) | errors * 0.5^(t/h), as in the balancer |
+| a server's own latency ratio | a machine's load: `SERVER_HALF_LIFE_S` | samples * 0.5^(t/that) |
+| a kind's latency ratio, a class's usual latency | a release: `RELEASE_S` | unchanged, then dropped |
+| the interval between two requests | 16 requests | unchanged: a burst at the start would shorten it |
+| the budgets of hedges and retries | none: they grow with requests, not with time | unchanged, never more |
+| the refused share | under a second | dropped: the window of a new process replaces it |
+| the endpoint list | past membership; discovery has the present one | a hint where to dial, until confirmed |
+| an idle limit | grows by half in `RECOVER_S` of idle_limits.py | learned * 1.5^(t/`RECOVER_S`) |
+| where a keyed request ran | its dedup window | the rack, until the window has ended; see keyed.py |
+
+The downtime. Within one boot of the machine it is the difference of the clock that counts from the boot,
+sleep included, whatever the wall clock was set to. Across a boot there is only the wall clock, which may have
+been set: its difference is the downtime, but if it is negative the downtime is unknown and all statistics
+that age are dropped.
+
+Restoring never makes a server look better than when its statistics were saved: errors decay as in a running
+process, a restarted server is a new one and inherits nothing, and a budget stays as it was.
 """
 
 from __future__ import annotations
@@ -33,76 +33,82 @@
 from garnethaven.interface import Learned, Recalled
 
 S = 1_000_000_000
-OWN_S = 60.0  # half-life of how far a server's own pace is trusted
-RELEASE_S = 600.0  # after which a kind's pace and the usual times may be another release's
-OWN_LEAST = 0.5  # answers; a pace from fewer than this says nothing
-ERRORS_LEAST = 0.05  # fewer are none
-LIST_MOST_S = 86_400.0  # a list from before that no server of today need be on
+SERVER_HALF_LIFE_S = 60.0  # half-life of the confidence in a server's own latency ratio
+RELEASE_S = 600.0  # after this, a kind's latency ratio and the usual latencies may be another release's
+MIN_LATENCY_SAMPLES = 0.5  # a latency ratio of fewer answers says nothing
+MIN_ERRORS = 0.05  # fewer count as none
+MAX_LIST_AGE_S = 86_400.0  # an older list may have no server in common with the present one
 
 
-class Moment(msgspec.Struct, frozen=True):
-    """When something was kept: by the machine's life, its clock since the boot, and the wall clock."""
+class Timestamp(msgspec.Struct, frozen=True):
+    """A point in time: the machine's boot id, the clock since that boot, and the wall clock."""
 
     boot: str
     boottime: int
     wall: int
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one server. `started_ms` is as discovery tells it: 0 for long ago."""
+class StoredServer(msgspec.Struct, frozen=True, array_like=True):
+    """Statistics of one server. `started_ms` is its start as discovery reports it; 0: long ago."""
 
     endpoint: str
     started_ms: int
-    errors: float  # decayed to the moment of keeping
-    pace: float
-    paces: float
+    errors: float  # decayed to the time of saving
+    pace: float  # latency ratio relative to the server's kind
+    paces: float  # number of answers behind `pace`, decayed
 
 
-class Figures(msgspec.Struct, frozen=True):
-    """The module's figures."""
+class Statistics(msgspec.Struct, frozen=True):
+    """The balancer's statistics."""
 
-    servers: list[Kept]
-    kinds: dict[int, float]  # pace by kind
-    usual: dict[int, float]  # time of a good answer by class, in nanoseconds
-    copies: float
-    retries: float
-    gap: float = 0.0  # between two requests, in nanoseconds
+    servers: list[StoredServer]
+    kinds: dict[int, float]  # latency ratio by kind
+    usual: dict[int, float]  # latency of a good answer by class, in nanoseconds
+    copies: float  # budget of hedges
+    retries: float  # budget of retries
+    gap: float = 0.0  # interval between two requests, in nanoseconds
 
 
-def away(then: Moment, now: Moment) -> int | None:
-    """How long it was between; None where that can't be told."""
+def elapsed(then: Timestamp, now: Timestamp) -> int | None:
+    """The time from `then` to `now`; None if it is unknown."""
     same_boot = then.boot == now.boot
-    passed = now.boottime - then.boottime if same_boot else now.wall - then.wall
-    return passed if passed >= 0 else None
+    elapsed_ns = now.boottime - then.boottime if same_boot else now.wall - then.wall
+    return elapsed_ns if elapsed_ns >= 0 else None
 
 
-def recalled(figures: Figures, passed: int, half_life: int, number: dict[str, tuple[int, int]]) -> Recalled:
-    """What of the figures still counts; `number` gives the module's number and start of each listed server.
+def restore(
+    statistics: Statistics, elapsed_ns: int, half_life: int, listed: dict[str, tuple[int, int]]
+) -> Recalled:
+    """The statistics that are still valid after `elapsed_ns`.
 
-    `number` holds the starts in discovery's milliseconds: figures of another life of a server are dropped.
+    `listed` has the number and the start, in discovery's milliseconds, of each listed server by endpoint id;
+    the statistics of a server with another start are dropped.
     """
-    young = passed < RELEASE_S * S
+    recent = elapsed_ns < RELEASE_S * S
     return Recalled(
-        servers=tuple(_servers(figures.servers, passed, half_life, number)),
-        kinds=dict(figures.kinds) if young else {},
-        usual=dict(figures.usual) if young else {},
-        copies=max(0.0, figures.copies),
-        retries=max(0.0, figures.retries),
-        gap=max(0.0, figures.gap),
+        servers=tuple(_restore_servers(statistics.servers, elapsed_ns, half_life, listed)),
+        kinds=dict(statistics.kinds) if recent else {},
+        usual=dict(statistics.usual) if recent else {},
+        copies=max(0.0, statistics.copies),
+        retries=max(0.0, statistics.retries),
+        gap=max(0.0, statistics.gap),
     )
 
 
-def _servers(
-    kept: Iterable[Kept], passed: int, half_life: int, number: dict[str, tuple[int, int]]
+def _restore_servers(
+    stored_servers: Iterable[StoredServer],
+    elapsed_ns: int,
+    half_life: int,
+    listed: dict[str, tuple[int, int]],
 ) -> Iterable[Learned]:
-    trust = 0.5 ** (passed / S / OWN_S)
-    decay = 0.5 ** (passed / half_life)
-    for one in kept:
-        known = number.get(one.endpoint)
-        if known is None or known[1] != one.started_ms:
+    latency_decay = 0.5 ** (elapsed_ns / S / SERVER_HALF_LIFE_S)
+    error_decay = 0.5 ** (elapsed_ns / half_life)
+    for stored in stored_servers:
+        server = listed.get(stored.endpoint)
+        if server is None or server[1] != stored.started_ms:
             continue
-        errors, paces = one.errors * decay, one.paces * trust
-        errors = errors if errors >= ERRORS_LEAST else 0.0
-        paces = paces if paces >= OWN_LEAST else 0.0
-        if errors or paces:
-            yield Learned(known[0], errors, one.pace if paces else 0.0, paces)
+        errors, samples = stored.errors * error_decay, stored.paces * latency_decay
+        errors = errors if errors >= MIN_ERRORS else 0.0
+        samples = samples if samples >= MIN_LATENCY_SAMPLES else 0.0
+        if errors or samples:
+            yield Learned(server[0], errors, stored.pace if samples else 0.0, samples)
--- a/garnethaven/state/files.py
+++ b/garnethaven/state/files.py
@@ -1,9 +1,9 @@
-"""The files of one program's state; nothing is decided here.
+"""The state files of one program; reads, writes and locks only.
 
-| file | holds |
+| file | content |
 | --- | --- |
-| `petrelspan-NAME.state` | the last snapshot (sealed.py); written aside and renamed |
-| `petrelspan-NAME-PID.keyed` | that process's table of keyed requests (keyed.py), mapped |
+| `petrelspan-NAME.state` | the last snapshot (sealed.py); replaced atomically by a rename |
+| `petrelspan-NAME-PID.keyed` | that process's table of keyed requests (keyed.py), memory-mapped |
 """
 
 from __future__ import annotations
@@ -16,21 +16,20 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from garnethaven.ops.shared import files_of_others, is_held, prefix_of
-from garnethaven.state.ageing import Moment
+from garnethaven.ops.shared import file_prefix, files_of_other_processes, is_locked
+from garnethaven.state.ageing import Timestamp
 
-TABLE_MOST = 64 * 1024 * 1024  # bytes of a table that is read; the settings allow far less
-KEYED = ".keyed"
-BOOT_ID = "/proc/sys/kernel/random/boot_id"
+MAX_TABLE_BYTES = 64 * 1024 * 1024  # read at most; the settings allow far smaller tables
+TABLE_SUFFIX = ".keyed"
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
-def moment() -> Moment:
-    """Now."""
+def current_timestamp() -> Timestamp:
     try:
-        boot = Path(BOOT_ID).read_text(encoding="ascii").strip()
+        boot_id = Path(BOOT_ID_PATH).read_text(encoding="ascii").strip()
     except (OSError, ValueError):
-        boot = ""  # the wall clock tells then
-    return Moment(boot, boottime(), time.time_ns())
+        boot_id = ""  # differs from every real boot id, so that the wall clock is used
+    return Timestamp(boot_id, boottime(), time.time_ns())
 
 
 def boottime() -> int:
@@ -38,38 +37,38 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Files:
-    """One program's files in a folder, which must be there; calls raise OSError where they fail."""
+class StateFiles:
+    """The state files of one program in an existing folder; methods raise OSError if a call fails."""
 
     def __init__(self, folder: str, name: str) -> None:
         self.folder = Path(folder)
-        self.prefix = prefix_of(name)
+        self.prefix = file_prefix(name)
         self.path = self.folder / f"{self.prefix}.state"
-        self.lock: int | None = None  # the own table's descriptor
+        self.table_descriptor: int | None = None  # holds the lock of this process's table
 
-    def read(self, most: int) -> bytes | None:
-        """The last snapshot; None where there is none. OSError also where it is longer than `most` bytes."""
+    def read(self, max_bytes: int) -> bytes | None:
+        """The last snapshot, or None if there is none; raises OSError also if it exceeds `max_bytes`."""
         try:
             with self.path.open("rb") as file:
-                if os.fstat(file.fileno()).st_size > most:
-                    raise OSError(f"it is longer than {most} bytes")
-                return file.read(most)
+                if os.fstat(file.fileno()).st_size > max_bytes:
+                    raise OSError(f"it is longer than {max_bytes} bytes")
+                return file.read(max_bytes)
         except FileNotFoundError:
             return None
 
     def write(self, data: bytes) -> None:
-        aside = self.folder / f"{self.prefix}-{os.getpid()}.new"
+        temporary = self.folder / f"{self.prefix}-{os.getpid()}.new"
         try:
-            aside.write_bytes(data)
-            os.replace(aside, self.path)
+            temporary.write_bytes(data)
+            os.replace(temporary, self.path)
         except OSError:
             with contextlib.suppress(OSError):
-                aside.unlink()
+                temporary.unlink()
             raise
 
-    def own_table(self, size: int) -> memoryview:
-        """A new mapped file for this process; its room is taken now, for a disk may fill up later."""
-        path = self.folder / f"{self.prefix}-{os.getpid()}{KEYED}"
+    def create_table(self, size: int) -> memoryview:
+        """A new mapped file of this process; its space is reserved now, for the disk may fill up later."""
+        path = self.folder / f"{self.prefix}-{os.getpid()}{TABLE_SUFFIX}"
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)  # until this process ends, however it does
@@ -80,23 +79,23 @@
             with contextlib.suppress(OSError):
                 path.unlink()
             raise
-        self.lock = descriptor
+        self.table_descriptor = descriptor
         return mapped
 
     def other_tables(self) -> Iterator[tuple[Path, memoryview, bool]]:
-        """The tables of other processes of this name, and whether each process lives."""
-        for path in files_of_others(self.folder, self.prefix, KEYED):
-            lives = is_held(path)
+        """The tables of other processes of this program, and whether each process is alive."""
+        for path in files_of_other_processes(self.folder, self.prefix, TABLE_SUFFIX):
+            is_alive = is_locked(path)
             with contextlib.suppress(OSError, ValueError), path.open("rb") as file:
-                size = min(os.fstat(file.fileno()).st_size, TABLE_MOST)
-                yield path, memoryview(mmap.mmap(file.fileno(), size, access=mmap.ACCESS_READ)), lives
+                size = min(os.fstat(file.fileno()).st_size, MAX_TABLE_BYTES)
+                yield path, memoryview(mmap.mmap(file.fileno(), size, access=mmap.ACCESS_READ)), is_alive
 
-    def drop(self, path: Path) -> None:
+    def remove(self, path: Path) -> None:
         with contextlib.suppress(OSError):
             path.unlink()
 
-    def let_go(self) -> None:
-        """Let others know that this process has ended; its table stays for the next one."""
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+    def unlock(self) -> None:
+        """Show other processes that this one has ended; its table stays for the next process."""
+        if self.table_descriptor is not None:
+            os.close(self.table_descriptor)
+            self.table_descriptor = None
--- a/garnethaven/state/remembering.py
+++ b/garnethaven/state/remembering.py
@@ -1,7 +1,7 @@
-"""Keyed sends at work: the engine's hook over this process's table and what earlier processes left.
+"""The engine's hook for keyed requests, over this process's table and those of earlier processes.
 
-An earlier process's open records are taken over into the own table at the start. Where that process still
-lives, as in an upgrade, its table is read where it stands, for it goes on writing there.
+At the start, the unexpired records of a dead process are copied into this process's table. The table of a
+process that is still alive, as during an upgrade, is read in place, for that process goes on writing to it.
 """
 
 from __future__ import annotations
@@ -11,73 +11,82 @@
 from garnethaven.brain import Balancer
 from garnethaven.engine.calls import Call
 from garnethaven.interface import Effect, Prior, Settings
-from garnethaven.state.files import Files, boottime
-from garnethaven.state.keyed import Keyed, KeyedError, mark_of, size_of
+from garnethaven.state.files import StateFiles, boottime
+from garnethaven.state.keyed import KeyedError, KeyedTable, hash_key, table_size
 
 
-def spans_of(settings: Settings) -> tuple[int, ...]:
-    """By class, how long after its first send a key may matter: its window, and as long as a client waits."""
+def retention_by_class(settings: Settings) -> tuple[int, ...]:
+    """By class, how long a key's first attempt matters: dedup window plus deadline; 0 if not keyed."""
     return tuple(
-        grade.window + grade.deadline if grade.effect is Effect.DEDUP else 0 for grade in settings.grades
+        request_class.window + request_class.deadline if request_class.effect is Effect.DEDUP else 0
+        for request_class in settings.grades
     )
 
 
 class KeyedSends:
-    """The engine's `KeyedSends`; the tables of others are only read."""
+    """Implements the engine's `KeyedSends`; writes only to this process's table."""
 
-    def __init__(self, own: Keyed, others: list[Keyed], balancer: Balancer) -> None:
-        self.own = own
-        self.others = others
+    def __init__(self, own_table: KeyedTable, other_tables: list[KeyedTable], balancer: Balancer) -> None:
+        self.own_table = own_table
+        self.other_tables = other_tables
         self.balancer = balancer
-        self.found = 0  # requests that an earlier send was known of
+        self.found = 0  # requests with an earlier attempt in a table
 
     def prior(self, call: Call) -> Prior | None:
-        if not self.own.spans[call.grade]:
+        if not self.own_table.retention[call.grade]:
             return None
         now = boottime()
-        mark = mark_of(call.dedup_key, call.grade)
-        for table in (self.own, *self.others):
-            ran = table.find(mark, now)
-            if ran is not None:
+        key_hash = hash_key(call.dedup_key, call.grade)
+        for table in (self.own_table, *self.other_tables):
+            record = table.find(key_hash, now)
+            if record is not None:
                 self.found += 1
-                return Prior(-1, ran.zone, ran.cell, now - ran.sent)
+                return Prior(-1, record.zone, record.cell, now - record.first_sent)
         return None
 
     def sends(self, call: Call, endpoint: int) -> None:
         server = self.balancer.servers.get(endpoint)
-        if server is not None and self.own.spans[call.grade]:
-            mark = mark_of(call.dedup_key, call.grade)
-            self.own.send(mark, call.grade, server.zone, server.cell, boottime())
+        if server is not None and self.own_table.retention[call.grade]:
+            key_hash = hash_key(call.dedup_key, call.grade)
+            self.own_table.record_attempt(key_hash, call.grade, server.zone, server.cell, boottime())
 
     def never_ran(self, call: Call) -> None:
-        if self.own.spans[call.grade]:
-            self.own.never_ran(mark_of(call.dedup_key, call.grade))
+        if self.own_table.retention[call.grade]:
+            self.own_table.undo_attempt(hash_key(call.dedup_key, call.grade))
 
 
-def opened(
-    files: Files, name: str, boot: str, most: int, balancer: Balancer, log: Callable[[str], None]
+def open_tables(
+    files: StateFiles,
+    name: str,
+    boot_id: str,
+    max_records: int,
+    balancer: Balancer,
+    log: Callable[[str], None],
 ) -> tuple[KeyedSends, int]:
-    """This process's table, and how many records it took over. Raises OSError where it can't be made."""
-    spans = spans_of(balancer.settings)
-    size = size_of(most)
-    own = Keyed(files.own_table(size), name, boot, spans)
-    own.begin()
-    others: list[Keyed] = []
-    taken = 0
+    """Create this process's table and import the records of dead processes; also returns their number.
+
+    Raises OSError if the table can't be created.
+    """
+    retention = retention_by_class(balancer.settings)
+    size = table_size(max_records)
+    own_table = KeyedTable(files.create_table(size), name, boot_id, retention)
+    own_table.initialize()
+    other_tables: list[KeyedTable] = []
+    imported = 0
     now = boottime()
-    for path, held, lives in files.other_tables():
+    for path, data, is_alive in files.other_tables():
         try:
-            table = Keyed(held, name, boot, spans)
-            table.check()
+            table = KeyedTable(data, name, boot_id, retention)
+            table.verify()
         except KeyedError as problem:
             log(f"state: {path.name} is not used: {problem}")
-            files.drop(path)
+            files.remove(path)
             continue
-        if lives:
-            others.append(table)
+        if is_alive:
+            other_tables.append(table)
             continue
-        for mark, ran in table.records(now):
-            own.put(mark, ran)
-            taken += 1
-        files.drop(path)
-    return KeyedSends(own, others, balancer), taken
+        for key_hash, record in table.open_records(now):
+            own_table.insert(key_hash, record)
+            imported += 1
+        files.remove(path)
+    return KeyedSends(own_table, other_tables, balancer), imported
--- a/garnethaven/state/sealed.py
+++ b/garnethaven/state/sealed.py
@@ -1,13 +1,13 @@
-"""The form in which parts outlive a process: named, versioned, checked, bounded. No I/O here.
+"""The file format of a snapshot: named parts with a version, checksums and size limits. No I/O here.
 
-    8 bytes   mark of the form
+    8 bytes   magic
     4         length of the header
     ...       header, JSON: version, name, moment, and for each part its name, length and checksum
     16        checksum of all before it
     ...       the parts, one after the other, JSON each
 
-Each part has a checksum of its own: what is broken in one costs that one. A header that can't be trusted
-costs all of them, for it tells whose they are and how old.
+Each part has a checksum of its own, so that corruption in one part loses only that part. A corrupt header
+loses all of them, for it holds the name of the program and the time of saving.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 import msgspec
 
-from garnethaven.state.ageing import Moment
+from garnethaven.state.ageing import Timestamp
 
-MARK = b"pspan-st"
+MAGIC = b"pspan-st"
 VERSION = 1
-LENGTH = struct.Struct(">I")
-DIGEST = 16
-HEADER_MOST = 64 * 1024  # bytes; a longer header was not written here
+HEADER_LENGTH = struct.Struct(">I")
+DIGEST_BYTES = 16
+MAX_HEADER_BYTES = 64 * 1024  # this program writes no longer header
 
 
-class SealError(Exception):
-    """These bytes are nothing that this program may use; the text says why."""
+class SnapshotError(Exception):
+    """The bytes are no snapshot that this program can use; the text says why."""
 
 
-class Sealed(msgspec.Struct, frozen=True):
-    """One part's place among the bytes."""
+class PartEntry(msgspec.Struct, frozen=True):
+    """The header's entry for one part."""
 
     name: str
     length: int
@@ -41,58 +41,58 @@
 
 class Header(msgspec.Struct, frozen=True):
     version: int
-    name: str  # the program's: another's figures say nothing of this one
-    moment: Moment
-    parts: list[Sealed]
+    name: str  # of the program; another program's snapshot is rejected
+    moment: Timestamp
+    parts: list[PartEntry]
 
 
-def seal(name: str, moment: Moment, parts: Mapping[str, bytes]) -> bytes:
-    """The bytes that keep these parts."""
-    told = [Sealed(part, len(content), digest(content).hex()) for part, content in parts.items()]
-    header = msgspec.json.encode(Header(VERSION, name, moment, told))
-    head = MARK + LENGTH.pack(len(header)) + header
+def encode_snapshot(name: str, timestamp: Timestamp, parts: Mapping[str, bytes]) -> bytes:
+    """The file content for these parts."""
+    entries = [PartEntry(part, len(content), digest(content).hex()) for part, content in parts.items()]
+    header = msgspec.json.encode(Header(VERSION, name, timestamp, entries))
+    head = MAGIC + HEADER_LENGTH.pack(len(header)) + header
     return head + digest(head) + b"".join(parts.values())
 
 
-def unseal(data: bytes, name: str) -> tuple[Moment, dict[str, bytes], list[str]]:
-    """When these were kept, the parts that are whole, and the names of those that are not.
+def decode_snapshot(data: bytes, name: str) -> tuple[Timestamp, dict[str, bytes], list[str]]:
+    """The time of saving, the intact parts by name, and the names of the corrupt parts.
 
-    Raises SealError where nothing of it may be used.
+    Raises SnapshotError if no part can be used.
     """
-    start = len(MARK) + LENGTH.size
-    if data[: len(MARK)] != MARK or len(data) < start:
-        raise SealError("it is of another form")
-    (length,) = LENGTH.unpack_from(data, len(MARK))
+    start = len(MAGIC) + HEADER_LENGTH.size
+    if data[: len(MAGIC)] != MAGIC or len(data) < start:
+        raise SnapshotError("it has an unknown format")
+    (length,) = HEADER_LENGTH.unpack_from(data, len(MAGIC))
     end = start + length
-    if length > HEADER_MOST or len(data) < end + DIGEST:
-        raise SealError("it is cut")
-    if digest(data[:end]) != data[end : end + DIGEST]:
-        raise SealError("its checksum is wrong")
-    header = _header(data[start:end])
+    if length > MAX_HEADER_BYTES or len(data) < end + DIGEST_BYTES:
+        raise SnapshotError("it is truncated or its header is too long")
+    if digest(data[:end]) != data[end : end + DIGEST_BYTES]:
+        raise SnapshotError("the checksum of its header is wrong")
+    header = _decode_header(data[start:end])
     if header.name != name:
-        raise SealError(f"it is of {header.name!r}")
+        raise SnapshotError(f"it belongs to the program {header.name!r}")
     parts: dict[str, bytes] = {}
-    broken: list[str] = []
-    at = end + DIGEST
+    corrupt: list[str] = []
+    offset = end + DIGEST_BYTES
     for part in header.parts:
-        content = data[at : at + part.length]
-        at += part.length
+        content = data[offset : offset + part.length]
+        offset += part.length
         if len(content) == part.length and digest(content).hex() == part.digest:
             parts[part.name] = content
         else:
-            broken.append(part.name)
-    return header.moment, parts, broken
+            corrupt.append(part.name)
+    return header.moment, parts, corrupt
 
 
-def _header(told: bytes) -> Header:
+def _decode_header(encoded: bytes) -> Header:
     try:
-        version = msgspec.json.decode(told, type=dict).get("version")
+        version = msgspec.json.decode(encoded, type=dict).get("version")
         if version != VERSION:
-            raise SealError(f"it is of version {version!r}, {VERSION} is read here")
-        return msgspec.json.decode(told, type=Header)
+            raise SnapshotError(f"it is of version {version!r}, only {VERSION} can be read")
+        return msgspec.json.decode(encoded, type=Header)
     except (msgspec.MsgspecError, RecursionError) as problem:
-        raise SealError(f"its header cannot be read: {problem}") from None
+        raise SnapshotError(f"its header cannot be read: {problem}") from None
 
 
 def digest(data: bytes) -> bytes:
-    return blake2b(data, digest_size=DIGEST).digest()
+    return blake2b(data, digest_size=DIGEST_BYTES).digest()
--- a/garnethaven/state/snapshot.py
+++ b/garnethaven/state/snapshot.py
@@ -1,6 +1,7 @@
-"""What a snapshot holds of the module and of the list, read off them; nothing is decided and no file touched.
+"""The content of a snapshot, read from the balancer and the endpoint list; no decisions, no I/O.
 
-The list is in discovery's own form, so that one reader serves both; a server's start is in its milliseconds.
+The list has the form that discovery uses, so that one reader serves both; a server's start is in discovery's
+milliseconds.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from garnethaven.membership.list_reader import STATES, name_of
 from garnethaven.records import Server
 from garnethaven.settings import Names
-from garnethaven.state.ageing import Figures, Kept
+from garnethaven.state.ageing import Statistics, StoredServer
 
-PHASES = {state: phase for phase, state in STATES.items()}
+PHASE_BY_STATE = {state: phase for phase, state in STATES.items()}
 
 
 class Target(Protocol):
     address: Address | None
 
 
-class KeptList(msgspec.Struct, frozen=True):
-    """The list as discovery would tell it, and how old it was when it was kept; 0 also where never told."""
+class StoredList(msgspec.Struct, frozen=True):
+    """The endpoint list in discovery's form, with its age when saved; 0 also if it was never received."""
 
     revision: int
     age_s: float
@@ -35,29 +36,32 @@
 
 
 def started_ms(started: int, clock_offset: int) -> int:
+    """A server's start in discovery's milliseconds, from nanoseconds; 0 stands for long ago."""
     return (started + clock_offset) // MS if started else 0
 
 
-def kept_of(balancer: Balancer, servers: Iterable[Server], clock_offset: int) -> Iterator[Kept]:
-    """What the module knows of these, as of its last event."""
+def stored_servers(
+    balancer: Balancer, servers: Iterable[Server], clock_offset: int
+) -> Iterator[StoredServer]:
+    """The balancer's statistics of these servers, as of its last event."""
     for server in servers:
         errors = balancer.errors_of(server)
         if errors or server.paces:
             start = started_ms(server.started, clock_offset)
-            yield Kept(name_of(server.id), start, errors, server.pace, server.paces)
+            yield StoredServer(name_of(server.id), start, errors, server.pace, server.paces)
 
 
-def figures_of(balancer: Balancer, kept: list[Kept]) -> Figures:
-    """All of the module's figures, with those of its servers."""
+def collect_statistics(balancer: Balancer, servers: list[StoredServer]) -> Statistics:
+    """All statistics of the balancer, with those of `servers`."""
     overload = balancer.overload
-    paces, usual = dict(balancer.pace), dict(balancer.usual)
-    return Figures(kept, paces, usual, balancer.copies, overload.retries, overload.gap)
+    latency_ratios, usual = dict(balancer.pace), dict(balancer.usual)
+    return Statistics(servers, latency_ratios, usual, balancer.copies, overload.retries, overload.gap)
 
 
-def members_of(
+def list_members(
     servers: Iterable[Server], targets: dict[int, Any], names: Names, clock_offset: int
 ) -> Iterator[dict[str, Any]]:
-    """Their lines of the list; servers without an address are left out, for nobody could dial them."""
+    """The list entries of these servers; leaves out servers without an address, which can't be dialled."""
     for server in servers:
         target: Target | None = targets.get(server.id)
         if target is None or target.address is None or server.state is State.REMOVED:
@@ -68,7 +72,7 @@
             "locality": names.zones[server.zone] if server.zone < len(names.zones) else "",
             "flavor": names.kinds[server.kind] if server.kind < len(names.kinds) else "",
             "cell": server.cell,
-            "phase": PHASES[server.state],
+            "phase": PHASE_BY_STATE[server.state],
             "size": server.units,
             "up_since_ms": started_ms(server.started, clock_offset),
         }
--- a/garnethaven/state/table.py
+++ b/garnethaven/state/table.py
@@ -1,4 +1,4 @@
-"""The operator's table `[state]`."""
+"""The table `[state]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class State(Table, frozen=True):
-    """What is kept over restarts, and where."""
+    """Which state is kept across restarts, and where."""
 
     keep: Annotated[bool, said("whether anything is kept", waits=True)] = False
     folder: Annotated[
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, killed and started again over its folder: what it takes back, what spoilt files cost."""
+"""The real program, killed and restarted with its state folder, with intact, corrupt or missing files."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from standins.platform import Program, settings
 from standins.wire import read_message, request
 
-STATE = "[state]\nkeep = true\nevery_s = 0.2\n"
+STATE_TABLE = "[state]\nkeep = true\nevery_s = 0.2\n"
 
 
-def stage_of(folder: Path, seed: int, text: str = STATE) -> tuple[Stage, dict[str, str]]:
-    file = folder / "operator.toml"
-    file.write_text(text)
-    return Stage(seed, 6, 256), {"NODE_OPERATOR": str(file)}
+def make_stage(folder: Path, seed: int, operator_file: str = STATE_TABLE) -> tuple[Stage, dict[str, str]]:
+    path = folder / "operator.toml"
+    path.write_text(operator_file)
+    return Stage(seed, 6, 256), {"NODE_OPERATOR": str(path)}
 
 
-async def kept(program: Program) -> Path:
-    """Wait for a snapshot that holds what was learned."""
+async def wait_for_snapshot(program: Program) -> Path:
+    """Wait for a snapshot that holds statistics of servers."""
     path = program.state / "petrelspan-n0.state"
     for _ in range(200):
         if path.exists() and b'"servers":[[' in path.read_bytes():
             return path
         await asyncio.sleep(0.05)
-    raise AssertionError("nothing was kept")
+    raise AssertionError("no snapshot with statistics was written")
 
 
-async def restarted(stage: Stage, spoil: str, folder: Path) -> str:
-    """Serve, kill, spoil, serve again: the log of the second life."""
+async def restart_with(stage: Stage, spoil: str, folder: Path) -> str:
+    """Serve, kill, corrupt the snapshot, serve again; returns the log of the second process."""
     program = stage.program
     assert program is not None
     application = stage.application("a", Habits(rate=60.0))
     await application.run(0.6)
-    path = await kept(program)
+    path = await wait_for_snapshot(program)
     stage.give_up_open()
     await application.settle()
     await program.kill()
@@ -55,8 +55,8 @@
         path.write_bytes(data.replace(b'"name":"n0"', b'"name":"n7"'))
     elif spoil == "no folder":
         path.unlink()
-        for left in program.state.iterdir():
-            left.unlink()
+        for remaining in program.state.iterdir():
+            remaining.unlink()
         program.state.rmdir()
     program.log.write_text("")
     await program.start()
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize(
     ("spoil", "said"),
     [
-        ("", "figures of 6 servers"),
+        ("", "statistics of 6 servers"),
         ("cut", "is broken"),
         ("long", "is longer than"),
-        ("bits", "another form"),
+        ("bits", "unknown format"),
         ("another's", "checksum"),
         ("no folder", "keyed requests are not remembered"),
     ],
@@ -81,11 +81,11 @@
     tmp_path: Path, spoil: str, said: str
 ) -> None:
     async def play() -> str:
-        stage, environment = stage_of(tmp_path, 3)
+        stage, environment = make_stage(tmp_path, 3)
         await stage.up(environment=environment)
-        log = await restarted(stage, spoil, tmp_path)
-        tries = [one for one in stage.ledger.sent.values() if one.id.startswith("b-")]
-        assert len(tries) > 15 and all(one.final == "served" for one in tries)
+        log = await restart_with(stage, spoil, tmp_path)
+        requests = [sent for sent in stage.ledger.sent.values() if sent.id.startswith("b-")]
+        assert len(requests) > 15 and all(sent.final == "served" for sent in requests)
         assert await stage.down() == 0
         return log
 
@@ -96,7 +96,7 @@
 
 
 async def ask(program: Program, call_id: str, key: str, again: bool) -> int:
-    """One keyed request; its status, or 0 where the connection ended without an answer."""
+    """Send a keyed request; returns its status, or 0 if the connection ends without an answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", program.port)
     headers = {"Host": "b", "X-Call-Id": call_id, "X-Call-Class": "check", "X-Caller": "t0"}
     headers |= {"X-Budget-Ms": "3000", "Idempotency-Key": key} | ({"X-Again": "1"} if again else {})
@@ -113,7 +113,8 @@
 @pytest.mark.parametrize("again", [True, False])
 def test_a_keyed_request_under_way_at_the_kill_stays_in_its_rack(tmp_path: Path, again: bool) -> None:
     async def play() -> None:
-        stage, environment = stage_of(tmp_path, 8)  # a seed whose two lives draw other orders
+        # With this seed, the two processes pick servers in different orders.
+        stage, environment = make_stage(tmp_path, 8)
         for server in stage.servers:
             server.work_s = 0.4
         program = await stage.up(environment=environment)
@@ -141,40 +142,41 @@
     asyncio.run(play())
 
 
-async def stand_still(program: Program) -> None:
-    """Its next snapshot is written to where nobody reads."""
+async def block_writes(program: Program) -> None:
+    """Block the program's next snapshot: its temporary file is a FIFO without a reader."""
     assert program.process is not None
     while True:
         try:
             os.mkfifo(program.state / f"petrelspan-n0-{program.process.pid}.new")
             return
-        except FileExistsError:  # one is being written
+        except FileExistsError:  # a snapshot is being written
             await asyncio.sleep(0.001)
 
 
 def test_a_disk_that_stands_still_holds_up_no_request_and_no_planned_end(tmp_path: Path) -> None:
     async def play() -> None:
-        stage, environment = stage_of(tmp_path, 13)
+        stage, environment = make_stage(tmp_path, 13)
         program = await stage.up(environment=environment)
         application = stage.application("a", Habits(rate=60.0))
         await application.run(0.6)
-        path = await kept(program)
-        await stand_still(program)
+        path = await wait_for_snapshot(program)
+        await block_writes(program)
         await application.run(1.0)
         await application.settle()
         assert len(stage.ledger.sent) > 60
         assert all(sent.final == "served" for sent in stage.ledger.sent.values())
-        assert path.is_file() and time.time() - path.stat().st_mtime > 0.8  # it does stand still
-        began = time.monotonic()
+        # No snapshot was written meanwhile.
+        assert path.is_file() and time.time() - path.stat().st_mtime > 0.8
+        started_at = time.monotonic()
         assert await stage.down() == 0
-        assert time.monotonic() - began < 4.0
+        assert time.monotonic() - started_at < 4.0
 
     asyncio.run(play())
 
 
 def test_beyond_its_window_it_is_answered_without_running(tmp_path: Path) -> None:
     async def play() -> None:
-        stage, environment = stage_of(tmp_path, 5)
+        stage, environment = make_stage(tmp_path, 5)
         for server in stage.servers:
             server.work_s = 0.4
         facts = settings()
@@ -197,12 +199,12 @@
 
 def test_where_it_is_off_nothing_of_it_is_imported_or_written(tmp_path: Path) -> None:
     async def play() -> list[str]:
-        stage, environment = stage_of(tmp_path, 6, "[limits]\nwatch_most_s = 5\n")
+        stage, environment = make_stage(tmp_path, 6, "[limits]\nwatch_most_s = 5\n")
         program = await stage.up(environment=environment)
-        maps = Path(f"/proc/{program.process.pid}/maps").read_text() if program.process else ""
-        assert ".keyed" not in maps
-        left = os.listdir(program.state)
+        memory_maps = Path(f"/proc/{program.process.pid}/maps").read_text() if program.process else ""
+        assert ".keyed" not in memory_maps
+        remaining = os.listdir(program.state)
         await stage.down()
-        return left
+        return remaining
 
     assert asyncio.run(play()) == []
--- a/tests/state/test_sealed.py
+++ b/tests/state/test_sealed.py
@@ -1,4 +1,4 @@
-"""The form on disk: what comes back whole, what one flipped bit costs, and what is refused altogether."""
+"""The snapshot format: round trip, corruption of a part or of the header, and rejected versions and names."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 import pytest
 
 from garnethaven.state import sealed
-from garnethaven.state.ageing import Moment
-from garnethaven.state.sealed import MARK, SealError, digest, seal, unseal
+from garnethaven.state.ageing import Timestamp
+from garnethaven.state.sealed import MAGIC, SnapshotError, decode_snapshot, digest, encode_snapshot
 
-THEN = Moment("b1", 5, 7)
+SAVED_AT = Timestamp("b1", 5, 7)
 PARTS = {"figures": b'{"a":1}', "list": b"[" + b"1," * 500 + b"1]"}
 
 
 def test_parts_come_back_with_their_moment() -> None:
-    assert unseal(seal("n3", THEN, PARTS), "n3") == (THEN, PARTS, [])
+    assert decode_snapshot(encode_snapshot("n3", SAVED_AT, PARTS), "n3") == (SAVED_AT, PARTS, [])
 
 
 def test_any_flipped_bit_costs_one_part_or_all_and_is_never_taken_for_good() -> None:
-    whole = seal("n3", THEN, PARTS)
+    complete = encode_snapshot("n3", SAVED_AT, PARTS)
     rng = Random(3)
-    body = len(whole) - sum(map(len, PARTS.values()))
+    header_end = len(complete) - sum(map(len, PARTS.values()))
     for _ in range(400):
-        data = bytearray(whole)
-        at = rng.randrange(len(data))
-        data[at] ^= 1 << rng.randrange(8)
-        if at < body:
-            with pytest.raises(SealError):
-                unseal(bytes(data), "n3")
+        data = bytearray(complete)
+        offset = rng.randrange(len(data))
+        data[offset] ^= 1 << rng.randrange(8)
+        if offset < header_end:
+            with pytest.raises(SnapshotError):
+                decode_snapshot(bytes(data), "n3")
             continue
-        _, parts, broken = unseal(bytes(data), "n3")
-        assert len(broken) == 1 and len(parts) == 1
+        _, parts, corrupt = decode_snapshot(bytes(data), "n3")
+        assert len(corrupt) == 1 and len(parts) == 1
         assert all(PARTS[name] == content for name, content in parts.items())
 
 
 def test_what_is_cut_anywhere_is_never_taken_for_good() -> None:
-    whole = seal("n3", THEN, PARTS)
-    for length in range(0, len(whole), 7):
+    complete = encode_snapshot("n3", SAVED_AT, PARTS)
+    for length in range(0, len(complete), 7):
         try:
-            _, parts, broken = unseal(whole[:length], "n3")
-        except SealError:
+            _, parts, corrupt = decode_snapshot(complete[:length], "n3")
+        except SnapshotError:
             continue
-        assert broken and all(PARTS[name] == content for name, content in parts.items())
+        assert corrupt and all(PARTS[name] == content for name, content in parts.items())
 
 
 def test_another_programs_and_a_newer_versions_are_refused_by_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    with pytest.raises(SealError, match="'n4'"):
-        unseal(seal("n4", THEN, PARTS), "n3")
+    with pytest.raises(SnapshotError, match="'n4'"):
+        decode_snapshot(encode_snapshot("n4", SAVED_AT, PARTS), "n3")
     header = msgspec.json.encode({"version": 9, "more": "than is known here"})
-    head = MARK + sealed.LENGTH.pack(len(header)) + header
-    with pytest.raises(SealError, match="version 9"):
-        unseal(head + digest(head), "n3")
+    head = MAGIC + sealed.HEADER_LENGTH.pack(len(header)) + header
+    with pytest.raises(SnapshotError, match="version 9"):
+        decode_snapshot(head + digest(head), "n3")
