--- a/garnethaven/state/ageing.py
+++ b/garnethaven/state/ageing.py
@@ -6,7 +6,7 @@
 | statistic | memory | after a downtime t |
 | --- | --- | --- |
 | errors of a server | health's half-life h (the settings' ramp) | errors * 0.5^(t/h), as in the balancer |
-| a server's own latency ratio | a machine's load: `SERVER_HALF_LIFE_S` | samples * 0.5^(t/that) |
+| a server's own latency ratio | noisy neighbours: `SERVER_HALF_LIFE_S` | samples * 0.5^(t/that) |
 | a kind's latency ratio, a class's usual latency | a release: `RELEASE_S` | unchanged, then dropped |
 | the interval between two requests | 16 requests | unchanged: a burst at the start would shorten it |
 | the budgets of hedges and retries | none: they grow with requests, not with time | unchanged, never more |
--- a/garnethaven/state/feature.py
+++ b/garnethaven/state/feature.py
@@ -1,8 +1,8 @@
 """The feature `[state]`: snapshots every few seconds and at a planned end, and their restoration.
 
-A file error costs saved state and one log line, but fails neither the start nor a request. Snapshots are
-written by a thread: a rename over an older file was seen to take 0.1 s on a disk that discards freed blocks,
-and 24 programs on one such disk were blocked for seconds.
+A file error costs speed after a restart and one log line, but fails neither the start nor a request.
+Snapshots are written by a thread: a rename over an older file was seen to take 0.1 s on a disk that discards
+freed blocks, and 24 programs on one such disk were blocked for seconds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from garnethaven.membership.list_reader import name_of
 from garnethaven.state.ageing import MAX_LIST_AGE_S, Statistics, StoredServer, Timestamp, elapsed, restore
 from garnethaven.state.files import StateFiles, current_timestamp
-from garnethaven.state.remembering import KeyedSends, open_tables
+from garnethaven.state.remembering import KeyedAttempts, open_tables
 from garnethaven.state.sealed import SnapshotError, decode_snapshot, encode_snapshot
 from garnethaven.state.snapshot import (
     StoredList,
@@ -51,7 +51,7 @@
     def __init__(self, table: State, parts: Parts) -> None:
         super().__init__(table, parts)
         self.files: StateFiles | None = None
-        self.keyed: KeyedSends | None = None
+        self.keyed: KeyedAttempts | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.write_result: asyncio.Future[OSError | None] | None = None
         self.closing = False
@@ -299,7 +299,7 @@
             "state_writes": self.writes,
             "state_failed_writes": self.failed_writes,
             "state_pause_ms": round(self.max_pause_s * 1000, 3),
-            "keyed_found": self.keyed.found if self.keyed is not None else 0,
+            "keyed_found": self.keyed.found_count if self.keyed is not None else 0,
             "keyed_forgotten": self.keyed.own_table.evictions if self.keyed is not None else 0,
         }
 
--- a/garnethaven/state/keyed.py
+++ b/garnethaven/state/keyed.py
@@ -85,7 +85,7 @@
     def verify(self) -> None:
         """Raise KeyedError if the bytes are not a table of this program, written since the machine's boot."""
         if bytes(self.data[: HEADER.size]) != self.header:
-            raise KeyedError("its format, size, program or boot of the machine is another")
+            raise KeyedError("it is not a table of this program from this boot of the machine")
 
     def find(self, key_hash: bytes, now: int) -> KeyRecord | None:
         """The key's record; None if there is none or it has expired."""
--- a/garnethaven/state/remembering.py
+++ b/garnethaven/state/remembering.py
@@ -23,14 +23,14 @@
     )
 
 
-class KeyedSends:
+class KeyedAttempts:
     """Implements the engine's `KeyedSends`; writes only to this process's table."""
 
     def __init__(self, own_table: KeyedTable, other_tables: list[KeyedTable], balancer: Balancer) -> None:
         self.own_table = own_table
         self.other_tables = other_tables
         self.balancer = balancer
-        self.found = 0  # requests with an earlier attempt in a table
+        self.found_count = 0  # requests with an earlier attempt in a table
 
     def prior(self, call: Call) -> Prior | None:
         if not self.own_table.retention[call.grade]:
@@ -40,7 +40,7 @@
         for table in (self.own_table, *self.other_tables):
             record = table.find(key_hash, now)
             if record is not None:
-                self.found += 1
+                self.found_count += 1
                 return Prior(-1, record.zone, record.cell, now - record.first_sent)
         return None
 
@@ -62,7 +62,7 @@
     max_records: int,
     balancer: Balancer,
     log: Callable[[str], None],
-) -> tuple[KeyedSends, int]:
+) -> tuple[KeyedAttempts, int]:
     """Create this process's table and import the records of dead processes; also returns their number.
 
     Raises OSError if the table can't be created.
@@ -89,4 +89,4 @@
             own_table.insert(key_hash, record)
             imported += 1
         files.remove(path)
-    return KeyedSends(own_table, other_tables, balancer), imported
+    return KeyedAttempts(own_table, other_tables, balancer), imported
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -280,7 +280,7 @@
 
 
 def idle_connections(*idle_ms: float) -> list[IdleConnection]:
-    """Connections that have been idle for `rests_ms` at time 0, the most recently used last."""
+    """Connections that have been idle for `idle_ms` at time 0, the most recently used last."""
     return [IdleConnection(-duration_ms / 1000.0) for duration_ms in idle_ms]
 
 
