--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -21,11 +21,11 @@
 from garnethaven.interface import (
     AttemptEnded,
     Endpoint,
-    Grade,
     ListKind,
     Membership,
     Outcome,
     Request,
+    RequestClass,
     Send,
     Settings,
     State,
@@ -38,7 +38,7 @@
 S = 1_000 * MS
 GAP = MS  # a thousand a second
 SETTINGS = Settings(
-    grades=(Grade(aim=500 * MS, deadline=2 * S, late_value=0.25),),
+    grades=(RequestClass(aim=500 * MS, deadline=2 * S, late_value=0.25),),
     fleet_size=10,
     cold_share=0.2,
     ramp_time=10 * S,
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -15,11 +15,11 @@
 from garnethaven.interface import (
     AttemptEnded,
     Endpoint,
-    Grade,
     ListKind,
     Membership,
     Outcome,
     Request,
+    RequestClass,
     Send,
     Settings,
 )
@@ -40,7 +40,7 @@
 
 def floor() -> Callable[[], object]:
     """A request through the module, with 15 servers."""
-    settings = Settings(grades=(Grade(aim=S, deadline=3 * S),), max_attempts=5)
+    settings = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), max_attempts=5)
     balancer = Balancer(settings, 1)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(n) for n in range(1, 16))))
     numbers = count(1)
--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -27,7 +27,6 @@
     Endpoint,
     Event,
     Fail,
-    Grade,
     ListKind,
     Membership,
     Outcome,
@@ -36,6 +35,7 @@
     Recalled,
     Refuse,
     Request,
+    RequestClass,
     Scope,
     Send,
     SetTimer,
@@ -742,7 +742,7 @@
             self.copies -= 1.0
             self._send(pending, server)
 
-    def _elapsed(self, request: Request, request_class: Grade) -> int:
+    def _elapsed(self, request: Request, request_class: RequestClass) -> int:
         """Estimate how long the client has waited before this try, from its remaining time budget.
 
         Clients give all first tries of a class the same budget; a smaller one was cut by the class's
@@ -1026,4 +1026,4 @@
 
 
 # Requests of a class that the settings do not define are treated as never repeatable.
-UNKNOWN_REQUEST_CLASS = Grade(aim=0, deadline=0, effect=Effect.FRAGILE, late_value=1.0)
+UNKNOWN_REQUEST_CLASS = RequestClass(aim=0, deadline=0, effect=Effect.FRAGILE, late_value=1.0)
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Grade:
+class RequestClass:
     """Settings of one request class."""
 
     aim: int  # latency target: a later answer is late, but may still have a value (`late_value`)
@@ -86,7 +86,7 @@
 class Settings:
     """Settings of an instance; they do not change while it runs."""
 
-    grades: tuple[Grade, ...]  # by class index
+    grades: tuple[RequestClass, ...]  # by class index
     tenants: tuple[Tenant, ...] = ()  # by tenant index
     slot: int = 0  # instance index within the fleet; 0 may mean that none is configured
     fleet_size: int = 1
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -4,7 +4,7 @@
 
 from zlib import crc32
 
-from garnethaven.interface import Endpoint, Grade, Request
+from garnethaven.interface import Endpoint, Request, RequestClass
 from garnethaven.turns import Turns
 
 # Deadline of a request whose body is still being received, in nanoseconds; the reader of the body applies
@@ -91,7 +91,7 @@
         "tenant",
     )
 
-    def __init__(self, request: Request, request_class: Grade, now: int, elapsed: int) -> None:
+    def __init__(self, request: Request, request_class: RequestClass, now: int, elapsed: int) -> None:
         self.id = request.id
         self.grade = request_class
         self.class_index = request.grade
--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from garnethaven.interface import Effect, Grade, Scope, Settings, Tenant
+from garnethaven.interface import Effect, RequestClass, Scope, Settings, Tenant
 
 
 class SettingsError(Exception):
@@ -105,8 +105,8 @@
         raise SettingsError(f"the settings cannot be read: {error}") from None
 
 
-def read_request_class(entry: dict[str, Any]) -> Grade:
-    return Grade(
+def read_request_class(entry: dict[str, Any]) -> RequestClass:
+    return RequestClass(
         aim=_number(entry, "aimNs", int),
         deadline=_number(entry, "deadlineNs", int),
         effect=_choice(entry["effect"], "effect", Effect),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,11 +12,11 @@
     Effect,
     Endpoint,
     Event,
-    Grade,
     ListKind,
     Membership,
     Outcome,
     Request,
+    RequestClass,
     Scope,
     Send,
     Settings,
@@ -27,7 +27,7 @@
 S = 1_000_000_000
 START = 100 * S
 
-SAFE = Grade(aim=500 * MS, deadline=2 * S, effect=Effect.RETRYABLE, worth=1.0, late_value=0.25)
+SAFE = RequestClass(aim=500 * MS, deadline=2 * S, effect=Effect.RETRYABLE, worth=1.0, late_value=0.25)
 FRAGILE = replace(SAFE, effect=Effect.FRAGILE, worth=10.0)
 CELLED = replace(SAFE, effect=Effect.DEDUP, scope=Scope.CELL, window=3 * S)
 DEDUP_EVERYWHERE = replace(SAFE, effect=Effect.DEDUP, scope=Scope.ALL, window=1 * S)
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -23,12 +23,12 @@
     Endpoint,
     Event,
     Fail,
-    Grade,
     ListKind,
     Membership,
     Outcome,
     Refuse,
     Request,
+    RequestClass,
     Scope,
     Send,
     SetTimer,
@@ -40,7 +40,7 @@
 
 MS = 1_000_000
 S = 1_000_000_000
-CHECK = Grade(
+CHECK = RequestClass(
     aim=S, deadline=3 * S, effect=Effect.DEDUP, scope=Scope.CELL, window=6 * S, worth=1.0, late_value=0.25
 )
 SETTINGS = Settings(
--- a/tests/state/test_ageing.py
+++ b/tests/state/test_ageing.py
@@ -8,11 +8,11 @@
 from garnethaven.interface import (
     AttemptEnded,
     Endpoint,
-    Grade,
     ListKind,
     Membership,
     Outcome,
     Request,
+    RequestClass,
     Send,
     Settings,
 )
@@ -31,7 +31,7 @@
 S = 1_000_000_000
 HOUR = 3600 * S
 HALF_LIFE = 6 * S
-SETTINGS = Settings(grades=(Grade(aim=S, deadline=3 * S),), ramp_time=HALF_LIFE, max_attempts=2)
+SETTINGS = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), ramp_time=HALF_LIFE, max_attempts=2)
 LISTED = {"a": (97, 0), "b": (98, 5000)}
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,6 @@
     Endpoint,
     Event,
     Fail,
-    Grade,
     ListKind,
     Membership,
     Outcome,
@@ -26,6 +25,7 @@
     ProbeEnded,
     Refuse,
     Request,
+    RequestClass,
     Scope,
     Send,
     SetTimer,
@@ -53,7 +53,7 @@
 class Client:
     """The client of one request, and the attempts made for it."""
 
-    grade: Grade
+    grade: RequestClass
     deadline: int
     tries: list[SentAttempt] = field(default_factory=list)
     answered: bool = False
@@ -122,7 +122,7 @@
         ends_at = min(self.now + limit, client.deadline)
         client.tries.append(SentAttempt(action.endpoint, self.now, ends_at))
 
-    def group(self, grade: Grade, endpoint: int) -> int:
+    def group(self, grade: RequestClass, endpoint: int) -> int:
         entry = self.endpoints[endpoint]
         return {Scope.ALL: 0, Scope.ZONE: entry.zone, Scope.CELL: entry.cell}[grade.scope]
 
