--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -23,10 +23,10 @@
     Cancel,
     ClientLeft,
     CloseIdle,
-    Effect,
     Endpoint,
     Event,
     Fail,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -719,7 +719,12 @@
         """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
         latency = self.usual.get(pending.class_index, 0.0)
         idempotency = pending.grade.effect
-        if not self.settings.second_copies or not latency or idempotency is Effect.FRAGILE or pending.coming:
+        if (
+            not self.settings.second_copies
+            or not latency
+            or idempotency is Idempotency.FRAGILE
+            or pending.coming
+        ):
             return 0
         if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
             return 0
@@ -959,12 +964,12 @@
         if not self.settings.second_copies and any(attempt.open for attempt in pending.attempts):
             return False
         idempotency = pending.grade.effect
-        if idempotency is Effect.RETRYABLE:
+        if idempotency is Idempotency.RETRYABLE:
             return True
         ran = [attempt for attempt in pending.attempts if attempt.may_have_run]
         if not ran:
             return True
-        if idempotency is Effect.FRAGILE:  # it could take effect twice
+        if idempotency is Idempotency.FRAGILE:  # it could take effect twice
             return False
         return self._same_dedup_group(
             pending.grade.scope, ran[0].server, server
@@ -978,7 +983,7 @@
         earlier attempt.
         """
         ran = next((attempt for attempt in pending.attempts if attempt.may_have_run), None)
-        if ran is None or pending.grade.effect is not Effect.DEDUP:
+        if ran is None or pending.grade.effect is not Idempotency.DEDUP:
             return pending.deadline
         return min(pending.deadline, ran.sent_at + int(pending.grade.window * DEDUP_WINDOW_SHARE))
 
@@ -991,9 +996,9 @@
     def _may_refuse(self, pending: PendingRequest) -> bool:
         """Whether a refusal is allowed: it promises the client that a retry is harmless."""
         request_class = pending.grade
-        if request_class.effect is Effect.RETRYABLE or not any(a.may_have_run for a in pending.attempts):
+        if request_class.effect is Idempotency.RETRYABLE or not any(a.may_have_run for a in pending.attempts):
             return True
-        return request_class.effect is Effect.DEDUP and request_class.scope is Scope.ALL
+        return request_class.effect is Idempotency.DEDUP and request_class.scope is Scope.ALL
 
     def _send_or_finish(self, pending: PendingRequest, server: Server | None) -> None:
         if server is None or not self._may_send(pending, server):
@@ -1026,4 +1031,4 @@
 
 
 # Requests of a class that the settings do not define are treated as never repeatable.
-UNKNOWN_REQUEST_CLASS = RequestClass(aim=0, deadline=0, effect=Effect.FRAGILE, late_value=1.0)
+UNKNOWN_REQUEST_CLASS = RequestClass(aim=0, deadline=0, effect=Idempotency.FRAGILE, late_value=1.0)
--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from garnethaven.interface import Effect, Settings
+from garnethaven.interface import Idempotency, Settings
 from garnethaven.settings import Names, numbered
 
 
@@ -17,7 +17,7 @@
     def grade_of(self, name: str, keyed: bool) -> int | None:
         """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
         index = self.grades.get(name)
-        if index is not None and self.settings.grades[index].effect is Effect.DEDUP and not keyed:
+        if index is not None and self.settings.grades[index].effect is Idempotency.DEDUP and not keyed:
             index += len(self.grades)
         return index
 
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -36,9 +36,9 @@
     Cancel,
     ClientLeft,
     CloseIdle,
-    Effect,
     Event,
     Fail,
+    Idempotency,
     Membership,
     Note,
     Outcome,
@@ -459,5 +459,5 @@
 
 def with_unsafe_twins(settings: Settings) -> Settings:
     """Add for each class a twin that allows no repeats, for requests without an idempotency key."""
-    twins = tuple(replace(grade, effect=Effect.FRAGILE) for grade in settings.grades)
+    twins = tuple(replace(grade, effect=Idempotency.FRAGILE) for grade in settings.grades)
     return replace(settings, grades=settings.grades + twins)
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How often a request of a class may run."""
 
     RETRYABLE = "retryable"  # may run any number of times
@@ -67,7 +67,7 @@
 
     aim: int  # latency target: a later answer is late, but may still have a value (`late_value`)
     deadline: int  # time budget of a client over all its tries
-    effect: Effect = Effect.RETRYABLE
+    effect: Idempotency = Idempotency.RETRYABLE
     scope: Scope = Scope.ALL  # of deduplication
     window: int = 0  # time for which endpoints deduplicate a request
     worth: float = 1.0  # value of an answer in time; a request of lower value is shed first
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -15,8 +15,8 @@
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import (
     ByHand,
-    Effect,
     Endpoint,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -78,7 +78,7 @@
         self.sent_at = now  # nanoseconds
         self.ends_at = now + limit
         self.again = self.number > 0
-        self.careful = transport.engine.settings.grades[call.grade].effect is Effect.FRAGILE
+        self.careful = transport.engine.settings.grades[call.grade].effect is Idempotency.FRAGILE
 
     def message(self) -> tuple[bytes | bytearray, ...]:
         """Head and body; X-Budget-Ms states the time that is left now, after any dial.
--- a/garnethaven/state/remembering.py
+++ b/garnethaven/state/remembering.py
@@ -10,7 +10,7 @@
 
 from garnethaven.brain import Balancer
 from garnethaven.engine.calls import Call
-from garnethaven.interface import Effect, Prior, Settings
+from garnethaven.interface import Idempotency, Prior, Settings
 from garnethaven.state.files import StateFiles, boottime
 from garnethaven.state.keyed import KeyedError, KeyedTable, hash_key, table_size
 
@@ -18,7 +18,7 @@
 def retention_by_class(settings: Settings) -> tuple[int, ...]:
     """By class, how long a key's first attempt matters: dedup window plus deadline; 0 if not keyed."""
     return tuple(
-        request_class.window + request_class.deadline if request_class.effect is Effect.DEDUP else 0
+        request_class.window + request_class.deadline if request_class.effect is Idempotency.DEDUP else 0
         for request_class in settings.grades
     )
 
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -13,7 +13,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.engine.engine import MS, S
-from garnethaven.interface import Effect, Scope
+from garnethaven.interface import Idempotency, Scope
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
 from tests.loopback import ANSWER, Peer, Sidecar, read_message, request, run, running, says, until
@@ -42,7 +42,9 @@
         monkeypatch.setattr(Target, "_connect", delayed_connect)
 
 
-def set_effect(sidecar: Sidecar, idempotency: Effect, dedup_window: int = 0, cancel: bool = True) -> None:
+def set_effect(
+    sidecar: Sidecar, idempotency: Idempotency, dedup_window: int = 0, cancel: bool = True
+) -> None:
     engine = sidecar.engine
     request_classes = tuple(
         replace(request_class, effect=idempotency, scope=Scope.ALL, window=dedup_window)
@@ -59,7 +61,7 @@
 ) -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
-            set_effect(sidecar, Effect.RETRYABLE, cancel=cancel)
+            set_effect(sidecar, Idempotency.RETRYABLE, cancel=cancel)
             dials = DelayedDials(monkeypatch)
             _, writer = await sidecar.connect()
             writer.write(request())
@@ -112,7 +114,7 @@
 
         async with running(reset_connection, reset_connection) as (sidecar, peers):
             dedup_window = 300 * MS
-            set_effect(sidecar, Effect.DEDUP, dedup_window)
+            set_effect(sidecar, Idempotency.DEDUP, dedup_window)
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: dials.dial_count == 1)
@@ -137,7 +139,7 @@
             raise ConnectionError
 
         async with running(silent, silent) as (sidecar, peers):
-            set_effect(sidecar, Effect.DEDUP, dedup_window=400 * MS)
+            set_effect(sidecar, Idempotency.DEDUP, dedup_window=400 * MS)
             engine = sidecar.engine
             engine.settings = engine.balancer.settings = replace(engine.settings, second_copies=True)
             engine.balancer.usual = {0: 50.0 * MS}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,9 +9,9 @@
 from garnethaven.interface import (
     Action,
     AttemptEnded,
-    Effect,
     Endpoint,
     Event,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -27,10 +27,10 @@
 S = 1_000_000_000
 START = 100 * S
 
-SAFE = RequestClass(aim=500 * MS, deadline=2 * S, effect=Effect.RETRYABLE, worth=1.0, late_value=0.25)
-FRAGILE = replace(SAFE, effect=Effect.FRAGILE, worth=10.0)
-CELLED = replace(SAFE, effect=Effect.DEDUP, scope=Scope.CELL, window=3 * S)
-DEDUP_EVERYWHERE = replace(SAFE, effect=Effect.DEDUP, scope=Scope.ALL, window=1 * S)
+SAFE = RequestClass(aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25)
+FRAGILE = replace(SAFE, effect=Idempotency.FRAGILE, worth=10.0)
+CELLED = replace(SAFE, effect=Idempotency.DEDUP, scope=Scope.CELL, window=3 * S)
+DEDUP_EVERYWHERE = replace(SAFE, effect=Idempotency.DEDUP, scope=Scope.ALL, window=1 * S)
 
 SETTINGS = Settings(
     grades=(SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -19,10 +19,10 @@
     Action,
     AttemptEnded,
     Cancel,
-    Effect,
     Endpoint,
     Event,
     Fail,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -41,7 +41,13 @@
 MS = 1_000_000
 S = 1_000_000_000
 CHECK = RequestClass(
-    aim=S, deadline=3 * S, effect=Effect.DEDUP, scope=Scope.CELL, window=6 * S, worth=1.0, late_value=0.25
+    aim=S,
+    deadline=3 * S,
+    effect=Idempotency.DEDUP,
+    scope=Scope.CELL,
+    window=6 * S,
+    worth=1.0,
+    late_value=0.25,
 )
 SETTINGS = Settings(
     grades=(CHECK,),
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -9,9 +9,9 @@
 from garnethaven.interface import (
     AttemptEnded,
     ByHand,
-    Effect,
     Endpoint,
     Fail,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -30,7 +30,7 @@
 
 
 def make_balancer(count: int, started: int = 0) -> Balancer:
-    request_class = RequestClass(aim=S, deadline=3 * S, effect=Effect.RETRYABLE)
+    request_class = RequestClass(aim=S, deadline=3 * S, effect=Idempotency.RETRYABLE)
     settings = Settings(grades=(request_class,), max_attempts=3, ramp_time=SLOW_START, cold_share=0.2)
     balancer = Balancer(settings, seed=5)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(n, started=started) for n in range(count))))
@@ -77,7 +77,9 @@
 
 
 def test_the_last_of_a_rack_out_leaves_a_lost_keyed_request_no_place() -> None:
-    request_class = RequestClass(aim=S, deadline=3 * S, effect=Effect.DEDUP, scope=Scope.CELL, window=6 * S)
+    request_class = RequestClass(
+        aim=S, deadline=3 * S, effect=Idempotency.DEDUP, scope=Scope.CELL, window=6 * S
+    )
     balancer = Balancer(Settings(grades=(request_class,), max_attempts=5, ramp_time=SLOW_START), seed=5)
     balancer.handle(
         0, Membership(ListKind.FULL, (Endpoint(0, cell=0), Endpoint(1, cell=0), Endpoint(2, cell=1)))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,10 +14,10 @@
     AttemptEnded,
     Cancel,
     ClientLeft,
-    Effect,
     Endpoint,
     Event,
     Fail,
+    Idempotency,
     ListKind,
     Membership,
     Outcome,
@@ -112,9 +112,9 @@
         running = [attempt for attempt in client.tries if attempt.outcome is None]
         assert self.settings.second_copies or not running
         executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
-        if client.grade.effect is Effect.FRAGILE:
+        if client.grade.effect is Idempotency.FRAGILE:
             assert not executed
-        elif client.grade.effect is Effect.DEDUP and executed:
+        elif client.grade.effect is Idempotency.DEDUP and executed:
             assert self.now <= executed[0].sent_at + client.grade.window
             assert self.group(client.grade, executed[0].endpoint) == self.group(client.grade, action.endpoint)
         limit = action.limit or client.deadline - self.now
@@ -130,9 +130,9 @@
         client = self.clients[action.id]
         assert not client.answered and not client.left
         client.answered = True
-        if isinstance(action, Refuse) and client.grade.effect is not Effect.RETRYABLE:
+        if isinstance(action, Refuse) and client.grade.effect is not Idempotency.RETRYABLE:
             executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
-            dedup_everywhere = client.grade.effect is Effect.DEDUP and client.grade.scope is Scope.ALL
+            dedup_everywhere = client.grade.effect is Idempotency.DEDUP and client.grade.scope is Scope.ALL
             assert dedup_everywhere or not executed
 
     def members(self, changes: list[tuple[int, State, bool]], kind: ListKind) -> None:
