--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -23,6 +23,7 @@
     Cancel,
     ClientLeft,
     CloseIdle,
+    DedupScope,
     Endpoint,
     Event,
     Fail,
@@ -36,7 +37,6 @@
     Refuse,
     Request,
     RequestClass,
-    Scope,
     Send,
     SetTimer,
     Settings,
@@ -988,17 +988,17 @@
         return min(pending.deadline, ran.sent_at + int(pending.grade.window * DEDUP_WINDOW_SHARE))
 
     @staticmethod
-    def _same_dedup_group(scope: Scope, one: Server, other: Server) -> bool:
-        if scope is Scope.ALL:
+    def _same_dedup_group(scope: DedupScope, one: Server, other: Server) -> bool:
+        if scope is DedupScope.ALL:
             return True
-        return one.cell == other.cell if scope is Scope.CELL else one.zone == other.zone
+        return one.cell == other.cell if scope is DedupScope.CELL else one.zone == other.zone
 
     def _may_refuse(self, pending: PendingRequest) -> bool:
         """Whether a refusal is allowed: it promises the client that a retry is harmless."""
         request_class = pending.grade
         if request_class.effect is Idempotency.RETRYABLE or not any(a.may_have_run for a in pending.attempts):
             return True
-        return request_class.effect is Idempotency.DEDUP and request_class.scope is Scope.ALL
+        return request_class.effect is Idempotency.DEDUP and request_class.scope is DedupScope.ALL
 
     def _send_or_finish(self, pending: PendingRequest, server: Server | None) -> None:
         if server is None or not self._may_send(pending, server):
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -17,7 +17,7 @@
     FRAGILE = "fragile"  # must not run twice
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which endpoints share the deduplication of a DEDUP class: all, or those of one zone or cell."""
 
     ALL = "all"
@@ -68,7 +68,7 @@
     aim: int  # latency target: a later answer is late, but may still have a value (`late_value`)
     deadline: int  # time budget of a client over all its tries
     effect: Idempotency = Idempotency.RETRYABLE
-    scope: Scope = Scope.ALL  # of deduplication
+    scope: DedupScope = DedupScope.ALL  # of deduplication
     window: int = 0  # time for which endpoints deduplicate a request
     worth: float = 1.0  # value of an answer in time; a request of lower value is shed first
     late_value: float = 0.0  # value of a late answer; 0: a request is not served after its target
--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from garnethaven.interface import Idempotency, RequestClass, Scope, Settings, Tenant
+from garnethaven.interface import DedupScope, Idempotency, RequestClass, Settings, Tenant
 
 
 class SettingsError(Exception):
@@ -110,7 +110,7 @@
         aim=_number(entry, "aimNs", int),
         deadline=_number(entry, "deadlineNs", int),
         effect=_choice(entry["effect"], "effect", Idempotency),
-        scope=_choice(entry.get("keyScope") or "all", "keyScope", Scope),
+        scope=_choice(entry.get("keyScope") or "all", "keyScope", DedupScope),
         window=_number(entry, "dedupWindowNs", int, 0),
         worth=_number(entry, "importance", float),
         late_value=_number(entry, "lateValue", float, 0.0),
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -13,7 +13,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.engine.engine import MS, S
-from garnethaven.interface import Idempotency, Scope
+from garnethaven.interface import DedupScope, Idempotency
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
 from tests.loopback import ANSWER, Peer, Sidecar, read_message, request, run, running, says, until
@@ -47,7 +47,7 @@
 ) -> None:
     engine = sidecar.engine
     request_classes = tuple(
-        replace(request_class, effect=idempotency, scope=Scope.ALL, window=dedup_window)
+        replace(request_class, effect=idempotency, scope=DedupScope.ALL, window=dedup_window)
         for request_class in engine.settings.grades
     )
     engine.settings = engine.balancer.settings = replace(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,6 +9,7 @@
 from garnethaven.interface import (
     Action,
     AttemptEnded,
+    DedupScope,
     Endpoint,
     Event,
     Idempotency,
@@ -17,7 +18,6 @@
     Outcome,
     Request,
     RequestClass,
-    Scope,
     Send,
     Settings,
     Started,
@@ -29,8 +29,8 @@
 
 SAFE = RequestClass(aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25)
 FRAGILE = replace(SAFE, effect=Idempotency.FRAGILE, worth=10.0)
-CELLED = replace(SAFE, effect=Idempotency.DEDUP, scope=Scope.CELL, window=3 * S)
-DEDUP_EVERYWHERE = replace(SAFE, effect=Idempotency.DEDUP, scope=Scope.ALL, window=1 * S)
+CELLED = replace(SAFE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
+DEDUP_EVERYWHERE = replace(SAFE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, window=1 * S)
 
 SETTINGS = Settings(
     grades=(SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -9,6 +9,7 @@
 from garnethaven.interface import (
     AttemptEnded,
     ByHand,
+    DedupScope,
     Endpoint,
     Fail,
     Idempotency,
@@ -18,7 +19,6 @@
     Refuse,
     Request,
     RequestClass,
-    Scope,
     Send,
     Settings,
     State,
@@ -78,7 +78,7 @@
 
 def test_the_last_of_a_rack_out_leaves_a_lost_keyed_request_no_place() -> None:
     request_class = RequestClass(
-        aim=S, deadline=3 * S, effect=Idempotency.DEDUP, scope=Scope.CELL, window=6 * S
+        aim=S, deadline=3 * S, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=6 * S
     )
     balancer = Balancer(Settings(grades=(request_class,), max_attempts=5, ramp_time=SLOW_START), seed=5)
     balancer.handle(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,6 +14,7 @@
     AttemptEnded,
     Cancel,
     ClientLeft,
+    DedupScope,
     Endpoint,
     Event,
     Fail,
@@ -26,7 +27,6 @@
     Refuse,
     Request,
     RequestClass,
-    Scope,
     Send,
     SetTimer,
     Started,
@@ -35,7 +35,7 @@
 )
 from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, SAFE, SETTINGS, START, S
 
-REQUEST_CLASSES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=Scope.ZONE))
+REQUEST_CLASSES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=DedupScope.ZONE))
 ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
@@ -124,7 +124,7 @@
 
     def group(self, grade: RequestClass, endpoint: int) -> int:
         entry = self.endpoints[endpoint]
-        return {Scope.ALL: 0, Scope.ZONE: entry.zone, Scope.CELL: entry.cell}[grade.scope]
+        return {DedupScope.ALL: 0, DedupScope.ZONE: entry.zone, DedupScope.CELL: entry.cell}[grade.scope]
 
     def check_finish(self, action: Refuse | Fail) -> None:
         client = self.clients[action.id]
@@ -132,7 +132,9 @@
         client.answered = True
         if isinstance(action, Refuse) and client.grade.effect is not Idempotency.RETRYABLE:
             executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
-            dedup_everywhere = client.grade.effect is Idempotency.DEDUP and client.grade.scope is Scope.ALL
+            dedup_everywhere = (
+                client.grade.effect is Idempotency.DEDUP and client.grade.scope is DedupScope.ALL
+            )
             assert dedup_everywhere or not executed
 
     def members(self, changes: list[tuple[int, State, bool]], kind: ListKind) -> None:
