--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -31,7 +31,7 @@
     ListKind,
     Membership,
     Outcome,
-    Prior,
+    PriorAttempt,
     ProbeEnded,
     Recalled,
     Refuse,
@@ -696,7 +696,7 @@
             self._set_timer(pending, hedge_at)
         self._send_or_finish(pending, self._pick_retry(pending) if pending.attempts else self._pick(pending))
 
-    def _prior_attempt(self, prior: Prior) -> Attempt:
+    def _prior_attempt(self, prior: PriorAttempt) -> Attempt:
         """Return the attempt that an earlier process made, as far as the caller could prove where and when.
 
         The attempt may have run. The defaults of Prior match no dedup group and lie before any dedup window.
--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -8,7 +8,7 @@
 
 from typing import Any, Protocol
 
-from garnethaven.interface import Prior, Send
+from garnethaven.interface import PriorAttempt, Send
 
 
 class Client(Protocol):
@@ -96,4 +96,6 @@
         self.answered = False
         self.coming = False  # the last byte of the request has not arrived
         self.bound: Attempt | None = None  # the attempt whose answer is streaming to the client
-        self.prior: Prior | None = None  # an attempt made before this process started; counts as the first
+        self.prior: PriorAttempt | None = (
+            None  # an attempt made before this process started; counts as the first
+        )
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -42,7 +42,7 @@
     Membership,
     Note,
     Outcome,
-    Prior,
+    PriorAttempt,
     Probe,
     Refuse,
     Request,
@@ -75,7 +75,7 @@
 class KeyedSends(Protocol):
     """Records where keyed requests may have run, also before this process started (state/)."""
 
-    def prior(self, call: Call) -> Prior | None: ...
+    def prior(self, call: Call) -> PriorAttempt | None: ...
     def sends(self, call: Call, endpoint: int) -> None: ...
     def never_ran(self, call: Call) -> None: ...
 
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -31,7 +31,7 @@
 from garnethaven.extproc.report import ReportAttempt, ReportTransport
 from garnethaven.extproc.table import ExternalProcessor
 from garnethaven.extproc.tokens import Flaw, Proof, Tokens
-from garnethaven.interface import Outcome, Prior
+from garnethaven.interface import Outcome, PriorAttempt
 from garnethaven.net.transport import HttpTransport
 
 SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor"
@@ -289,19 +289,19 @@
         proof = Proof(server.id, server.cell, server.zone, time.time_ns() // MS)
         return self.tokens.sign(proof, attempt.call.call_id, attempt.call.grade)
 
-    def prior(self, mapped: Mapped) -> tuple[Prior | None, str]:
+    def prior(self, mapped: Mapped) -> tuple[PriorAttempt | None, str]:
         """What is known of an attempt that was sent before, where one may have been; and of its token."""
         if not mapped.comes_again:
             return None, ""
         if not mapped.token:
-            return Prior(), ""
+            return PriorAttempt(), ""
         now_ms = time.time_ns() // MS
         told = self.tokens.check(mapped.token, mapped.call_id, mapped.grade, now_ms)
         self.checked += 1
         if isinstance(told, Flaw):
             self.rejected += 1
             self.engine.log(f"external processor: a token was rejected: {told.value}")
-            return Prior(), f"rejected: {told.value}"
+            return PriorAttempt(), f"rejected: {told.value}"
         if mapped.unused:
             return None, ACCEPTED
-        return Prior(told.server, told.zone, told.rack, max(0, now_ms - told.sent_ms) * MS), ACCEPTED
+        return PriorAttempt(told.server, told.zone, told.rack, max(0, now_ms - told.sent_ms) * MS), ACCEPTED
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Prior:
+class PriorAttempt:
     """An attempt that may have run before this process started; the defaults mean that no more is known."""
 
     endpoint: int = -1
@@ -163,7 +163,7 @@
     tenant: int = 0
     key: str = ""  # key of the data it concerns, by which servers may cache
     repeat: bool = False  # the client marked it as a retry
-    prior: Prior | None = None
+    prior: PriorAttempt | None = None
     coming: bool = False  # its body is incomplete: its durations are not measured, and it may take long
 
 
--- a/garnethaven/state/remembering.py
+++ b/garnethaven/state/remembering.py
@@ -10,7 +10,7 @@
 
 from garnethaven.brain import Balancer
 from garnethaven.engine.calls import Call
-from garnethaven.interface import Idempotency, Prior, Settings
+from garnethaven.interface import Idempotency, PriorAttempt, Settings
 from garnethaven.state.files import StateFiles, boottime
 from garnethaven.state.keyed import KeyedError, KeyedTable, hash_key, table_size
 
@@ -32,7 +32,7 @@
         self.balancer = balancer
         self.found_count = 0  # requests with an earlier attempt in a table
 
-    def prior(self, call: Call) -> Prior | None:
+    def prior(self, call: Call) -> PriorAttempt | None:
         if not self.own_table.retention[call.grade]:
             return None
         now = boottime()
@@ -41,7 +41,7 @@
             record = table.find(key_hash, now)
             if record is not None:
                 self.found_count += 1
-                return Prior(-1, record.zone, record.cell, now - record.first_sent)
+                return PriorAttempt(-1, record.zone, record.cell, now - record.first_sent)
         return None
 
     def sends(self, call: Call, endpoint: int) -> None:
--- a/tests/extproc/test_prior.py
+++ b/tests/extproc/test_prior.py
@@ -12,7 +12,7 @@
     ListKind,
     Membership,
     Outcome,
-    Prior,
+    PriorAttempt,
     Refuse,
     Send,
     State,
@@ -22,34 +22,34 @@
 SAFE, FRAGILE, CELLED, ANYWHERE = range(4)
 
 
-def come_again(prior: Prior, grade: int) -> list[Action]:
+def come_again(prior: PriorAttempt, grade: int) -> list[Action]:
     return Driver(fleet(8)).ask(grade=grade, prior=prior, budget=2 * S)
 
 
 def test_a_keyed_request_goes_to_the_rack_that_drops_its_repeat() -> None:
     for _ in range(5):
-        (send,) = sends(come_again(Prior(endpoint=3, zone=0, cell=1, age=500 * MS), CELLED))
+        (send,) = sends(come_again(PriorAttempt(endpoint=3, zone=0, cell=1, age=500 * MS), CELLED))
         assert send.endpoint in (3, 4)
 
 
 def test_also_where_the_server_is_gone() -> None:
-    (send,) = sends(come_again(Prior(endpoint=99, zone=0, cell=2, age=500 * MS), CELLED))
+    (send,) = sends(come_again(PriorAttempt(endpoint=99, zone=0, cell=2, age=500 * MS), CELLED))
     assert send.endpoint in (5, 6)
 
 
 @pytest.mark.parametrize(
     ("grade", "prior"),
     [
-        (CELLED, Prior(endpoint=3, zone=0, cell=1, age=3 * S)),  # the rack has forgotten it
-        (CELLED, Prior(endpoint=3, zone=0, cell=77, age=S)),  # nobody of that rack is left
-        (CELLED, Prior()),
-        (FRAGILE, Prior(endpoint=3, zone=0, cell=1, age=S)),
-        (FRAGILE, Prior()),
-        (ANYWHERE, Prior(endpoint=3, zone=0, cell=1, age=S)),
+        (CELLED, PriorAttempt(endpoint=3, zone=0, cell=1, age=3 * S)),  # the rack has forgotten it
+        (CELLED, PriorAttempt(endpoint=3, zone=0, cell=77, age=S)),  # nobody of that rack is left
+        (CELLED, PriorAttempt()),
+        (FRAGILE, PriorAttempt(endpoint=3, zone=0, cell=1, age=S)),
+        (FRAGILE, PriorAttempt()),
+        (ANYWHERE, PriorAttempt(endpoint=3, zone=0, cell=1, age=S)),
     ],
 )
 def test_what_may_not_be_repeated_is_neither_sent_nor_refused_unless_that_is_harmless(
-    grade: int, prior: Prior
+    grade: int, prior: PriorAttempt
 ) -> None:
     actions = come_again(prior, grade)
     assert not of(actions, Send)
@@ -60,12 +60,12 @@
 
 
 def test_a_safe_request_goes_anywhere() -> None:
-    assert sends(come_again(Prior(), SAFE))
+    assert sends(come_again(PriorAttempt(), SAFE))
 
 
 def test_an_end_that_proves_nothing_ran_does_not_unprove_the_earlier_attempt() -> None:
     driver = Driver(fleet(8))
-    (send,) = sends(driver.ask(grade=CELLED, prior=Prior(endpoint=3, zone=0, cell=1, age=100 * MS)))
+    (send,) = sends(driver.ask(grade=CELLED, prior=PriorAttempt(endpoint=3, zone=0, cell=1, age=100 * MS)))
     assert send.endpoint == 4
     actions = driver.end(send, Outcome.CONNECT_FAILED, attempt=1)
     assert of(actions, Fail) and not of(actions, Refuse)
@@ -76,5 +76,5 @@
         driver = Driver(fleet(8))
         gone = tuple(replace(entry, state=state) for entry in fleet(4)[2:])
         driver.feed(Membership(ListKind.DELTA, gone))
-        actions = driver.ask(grade=CELLED, prior=Prior(endpoint=3, zone=0, cell=1, age=100 * MS))
+        actions = driver.ask(grade=CELLED, prior=PriorAttempt(endpoint=3, zone=0, cell=1, age=100 * MS))
         assert of(actions, Fail) and not sends(actions)
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from garnethaven.interface import AttemptEnded, Cancel, Fail, Outcome, Prior, Refuse, TimerFired
+from garnethaven.interface import AttemptEnded, Cancel, Fail, Outcome, PriorAttempt, Refuse, TimerFired
 from garnethaven.limits.retry_budget import MAX_TOKENS
 from tests.helpers import CELLED, MS, SETTINGS, Driver, S, fleet, of, sends
 
@@ -43,7 +43,7 @@
 
 def test_the_first_attempt_of_this_life_is_none_of_the_further_ones() -> None:
     driver = closed_driver()
-    prior = Prior(endpoint=1, zone=0, cell=0, age=100 * MS)
+    prior = PriorAttempt(endpoint=1, zone=0, cell=0, age=100 * MS)
     assert sends(driver.ask(CELLED_CLASS, prior=prior))
 
 
