--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -19,10 +19,10 @@
     NEVER_RAN,
     Action,
     AttemptEnded,
-    ByHand,
     Cancel,
     ClientLeft,
     CloseIdle,
+    CordonChange,
     DedupScope,
     Endpoint,
     Event,
@@ -155,7 +155,7 @@
             StreamBegan: self._on_stream_began,
             ProbeEnded: self._on_probe_ended,
             Started: self._on_started,
-            ByHand: self._on_cordon_change,
+            CordonChange: self._on_cordon_change,
             Recalled: self._on_restored_state,
             Woke: lambda _: self._begin_startup_window(),
         }
@@ -261,7 +261,7 @@
         """Return the number of listed servers that get no new attempts."""
         return sum(not self._selectable(server) for server in self.servers.values())
 
-    def _on_cordon_change(self, event: ByHand) -> None:
+    def _on_cordon_change(self, event: CordonChange) -> None:
         if event.out:
             self.cordoned.setdefault(event.endpoint, self.now)
         elif event.endpoint in self.cordoned:
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -213,7 +213,7 @@
 
 
 @dataclass(slots=True)
-class ByHand:
+class CordonChange:
     """An operator cordons or uncordons an endpoint, independently of its state in the list."""
 
     endpoint: int
@@ -258,7 +258,7 @@
     | ProbeEnded
     | TimerFired
     | ClientLeft
-    | ByHand
+    | CordonChange
 )
 
 
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -14,7 +14,7 @@
 from garnethaven.engine.outcomes import outcome_of
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import (
-    ByHand,
+    CordonChange,
     Endpoint,
     Idempotency,
     ListKind,
@@ -285,7 +285,7 @@
     def by_hand(self, endpoint: int, cordoned: bool) -> None:
         """Cordon or uncordon an endpoint for an operator; exchanges in progress continue."""
         (self.cordoned.add if cordoned else self.cordoned.discard)(endpoint)
-        self.engine.post(ByHand(endpoint, cordoned))
+        self.engine.post(CordonChange(endpoint, cordoned))
         target = self.targets.get(endpoint)
         if target is None:
             return
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -8,7 +8,7 @@
 from garnethaven.brain import MANY
 from garnethaven.interface import (
     AttemptEnded,
-    ByHand,
+    CordonChange,
     DedupScope,
     Endpoint,
     Fail,
@@ -49,21 +49,21 @@
 @pytest.mark.parametrize("count", COUNTS)
 def test_one_that_is_out_gets_nothing_whatever_the_list_says(count: int) -> None:
     balancer = make_balancer(count)
-    balancer.handle(S, ByHand(0, True))
-    balancer.handle(S, ByHand(0, True))
+    balancer.handle(S, CordonChange(0, True))
+    balancer.handle(S, CordonChange(0, True))
     assert balancer.excluded() == 1 and 0 not in send_requests(balancer, S, 3 * count, "a")
     for entry in (Endpoint(0, state=State.REMOVED), Endpoint(0), Endpoint(0, started=S)):
         balancer.handle(2 * S, Membership(ListKind.DELTA, (entry,)))
         assert 0 not in send_requests(balancer, 2 * S, 3 * count, f"{entry.state}{entry.started}")
-    balancer.handle(8 * S, ByHand(0, False))
+    balancer.handle(8 * S, CordonChange(0, False))
     assert balancer.excluded() == 0 and 0 in send_requests(balancer, 8 * S, 10 * count, "b")
 
 
 @pytest.mark.parametrize("count", COUNTS)
 def test_one_that_comes_back_is_cold_whatever_the_list_says(count: int) -> None:
     balancer = make_balancer(count)
-    balancer.handle(S, ByHand(0, True))
-    balancer.handle(3 * S, ByHand(0, False))
+    balancer.handle(S, CordonChange(0, True))
+    balancer.handle(3 * S, CordonChange(0, False))
     assert balancer.standing(0)[0] == pytest.approx(0.2)
     balancer.handle(4 * S, Membership(ListKind.FULL, tuple(Endpoint(n) for n in range(count))))
     assert balancer.standing(0)[0] == pytest.approx(0.28)
@@ -72,7 +72,7 @@
     assert balancer.standing(0)[0] == pytest.approx(0.44)
     request_count = send_requests(balancer, 5 * S, 10 * count, "c").count(0)
     assert 0 < request_count < 10
-    balancer.handle(3 * S + SLOW_START, ByHand(1, False))  # was never cordoned
+    balancer.handle(3 * S + SLOW_START, CordonChange(1, False))  # was never cordoned
     assert balancer.standing(0)[0] == 1.0 and balancer.standing(1)[0] == 1.0
 
 
@@ -84,15 +84,15 @@
     balancer.handle(
         0, Membership(ListKind.FULL, (Endpoint(0, cell=0), Endpoint(1, cell=0), Endpoint(2, cell=1)))
     )
-    balancer.handle(0, ByHand(2, True))
+    balancer.handle(0, CordonChange(2, True))
     (first,) = send_requests(balancer, S, 1, "a")
     second = 1 - first
-    balancer.handle(S, ByHand(second, True))
-    balancer.handle(S, ByHand(first, True))  # its attempt in progress continues
+    balancer.handle(S, CordonChange(second, True))
+    balancer.handle(S, CordonChange(first, True))  # its attempt in progress continues
     (failure,) = balancer.handle(2 * S, AttemptEnded("a0", 0, first, Outcome.RESET))
     # The request may have run, and no endpoint is left that would deduplicate a retry.
     assert isinstance(failure, Fail)
-    balancer.handle(2 * S, ByHand(second, False))
+    balancer.handle(2 * S, CordonChange(second, False))
     balancer.handle(2 * S, Request("b", 0, 3 * S))
     (refusal,) = balancer.handle(2 * S, AttemptEnded("b", 0, second, Outcome.CONNECT_FAILED))
     assert isinstance(refusal, Refuse)
@@ -101,7 +101,7 @@
 def test_all_of_them_out_refuses_and_does_not_fail() -> None:
     balancer = make_balancer(2)
     for endpoint in (0, 1, 9):  # discovery does not list endpoint 9
-        balancer.handle(S, ByHand(endpoint, True))
+        balancer.handle(S, CordonChange(endpoint, True))
     assert send_requests(balancer, S, 3, "a") == [] and balancer.excluded() == 2
-    balancer.handle(2 * S, ByHand(0, False))
+    balancer.handle(2 * S, CordonChange(0, False))
     assert set(send_requests(balancer, 2 * S, 3, "b")) == {0}
