--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -33,10 +33,10 @@
     Outcome,
     PriorAttempt,
     ProbeEnded,
-    Recalled,
     Refuse,
     Request,
     RequestClass,
+    RestoredState,
     Send,
     SetTimer,
     Settings,
@@ -156,7 +156,7 @@
             ProbeEnded: self._on_probe_ended,
             Started: self._on_started,
             CordonChange: self._on_cordon_change,
-            Recalled: self._on_restored_state,
+            RestoredState: self._on_restored_state,
             Woke: lambda _: self._begin_startup_window(),
         }
 
@@ -234,7 +234,7 @@
         target = min((request_class.aim for request_class in self.settings.grades), default=SECOND)
         self.overload.window.begin(self.now, warm_servers, self.settings.fleet_size, target)
 
-    def _on_restored_state(self, event: Recalled) -> None:
+    def _on_restored_state(self, event: RestoredState) -> None:
         for restored in event.servers:
             if restored.endpoint in self.servers:
                 server = self.servers[restored.endpoint]
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -231,7 +231,7 @@
 
 
 @dataclass(slots=True)
-class Recalled:
+class RestoredState:
     """State that an earlier process of this instance stored, aged by the time since (state/ageing.py)."""
 
     servers: tuple[Learned, ...] = ()
@@ -250,7 +250,7 @@
 Event = (
     Started
     | Membership
-    | Recalled
+    | RestoredState
     | Woke
     | Request
     | StreamBegan
--- a/garnethaven/state/ageing.py
+++ b/garnethaven/state/ageing.py
@@ -30,7 +30,7 @@
 
 import msgspec
 
-from garnethaven.interface import Learned, Recalled
+from garnethaven.interface import Learned, RestoredState
 
 S = 1_000_000_000
 SERVER_HALF_LIFE_S = 60.0  # half-life of the confidence in a server's own latency ratio
@@ -78,14 +78,14 @@
 
 def restore(
     statistics: Statistics, elapsed_ns: int, half_life: int, listed: dict[str, tuple[int, int]]
-) -> Recalled:
+) -> RestoredState:
     """The statistics that are still valid after `elapsed_ns`.
 
     `listed` has the number and the start, in discovery's milliseconds, of each listed server by endpoint id;
     the statistics of a server with another start are dropped.
     """
     recent = elapsed_ns < RELEASE_S * S
-    return Recalled(
+    return RestoredState(
         servers=tuple(_restore_servers(statistics.servers, elapsed_ns, half_life, listed)),
         kinds=dict(statistics.kinds) if recent else {},
         usual=dict(statistics.usual) if recent else {},
