--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -221,7 +221,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Learned:
+class RestoredServer:
     """State of one server that an earlier process stored, aged by the time since."""
 
     endpoint: int
@@ -234,7 +234,7 @@
 class RestoredState:
     """State that an earlier process of this instance stored, aged by the time since (state/ageing.py)."""
 
-    servers: tuple[Learned, ...] = ()
+    servers: tuple[RestoredServer, ...] = ()
     kinds: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
     usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
     copies: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
--- a/garnethaven/state/ageing.py
+++ b/garnethaven/state/ageing.py
@@ -30,7 +30,7 @@
 
 import msgspec
 
-from garnethaven.interface import Learned, RestoredState
+from garnethaven.interface import RestoredServer, RestoredState
 
 S = 1_000_000_000
 SERVER_HALF_LIFE_S = 60.0  # half-life of the confidence in a server's own latency ratio
@@ -100,7 +100,7 @@
     elapsed_ns: int,
     half_life: int,
     listed: dict[str, tuple[int, int]],
-) -> Iterable[Learned]:
+) -> Iterable[RestoredServer]:
     latency_decay = 0.5 ** (elapsed_ns / S / SERVER_HALF_LIFE_S)
     error_decay = 0.5 ** (elapsed_ns / half_life)
     for stored in stored_servers:
@@ -111,4 +111,4 @@
         errors = errors if errors >= MIN_ERRORS else 0.0
         samples = samples if samples >= MIN_LATENCY_SAMPLES else 0.0
         if errors or samples:
-            yield Learned(server[0], errors, stored.pace if samples else 0.0, samples)
+            yield RestoredServer(server[0], errors, stored.pace if samples else 0.0, samples)
