--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -33,6 +33,7 @@
     Outcome,
     PriorAttempt,
     ProbeEnded,
+    ProcessResumed,
     Refuse,
     Request,
     RequestClass,
@@ -45,7 +46,6 @@
     StreamBegan,
     TimerFired,
     Watch,
-    Woke,
 )
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.retry_budget import RetryBudget
@@ -157,7 +157,7 @@
             Started: self._on_started,
             CordonChange: self._on_cordon_change,
             RestoredState: self._on_restored_state,
-            Woke: lambda _: self._begin_startup_window(),
+            ProcessResumed: lambda _: self._begin_startup_window(),
         }
 
     def standing(self, endpoint: int) -> tuple[float, bool]:
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -243,7 +243,7 @@
 
 
 @dataclass(slots=True)
-class Woke:
+class ProcessResumed:
     """The process was suspended and has resumed with its earlier state."""
 
 
@@ -251,7 +251,7 @@
     Started
     | Membership
     | RestoredState
-    | Woke
+    | ProcessResumed
     | Request
     | StreamBegan
     | AttemptEnded
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -13,7 +13,7 @@
 from garnethaven.config import Config
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
-from garnethaven.interface import Woke
+from garnethaven.interface import ProcessResumed
 from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, Places, Usage
 from garnethaven.net.client import DEFERRED_READ_S, ClientConnection
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES
@@ -290,7 +290,7 @@
         if since_sweep_s > STALLED_S:
             self.defer_until = now + DEFERRED_READ_S
         if since_sweep_s > RESUMED_S:
-            self.engine.post(Woke())
+            self.engine.post(ProcessResumed())
         if now >= self.checked_at + CHECK_INTERVAL_S:
             self.checked_at = now
             for connection in list(self.connections):
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -11,12 +11,12 @@
     ListKind,
     Membership,
     Outcome,
+    ProcessResumed,
     Refuse,
     Request,
     RequestClass,
     Send,
     Settings,
-    Woke,
 )
 from garnethaven.recovery.window import (
     CALM_NS,
@@ -107,7 +107,7 @@
     balancer.handle(0, Membership(ListKind.FULL, listed))
     balancer.handle(4 * CALM_NS, Request("calm", 0, S))
     assert not balancer.overload.window.most  # it has ended
-    balancer.handle(5 * CALM_NS, Woke())
+    balancer.handle(5 * CALM_NS, ProcessResumed())
     actions = [balancer.handle(5 * CALM_NS, Request(str(n), 0, S)) for n in range(40)]
     refused = sum(isinstance(action, Refuse) for batch in actions for action in batch)
     assert 30 <= refused < 40
