--- a/garnethaven/benchlink.py
+++ b/garnethaven/benchlink.py
@@ -23,8 +23,8 @@
     Event,
     Fail,
     ListKind,
+    LogMessage,
     Membership,
-    Note,
     Outcome,
     Probe,
     ProbeEnded,
@@ -194,7 +194,7 @@
     SetTimer: lambda action: f"arm cookie={action.token} fromNowNs={action.delay}",
     Watch: lambda action: "observe active=1",
     CloseIdle: lambda action: f"close endpoint={action.endpoint}",
-    Note: lambda action: f"note_down message={one_line(action.text)}",
+    LogMessage: lambda action: f"note_down message={one_line(action.text)}",
 }
 
 
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -39,8 +39,8 @@
     Event,
     Fail,
     Idempotency,
+    LogMessage,
     Membership,
-    Note,
     Outcome,
     PriorAttempt,
     Probe,
@@ -123,7 +123,7 @@
             SetTimer: self._set_timer,
             Watch: lambda action: self.watch(),
             CloseIdle: self._close_idle,
-            Note: lambda action: self.log(action.text),
+            LogMessage: lambda action: self.log(action.text),
         }
 
     # Events and actions
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -326,10 +326,10 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogMessage:
     """Log a message."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Watch | CloseIdle | Note
+Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Watch | CloseIdle | LogMessage
