--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -65,7 +65,7 @@
 class RequestClass:
     """Settings of one request class."""
 
-    aim: int  # latency target: a later answer is late, but may still have a value (`late_value`)
+    target: int  # latency target: a later answer is late, but may still have a value (`late_value`)
     deadline: int  # time budget of a client over all its tries
     effect: Idempotency = Idempotency.RETRYABLE
     scope: DedupScope = DedupScope.ALL  # of deduplication
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -406,7 +406,7 @@
         low, high = self.began + int(since * S), self.began + int(until * S)
         results = [result for result in self.results if low <= result.first_at < high]
         good = sum(
-            result.served_at > 0 and result.served_at - result.first_at <= CHECK.aim for result in results
+            result.served_at > 0 and result.served_at - result.first_at <= CHECK.target for result in results
         )
         return good / max(1, len(results))
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -176,7 +176,7 @@
 def test_a_refused_client_is_told_when_to_come_back() -> None:
     driver = Driver((), replace(SETTINGS, max_retry_after=2 * S))
     (refusal,) = of(driver.ask(), Refuse)
-    assert isinstance(refusal, Refuse) and 0 < refusal.retry_after < SAFE.aim
+    assert isinstance(refusal, Refuse) and 0 < refusal.retry_after < SAFE.target
 
 
 def test_a_list_of_only_new_servers_serves_at_once() -> None:
@@ -230,7 +230,7 @@
 
 def test_work_that_can_earn_nothing_more_is_stopped() -> None:
     driver = Driver(fleet(3), replace(SETTINGS, grades=(replace(SAFE, late_value=0.0),)))
-    assert sends(driver.ask())[0].limit == SAFE.aim
+    assert sends(driver.ask())[0].limit == SAFE.target
 
 
 def test_drains_are_kept_from_the_moment_they_are_known() -> None:
@@ -368,7 +368,7 @@
     """Send requests and answer all of them after their target."""
     for _ in range(rounds):
         for send in sends(driver.ask()):
-            driver.end(send, Outcome.DONE, after=SAFE.aim + MS)
+            driver.end(send, Outcome.DONE, after=SAFE.target + MS)
 
 
 def test_late_answers_everywhere_lead_to_early_refusals() -> None:
@@ -383,7 +383,7 @@
     for _ in range(20):
         for grade in (0, 1):
             for send in sends(driver.ask(grade=grade)):
-                driver.end(send, Outcome.DONE, after=SAFE.aim + MS)
+                driver.end(send, Outcome.DONE, after=SAFE.target + MS)
     refused: Counter[int] = Counter()
     for number in range(80):
         driver.balancer.overload.refused_share = 0.4
