--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -70,7 +70,7 @@
     effect: Idempotency = Idempotency.RETRYABLE
     scope: DedupScope = DedupScope.ALL  # of deduplication
     dedup_window: int = 0  # time for which endpoints deduplicate a request
-    worth: float = 1.0  # value of an answer in time; a request of lower value is shed first
+    value: float = 1.0  # value of an answer in time; a request of lower value is shed first
     late_value: float = 0.0  # value of a late answer; 0: a request is not served after its target
 
 
