--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -231,7 +231,7 @@
         """Limit admission until answers show what the servers can do (recovery/window.py)."""
         mean_units = sum(server.units for server in self.pool) / max(1, len(self.pool))
         warm_servers = sum(server.units * self._warmth(server) for server in self.pool) / (mean_units or 1.0)
-        target = min((request_class.aim for request_class in self.settings.grades), default=SECOND)
+        target = min((request_class.aim for request_class in self.settings.request_classes), default=SECOND)
         self.overload.window.begin(self.now, warm_servers, self.settings.fleet_size, target)
 
     def _on_restored_state(self, event: RestoredState) -> None:
@@ -672,7 +672,7 @@
     # Request lifecycle
 
     def _on_request(self, request: Request) -> None:
-        request_classes = self.settings.grades
+        request_classes = self.settings.request_classes
         request_class = (
             request_classes[request.grade]
             if 0 <= request.grade < len(request_classes)
--- a/garnethaven/config.py
+++ b/garnethaven/config.py
@@ -60,7 +60,7 @@
         settings, names = read_settings(raw_settings), read_names(raw_settings)
     except SettingsError as problem:
         raise ConfigError(str(problem)) from None
-    if not settings.grades:
+    if not settings.request_classes:
         raise ConfigError("setting 'grades' is empty: at least one class is needed")
     return Config(
         name=_field(document, "name", str),
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -86,7 +86,7 @@
 class Settings:
     """Settings of an instance; they do not change while it runs."""
 
-    grades: tuple[RequestClass, ...]  # by class index
+    request_classes: tuple[RequestClass, ...]  # by class index
     tenants: tuple[Tenant, ...] = ()  # by tenant index
     slot: int = 0  # instance index within the fleet; 0 may mean that none is configured
     fleet_size: int = 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -83,7 +83,9 @@
 def test_a_class_without_a_window_is_honoured() -> None:
     document = settings_object()
     document["grades"] = [dict(REQUEST_CLASS)]
-    assert read_settings(document).grades[0].window == 0  # no retry of an attempt that may have been executed
+    assert (
+        read_settings(document).request_classes[0].window == 0
+    )  # no retry of an attempt that may have been executed
 
 
 @pytest.mark.parametrize(
