--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -719,12 +719,7 @@
         """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
         latency = self.usual.get(pending.class_index, 0.0)
         idempotency = pending.grade.effect
-        if (
-            not self.settings.second_copies
-            or not latency
-            or idempotency is Idempotency.FRAGILE
-            or pending.coming
-        ):
+        if not self.settings.hedging or not latency or idempotency is Idempotency.FRAGILE or pending.coming:
             return 0
         if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
             return 0
@@ -961,7 +956,7 @@
             return False
         if not self._selectable(server):  # a drain takes effect as soon as it is known
             return False
-        if not self.settings.second_copies and any(attempt.open for attempt in pending.attempts):
+        if not self.settings.hedging and any(attempt.open for attempt in pending.attempts):
             return False
         idempotency = pending.grade.effect
         if idempotency is Idempotency.RETRYABLE:
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -101,7 +101,7 @@
     conn_idle: int = 0  # time after which an idle connection is closed
     streams_per_conn: int = 1  # concurrent requests on one connection
     max_attempts: int = 1
-    second_copies: bool = False  # whether a request may have several open attempts (hedging)
+    hedging: bool = False  # whether a request may have several open attempts (hedging)
     cancel: bool = False  # whether open attempts are cancelled when they are no longer needed
     probes: bool = False
     warm_keys: bool = False  # whether servers cache by request key
