--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -181,7 +181,7 @@
             # First calls are spread: a fleet that starts together would overload discovery. A small fleet
             # would not, and calls sooner because the persisted list may be stale. The instance index places
             # the call, more evenly than a random draw; index 0 may mean that none is configured.
-            instance_index = self.settings.slot
+            instance_index = self.settings.instance_index
             place = instance_index * GOLDEN_RATIO % 1.0 if instance_index else self.rng.random()
             self._schedule_watch(self._scaled_to_fleet(self.settings.ask_within // 2), place)
 
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -88,7 +88,7 @@
 
     request_classes: tuple[RequestClass, ...]  # by class index
     tenants: tuple[Tenant, ...] = ()  # by tenant index
-    slot: int = 0  # instance index within the fleet; 0 may mean that none is configured
+    instance_index: int = 0  # instance index within the fleet; 0 may mean that none is configured
     fleet_size: int = 1
     zone: int = 0
     ask_discovery: bool = False
