--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -158,7 +158,7 @@
     """A client's request has arrived."""
 
     id: str
-    grade: int  # class index
+    class_index: int  # class index
     budget: int  # time until the client abandons this try
     tenant: int = 0
     key: str = ""  # key of the data it concerns, by which servers may cache
