--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -162,7 +162,7 @@
     budget: int  # time until the client abandons this try
     tenant: int = 0
     key: str = ""  # key of the data it concerns, by which servers may cache
-    repeat: bool = False  # the client marked it as a retry
+    is_retry: bool = False  # the client marked it as a retry
     prior: PriorAttempt | None = None
     coming: bool = False  # its body is incomplete: its durations are not measured, and it may take long
 
