--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -164,7 +164,9 @@
     key: str = ""  # key of the data it concerns, by which servers may cache
     is_retry: bool = False  # the client marked it as a retry
     prior: PriorAttempt | None = None
-    coming: bool = False  # its body is incomplete: its durations are not measured, and it may take long
+    body_incomplete: bool = (
+        False  # its body is incomplete: its durations are not measured, and it may take long
+    )
 
 
 @dataclass(slots=True)
