--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -228,7 +228,7 @@
 
     endpoint: int
     errors: float
-    pace: float  # natural logarithm of the ratio of its latency to its kind's
+    log_latency_ratio: float  # natural logarithm of the ratio of its latency to its kind's
     paces: float  # number of answers that the ratio still counts as
 
 
