--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -239,7 +239,7 @@
     servers: tuple[RestoredServer, ...] = ()
     kinds: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
     usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
-    copies: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
+    hedge_tokens: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
     retries: float = 0.0  # retry tokens of the overload control, likewise
     gap: float = 0.0  # smoothed time between two requests; 0: unknown
 
