--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -240,7 +240,7 @@
     kinds: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
     usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
     hedge_tokens: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
-    retries: float = 0.0  # retry tokens of the overload control, likewise
+    retry_tokens: float = 0.0  # retry tokens of the overload control, likewise
     gap: float = 0.0  # smoothed time between two requests; 0: unknown
 
 
