--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -51,7 +51,7 @@
 from garnethaven.limits.retry_budget import RetryBudget
 from garnethaven.records import Attempt, LargePool, PendingRequest, Server
 from garnethaven.recovery.cold import COLD_PART, likely, warmth_of
-from garnethaven.turns import Turns
+from garnethaven.turns import WeightedRoundRobin
 
 # Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
 # too few answers of one server for that.
@@ -404,7 +404,9 @@
     def _rebuild_large_pool(self) -> None:
         """Assign every server of the pool to a leaf and set all weights."""
         if self.large_pool.scheduler is None or len(self.pool) > len(self.large_pool.servers_by_leaf):
-            self.large_pool.scheduler = Turns(len(self.pool) + len(self.pool) // SPARE_LEAF_DIVISOR)
+            self.large_pool.scheduler = WeightedRoundRobin(
+                len(self.pool) + len(self.pool) // SPARE_LEAF_DIVISOR
+            )
             self.large_pool.scheduler.randomize(self.rng)
             self.large_pool.servers_by_leaf = [None] * self.large_pool.scheduler.level_widths[0]
             self.large_pool.free_leaves = list(range(len(self.large_pool.servers_by_leaf) - 1, -1, -1))
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from garnethaven.interface import Endpoint, Request, RequestClass
-from garnethaven.turns import Turns
+from garnethaven.turns import WeightedRoundRobin
 
 # Deadline of a request whose body is still being received, in nanoseconds; the reader of the body applies
 # much tighter limits.
@@ -128,7 +128,7 @@
     )
 
     def __init__(self) -> None:
-        self.scheduler: Turns | None = None
+        self.scheduler: WeightedRoundRobin | None = None
         self.servers_by_leaf: list[Server | None] = []
         self.leaf_by_id: dict[int, int] = {}
         self.free_leaves: list[int] = []
--- a/garnethaven/turns.py
+++ b/garnethaven/turns.py
@@ -27,7 +27,7 @@
 FAN_OUT = 8
 
 
-class Turns:
+class WeightedRoundRobin:
     """Weighted round-robin over the leaves 0 to `size` - 1; a leaf of weight 0 is never picked."""
 
     def __init__(self, size: int) -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from garnethaven.turns import FAN_OUT, Turns
+from garnethaven.turns import FAN_OUT, WeightedRoundRobin
 
 
 def plain_counts(weights: list[float], picks: int) -> list[int]:
@@ -23,8 +23,8 @@
     return counts
 
 
-def scheduler_with(weights: list[float]) -> Turns:
-    scheduler = Turns(len(weights))
+def scheduler_with(weights: list[float]) -> WeightedRoundRobin:
+    scheduler = WeightedRoundRobin(len(weights))
     scheduler.set_weights(weights)
     return scheduler
 
@@ -63,7 +63,7 @@
     scheduler = scheduler_with([1.0, 0.0, 1.0] * 10)
     assert all(leaf is not None and leaf % 3 != 1 for leaf in (scheduler.pick() for _ in range(100)))
     assert scheduler_with([0.0] * 20).pick() is None
-    assert Turns(0).pick() is None
+    assert WeightedRoundRobin(0).pick() is None
 
 
 def test_a_weight_that_changes_is_followed_and_no_rounding_adds_up() -> None:
