--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -720,7 +720,7 @@
     def _hedge_time(self, pending: PendingRequest) -> int:
         """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
         latency = self.usual.get(pending.class_index, 0.0)
-        idempotency = pending.grade.effect
+        idempotency = pending.request_class.effect
         if not self.settings.hedging or not latency or idempotency is Idempotency.FRAGILE or pending.coming:
             return 0
         if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
@@ -922,12 +922,12 @@
 
     def _should_shed(self, pending: PendingRequest, is_retry: bool) -> bool:
         """Whether to refuse an arriving request, lowest value first (limits/overload.py)."""
-        value = pending.grade.worth
+        value = pending.request_class.worth
         over_share = self._tenant_over_share(pending.tenant)
         if over_share:
             value *= self.settings.over_share_worth
         refused = self.overload.refuses(
-            value, pending.grade.aim, len(self.held) - 1 - self.streaming_count, over_share, is_retry
+            value, pending.request_class.aim, len(self.held) - 1 - self.streaming_count, over_share, is_retry
         )
         pending.over_share = refused and over_share
         return refused
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -82,18 +82,18 @@
         "class_index",
         "coming",
         "deadline",
-        "grade",
         "id",
         "key",
         "lateness_recorded",
         "over_share",
+        "request_class",
         "target_at",
         "tenant",
     )
 
     def __init__(self, request: Request, request_class: RequestClass, now: int, elapsed: int) -> None:
         self.id = request.id
-        self.grade = request_class
+        self.request_class = request_class
         self.class_index = request.grade
         self.deadline = now + request.budget
         # An answer after this time is late. The client measures from its first try, `elapsed` ago.
