--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -78,7 +78,6 @@
 
     __slots__ = (
         "attempts",
-        "bound",
         "class_index",
         "coming",
         "deadline",
@@ -87,6 +86,7 @@
         "lateness_recorded",
         "over_share",
         "request_class",
+        "streaming",
         "target_at",
         "tenant",
     )
@@ -106,7 +106,7 @@
         self.over_share = False  # refused, and its tenant exceeds its share
         # Reported as in time or late. A retry is not reported: its lateness says little of the servers.
         self.lateness_recorded = elapsed > 0
-        self.bound = False  # a stream has begun: no other attempt may answer
+        self.streaming = False  # a stream has begun: no other attempt may answer
         # The request body is incomplete: the duration depends on the client, not on the servers.
         self.coming = request.coming
         if request.coming:
