--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -686,12 +686,12 @@
             pending.attempts.append(self._prior_attempt(request.prior))
         self.overload.arrives(self.now)
         self.copies = min(MAX_HEDGE_TOKENS, self.copies + HEDGES_PER_REQUEST)
-        self.streaming_count += pending.coming
+        self.streaming_count += pending.body_incomplete
         # A retry whose answer would come too late to have any value would only take capacity from others.
         if self.now >= pending.deadline or self._should_shed(pending, request.repeat):
             self._finish(pending)
             return
-        if not pending.coming:
+        if not pending.body_incomplete:
             self._set_timer(pending, min(pending.target_at, pending.deadline))
         hedge_at = self._hedge_time(pending)
         if hedge_at > self.now:
@@ -721,7 +721,12 @@
         """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
         latency = self.usual.get(pending.class_index, 0.0)
         idempotency = pending.request_class.effect
-        if not self.settings.hedging or not latency or idempotency is Idempotency.FRAGILE or pending.coming:
+        if (
+            not self.settings.hedging
+            or not latency
+            or idempotency is Idempotency.FRAGILE
+            or pending.body_incomplete
+        ):
             return 0
         if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
             return 0
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -78,8 +78,8 @@
 
     __slots__ = (
         "attempts",
+        "body_incomplete",
         "class_index",
-        "coming",
         "deadline",
         "id",
         "key",
@@ -108,7 +108,7 @@
         self.lateness_recorded = elapsed > 0
         self.streaming = False  # a stream has begun: no other attempt may answer
         # The request body is incomplete: the duration depends on the client, not on the servers.
-        self.coming = request.coming
+        self.body_incomplete = request.coming
         if request.coming:
             self.target_at = self.deadline = now + COMING_MOST
             self.lateness_recorded = True
