--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -27,7 +27,7 @@
         "id_hash",
         "in_rotation",
         "kind",
-        "pace",
+        "log_latency_ratio",
         "paces",
         "started",
         "state",
@@ -46,7 +46,7 @@
         self.current_weight = 0.0  # of smooth weighted round-robin: rounds that it is ahead of its turn
         self.in_rotation = False  # False until its first turn
         self.capacity = 0.0  # listed units divided by the latency ratios of its kind and of the server
-        self.pace = 0.0  # natural logarithm of the ratio of its latency to its kind's
+        self.log_latency_ratio = 0.0  # natural logarithm of the ratio of its latency to its kind's
         self.paces = 0.0  # number of answers behind that ratio, capped at the smoothing window
         self.update(entry)
 
