--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -136,7 +136,9 @@
         self.usual: dict[int, float] = {}  # smoothed latency of good answers, by class index
         self.overload = Overload(self.rng)
         self.retry_budget = RetryBudget()
-        self.pace: dict[int, float] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
+        self.kind_latency_ratios: dict[
+            int, float
+        ] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
         self.copies = 1.0  # hedge tokens
         self.patience: dict[int, int] = {}  # the largest time budget that a client sent, by class index
         self.clients_mark_retries = False  # once one is marked, unmarked requests count as first tries
@@ -240,7 +242,7 @@
                 server = self.servers[restored.endpoint]
                 server.errors, server.errors_updated_at = restored.errors, self.now
                 server.pace, server.paces = restored.pace, restored.paces
-        self.pace |= event.kinds
+        self.kind_latency_ratios |= event.kinds
         self.usual |= event.usual
         self.copies = min(self.copies, event.copies)  # a process that restarts often must not refill it
         self.overload.retries = min(self.overload.retries, event.retries)
@@ -379,7 +381,9 @@
         self.reweight_at = self.now + max(1, self.settings.ramp_time // reweights_per_ramp)
 
     def _update_capacity_and_health(self, server: Server) -> None:
-        server.capacity = server.units / self.pace.get(server.kind, 1.0) / self._server_latency_ratio(server)
+        server.capacity = (
+            server.units / self.kind_latency_ratios.get(server.kind, 1.0) / self._server_latency_ratio(server)
+        )
         server.health = max(MIN_HEALTH, self.health_per_error ** self.errors_of(server))
 
     def _update_max_cold_factor(self, warmths: list[float]) -> None:
@@ -847,10 +851,10 @@
         the fast one idles. A kind has many servers, so that even a sidecar with few requests has enough
         samples of it.
         """
-        kind_ratio = self.pace.get(server.kind, 1.0)
-        self.pace[server.kind] = kind_ratio + (ratio - kind_ratio) / KIND_RATIO_WINDOW
+        kind_ratio = self.kind_latency_ratios.get(server.kind, 1.0)
+        self.kind_latency_ratios[server.kind] = kind_ratio + (ratio - kind_ratio) / KIND_RATIO_WINDOW
 
-        log_ratio_to_kind = math.log(max(ratio, 1e-3) / self.pace[server.kind])
+        log_ratio_to_kind = math.log(max(ratio, 1e-3) / self.kind_latency_ratios[server.kind])
         server.paces = min(server.paces + 1, self.server_ratio_window)
         server.pace += (log_ratio_to_kind - server.pace) / server.paces
 
