--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -139,7 +139,7 @@
         self.kind_latency_ratios: dict[
             int, float
         ] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
-        self.copies = 1.0  # hedge tokens
+        self.hedge_tokens = 1.0  # hedge tokens
         self.patience: dict[int, int] = {}  # the largest time budget that a client sent, by class index
         self.clients_mark_retries = False  # once one is marked, unmarked requests count as first tries
         self.last_unserved_at = DISTANT_PAST  # when a request last ended without a good answer
@@ -244,7 +244,9 @@
                 server.pace, server.paces = restored.pace, restored.paces
         self.kind_latency_ratios |= event.kinds
         self.usual |= event.usual
-        self.copies = min(self.copies, event.copies)  # a process that restarts often must not refill it
+        self.hedge_tokens = min(
+            self.hedge_tokens, event.copies
+        )  # a process that restarts often must not refill it
         self.overload.retries = min(self.overload.retries, event.retries)
         # Otherwise a burst after the restart would look like a high request rate and lower the error penalty.
         self.overload.gap = event.gap or self.overload.gap
@@ -670,9 +672,9 @@
         if tries > 1 or not self._may_send(pending, last.server):
             return []
         if self._warmth(last.server) < 1.0:
-            if self.copies < 1.0 or self._rate_per_server() < HIGH_REQUEST_RATE:
+            if self.hedge_tokens < 1.0 or self._rate_per_server() < HIGH_REQUEST_RATE:
                 return []
-            self.copies -= 1.0
+            self.hedge_tokens -= 1.0
         return [last.server]
 
     # Request lifecycle
@@ -689,7 +691,7 @@
         if request.prior is not None:
             pending.attempts.append(self._prior_attempt(request.prior))
         self.overload.arrives(self.now)
-        self.copies = min(MAX_HEDGE_TOKENS, self.copies + HEDGES_PER_REQUEST)
+        self.hedge_tokens = min(MAX_HEDGE_TOKENS, self.hedge_tokens + HEDGES_PER_REQUEST)
         self.streaming_count += pending.body_incomplete
         # A retry whose answer would come too late to have any value would only take capacity from others.
         if self.now >= pending.deadline or self._should_shed(pending, request.repeat):
@@ -744,13 +746,13 @@
         has detected the fault already: a request that is overdue there is expensive, and so is its hedge. The
         tokens keep hedges from adding to an overload.
         """
-        if self.copies < 1.0 or self.overload.refused_share > 0.0 or len(pending.attempts) != 1:
+        if self.hedge_tokens < 1.0 or self.overload.refused_share > 0.0 or len(pending.attempts) != 1:
             return
         if self._rate_per_server() * self.half_life / SECOND >= UNHEDGED_REQUESTS_PER_HALF_LIFE:
             return
         server = self._pick_with_retry_budget(pending)
         if server is not None:
-            self.copies -= 1.0
+            self.hedge_tokens -= 1.0
             self._send(pending, server)
 
     def _elapsed(self, request: Request, request_class: RequestClass) -> int:
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -96,7 +96,7 @@
     for budget_closed in (False, True):
         driver = closed_driver() if budget_closed else Driver(fleet(8))
         driver.balancer.overload.refused_share = 0.0
-        driver.balancer.copies = 5.0
+        driver.balancer.hedge_tokens = 5.0
         for _ in range(4):
             driver.serve(Outcome.DONE, after=1 * MS)
         driver.balancer.overload.gap = 2 * S  # sparse requests, so that a hedge is useful
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -207,7 +207,7 @@
 def test_fragile_requests_and_overloads_get_no_copies() -> None:
     assert hedges_of_overdue_request(Driver(fleet(4)), grade=1) == []
     driver = Driver(fleet(4))
-    driver.balancer.copies = -100.0
+    driver.balancer.hedge_tokens = -100.0
     assert hedges_of_overdue_request(driver) == []
 
 
