--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -63,11 +63,11 @@
         "budget",
         "call_id",
         "caller",
+        "class_index",
         "client",
         "coming",
         "deadline",
         "dedup_key",
-        "grade",
         "id",
         "key",
         "open",
@@ -84,7 +84,7 @@
         self.call_id = call_id  # the client's id of the request; `id` is the engine's
         self.transport = transport
         self.request = request  # the transport's form of the request; released with the answer
-        self.grade = self.caller = -1
+        self.class_index = self.caller = -1
         self.key = ""
         self.tenant = ""  # as sent by the client, whether or not the settings name it
         self.dedup_key = b""  # idempotency key by which servers drop repeats; empty if the client sent none
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -82,7 +82,7 @@
             # Nothing of this request ran through this life; of one that comes again that is not known.
             return immediate(502 if mapped.comes_again else 503, "ext_proc: the processor is overloaded")
         self.call = call = Call(self, mapped.call_id, ReportTransport(self))
-        call.grade, call.caller, call.key = mapped.grade, mapped.tenant, mapped.key
+        call.class_index, call.caller, call.key = mapped.grade, mapped.tenant, mapped.key
         call.tenant = mapped.caller
         call.budget, call.repeat = mapped.budget, mapped.repeat
         call.prior, self.checked = front.prior(mapped)
--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -132,7 +132,7 @@
         if budget <= 0:
             raise MappingError(Status.DEADLINE_EXCEEDED, "grpc-timeout leaves no time")
         self.call = call = Call(self, told, front.transport, self)
-        call.grade, call.budget, call.key = grade, budget, ""
+        call.class_index, call.budget, call.key = grade, budget, ""
         call.tenant = (value(headers, b"x-caller") or b"").decode("latin-1")
         call.caller = front.classes.tenant_of(call.tenant)
         call.repeat = (value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
--- a/garnethaven/net/call_making.py
+++ b/garnethaven/net/call_making.py
@@ -25,7 +25,7 @@
     """Build the call of a request whose head has been received; its body may be incomplete."""
     request = HttpRequest(client, head.forwarded, incoming.streamed_body or incoming.body)
     call = Call(client, head.call_id, transport, request)
-    call.grade = head.request_class
+    call.class_index = head.request_class
     # A budget beyond the class's deadline would only keep memory in use.
     call.budget = min(head.budget_ms * MS, settings.grades[head.request_class].deadline)
     call.caller = head.caller
