--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -69,10 +69,10 @@
         "deadline",
         "dedup_key",
         "id",
+        "is_retry",
         "key",
         "open",
         "prior",
-        "repeat",
         "request",
         "taken_at",
         "tenant",
@@ -88,7 +88,7 @@
         self.key = ""
         self.tenant = ""  # as sent by the client, whether or not the settings name it
         self.dedup_key = b""  # idempotency key by which servers drop repeats; empty if the client sent none
-        self.repeat = False
+        self.is_retry = False
         self.budget = self.deadline = self.taken_at = 0
         self.id = ""
         self.attempts: list[Attempt | None] = []  # None: not sent by this process
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -84,7 +84,7 @@
         self.call = call = Call(self, mapped.call_id, ReportTransport(self))
         call.class_index, call.caller, call.key = mapped.grade, mapped.tenant, mapped.key
         call.tenant = mapped.caller
-        call.budget, call.repeat = mapped.budget, mapped.repeat
+        call.budget, call.is_retry = mapped.budget, mapped.repeat
         call.prior, self.checked = front.prior(mapped)
         if not front.engine.take(call):
             self.call, self.over = None, True
--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -135,7 +135,7 @@
         call.class_index, call.budget, call.key = grade, budget, ""
         call.tenant = (value(headers, b"x-caller") or b"").decode("latin-1")
         call.caller = front.classes.tenant_of(call.tenant)
-        call.repeat = (value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
+        call.is_retry = (value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
         return call
 
     def data(self, data: bytes, flow: int) -> None:
--- a/garnethaven/net/call_making.py
+++ b/garnethaven/net/call_making.py
@@ -31,7 +31,7 @@
     call.caller = head.caller
     call.tenant = head.tenant
     call.key = head.key
-    call.repeat = head.is_retry
+    call.is_retry = head.is_retry
     call.dedup_key = head.dedup_key
     call.coming = incoming.streamed_body is not None and not incoming.streamed_body.complete
     return call
