--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -59,13 +59,13 @@
         "__weakref__",
         "answered",
         "attempts",
+        "body_incomplete",
         "bound",
         "budget",
         "call_id",
         "caller",
         "class_index",
         "client",
-        "coming",
         "deadline",
         "dedup_key",
         "id",
@@ -94,7 +94,7 @@
         self.attempts: list[Attempt | None] = []  # None: not sent by this process
         self.open = 0  # attempts that have not ended
         self.answered = False
-        self.coming = False  # the last byte of the request has not arrived
+        self.body_incomplete = False  # the last byte of the request has not arrived
         self.bound: Attempt | None = None  # the attempt whose answer is streaming to the client
         self.prior: PriorAttempt | None = (
             None  # an attempt made before this process started; counts as the first
--- a/garnethaven/net/call_making.py
+++ b/garnethaven/net/call_making.py
@@ -33,5 +33,5 @@
     call.key = head.key
     call.is_retry = head.is_retry
     call.dedup_key = head.dedup_key
-    call.coming = incoming.streamed_body is not None and not incoming.streamed_body.complete
+    call.body_incomplete = incoming.streamed_body is not None and not incoming.streamed_body.complete
     return call
