--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -60,7 +60,6 @@
         "answered",
         "attempts",
         "body_incomplete",
-        "bound",
         "budget",
         "call_id",
         "caller",
@@ -74,6 +73,7 @@
         "open",
         "prior",
         "request",
+        "streaming_attempt",
         "taken_at",
         "tenant",
         "transport",
@@ -95,7 +95,7 @@
         self.open = 0  # attempts that have not ended
         self.answered = False
         self.body_incomplete = False  # the last byte of the request has not arrived
-        self.bound: Attempt | None = None  # the attempt whose answer is streaming to the client
+        self.streaming_attempt: Attempt | None = None  # the attempt whose answer is streaming to the client
         self.prior: PriorAttempt | None = (
             None  # an attempt made before this process started; counts as the first
         )
