--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -11,14 +11,14 @@
 
     def __init__(self, settings: Settings, names: Names) -> None:
         self.settings = settings
-        self.grades = numbered(names.grades)
+        self.class_indexes = numbered(names.grades)
         self.tenants = numbered(names.tenants)
 
     def grade_of(self, name: str, keyed: bool) -> int | None:
         """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
-        index = self.grades.get(name)
+        index = self.class_indexes.get(name)
         if index is not None and self.settings.grades[index].effect is Idempotency.DEDUP and not keyed:
-            index += len(self.grades)
+            index += len(self.class_indexes)
         return index
 
     def tenant_of(self, name: str) -> int:
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -33,7 +33,7 @@
 
 def test_without_its_key_a_request_is_of_the_unsafe_twin() -> None:
     bare = {name: value for name, value in GOOD.items() if name != "idempotency-key"}
-    assert map_request(bare, CLASSES, ()).grade == len(CLASSES.grades)
+    assert map_request(bare, CLASSES, ()).grade == len(CLASSES.class_indexes)
 
 
 @pytest.mark.parametrize(
