--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -18,7 +18,7 @@
 class Names:
     """Names of request classes, tenants, zones and host types, each at the balancer's index for it."""
 
-    grades: tuple[str, ...]
+    request_classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
