--- a/garnethaven/extproc/table.py
+++ b/garnethaven/extproc/table.py
@@ -12,7 +12,7 @@
 class Route(Table, frozen=True):
     """One rule of the operator's: requests that fit are of this class."""
 
-    grade: Annotated[str, said("the class of what fits", "class")] = field(name="class")
+    class_name: Annotated[str, said("the class of what fits", "class")] = field(name="class")
     path: Annotated[str, said("what the path begins with")] = "/"
     method: Annotated[str, said("any where it is left out")] = ""
 
