--- a/garnethaven/grpcs/table.py
+++ b/garnethaven/grpcs/table.py
@@ -13,7 +13,7 @@
     """One rule of the operator's for gRPC methods."""
 
     path: Annotated[str, said("a service (`/pkg.Service/`) or a method; the longest that fits counts")]
-    grade: Annotated[str, said("the class of its calls", "class")] = field(name="class")
+    class_name: Annotated[str, said("the class of its calls", "class")] = field(name="class")
     streams: Annotated[bool, said("its answers are passed on as they come")] = False
     keyed: Annotated[bool, said("its servers drop repeats by the call id")] = False
 
