--- a/garnethaven/net/requests.py
+++ b/garnethaven/net/requests.py
@@ -80,7 +80,7 @@
     """
 
     call_id: bytes
-    request_class: int
+    class_index: int
     budget_ms: int
     caller: int
     tenant: str
