--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -65,7 +65,7 @@
 # The local zone keeps all its requests while its weight is at least 1 / LOCAL_ZONE_HEADROOM of an even share.
 LOCAL_ZONE_HEADROOM = 1.3
 MIN_SIDECARS_PER_ZONE = 24  # in smaller fleets the sidecars are spread unevenly over zones by chance
-MANY = 64  # larger pools use a tree for round-robin, where a change updates one path only
+LARGE_POOL_THRESHOLD = 64  # larger pools use a tree for round-robin, where a change updates one path only
 LARGE_POOL_REWEIGHTS_PER_RAMP = 2  # of all weights: what affects all of them changes slowly
 SPARE_LEAF_DIVISOR = 8  # a tree is built with 1/8 more leaves than servers, for servers that join later
 RETRY_SAMPLE_SIZE = 16  # servers of a large pool that a retry chooses from
@@ -208,7 +208,7 @@
         if (
             event.kind is ListKind.DELTA
             and self.large_pool.scheduler is not None
-            and len(event.endpoints) < MANY
+            and len(event.endpoints) < LARGE_POOL_THRESHOLD
         ):
             for entry in event.endpoints:
                 self._update_endpoint(entry)
@@ -373,7 +373,7 @@
         self.total_weight = sum(server.weight for server in self.pool) or 1.0
         for server in self.pool:
             server.weight /= self.total_weight
-        if len(self.pool) > MANY:
+        if len(self.pool) > LARGE_POOL_THRESHOLD:
             self._rebuild_large_pool()
             reweights_per_ramp = LARGE_POOL_REWEIGHTS_PER_RAMP  # changing weights are refreshed in between
         else:
@@ -465,7 +465,7 @@
                 del self.pool[index]
             self._release_leaf(endpoint)
             self.large_pool.changed.pop(endpoint, None)
-            if len(self.pool) <= MANY // 2:
+            if len(self.pool) <= LARGE_POOL_THRESHOLD // 2:
                 self.reweight_at = self.now  # small enough to go back to the plain rotation
             return
         if present:
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -5,7 +5,7 @@
 import pytest
 
 from garnethaven import Balancer
-from garnethaven.brain import MANY
+from garnethaven.brain import LARGE_POOL_THRESHOLD
 from garnethaven.interface import (
     AttemptEnded,
     CordonChange,
@@ -26,7 +26,7 @@
 
 S = 1_000_000_000
 SLOW_START = 10 * S
-COUNTS = [3, MANY + 10]  # weighted round-robin by a linear scan, and by a tree
+COUNTS = [3, LARGE_POOL_THRESHOLD + 10]  # weighted round-robin by a linear scan, and by a tree
 
 
 def make_balancer(count: int, started: int = 0) -> Balancer:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnethaven.brain import MANY, MIN_HEALTH
+from garnethaven.brain import LARGE_POOL_THRESHOLD, MIN_HEALTH
 from garnethaven.interface import Endpoint, Fail, ListKind, Membership, Outcome, Refuse, State
 from garnethaven.limits.retry_budget import RetryBudget
 from tests.helpers import MS, SETTINGS, Driver, S, fleet, of, sends
@@ -19,12 +19,12 @@
 
 
 def test_many_servers_take_turns_in_a_tree_and_a_few_in_the_ring() -> None:
-    driver = driver_of(MANY + 1)
+    driver = driver_of(LARGE_POOL_THRESHOLD + 1)
     assert driver.balancer.large_pool.scheduler is not None
     driver.feed(Membership(ListKind.DELTA, (Endpoint(1, state=State.REMOVED),)))
-    driver.feed(Membership(ListKind.FULL, fleet(MANY)))
+    driver.feed(Membership(ListKind.FULL, fleet(LARGE_POOL_THRESHOLD)))
     assert driver.balancer.large_pool.scheduler is None
-    assert len({driver.target() for _ in range(MANY)}) >= MANY - 8
+    assert len({driver.target() for _ in range(LARGE_POOL_THRESHOLD)}) >= LARGE_POOL_THRESHOLD - 8
 
 
 @pytest.mark.parametrize("seed", range(4))
