--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -146,7 +146,7 @@
         self.tenant_credits = [1.0] * len(settings.tenants)
         self.next_token = WATCH_TOKEN + 1
         self.timers: dict[int, str] = {}  # request id by timer token
-        self.held: dict[str, PendingRequest] = {}  # by request id
+        self.pending_requests: dict[str, PendingRequest] = {}  # by request id
         self.streaming_count = 0  # pending requests that stream or upload: long-lived, so not a queue
         self.handlers = {
             Request: self._on_request,
@@ -687,7 +687,7 @@
             else UNKNOWN_REQUEST_CLASS
         )
         pending = PendingRequest(request, request_class, self.now, self._elapsed(request, request_class))
-        self.held[pending.id] = pending
+        self.pending_requests[pending.id] = pending
         if request.prior is not None:
             pending.attempts.append(self._prior_attempt(request.prior))
         self.overload.arrives(self.now)
@@ -778,7 +778,7 @@
         return elapsed if request.repeat or too_late else 0
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        pending = self.held.get(event.id)
+        pending = self.pending_requests.get(event.id)
         if event.outcome is Outcome.DONE:
             self.retry_budget.answered()
         elif event.outcome is Outcome.BUSY:
@@ -870,13 +870,13 @@
         return math.exp(server.pace * server.paces / (server.paces + self.shrinkage_samples))
 
     def _on_client_left(self, event: ClientLeft) -> None:
-        pending = self.held.get(event.id)
+        pending = self.pending_requests.get(event.id)
         if pending is not None:
             self.last_unserved_at = self.now  # the client may have ended only this try, and retry
             self._close_request(pending)
 
     def _on_stream_began(self, event: StreamBegan) -> None:
-        pending = self.held.get(event.id)
+        pending = self.pending_requests.get(event.id)
         if pending is not None and not pending.bound:
             pending.bound = True
             self.streaming_count += not pending.coming
@@ -894,7 +894,7 @@
         if event.token == WATCH_TOKEN:
             self.actions.append(Watch())
             return
-        pending = self.held.get(self.timers.pop(event.token, ""))
+        pending = self.pending_requests.get(self.timers.pop(event.token, ""))
         if pending is None or pending.bound:  # a stream that has begun may last without being slow
             return
         if self.now < min(pending.target_at, pending.deadline):
@@ -915,7 +915,7 @@
 
     def _close_request(self, pending: PendingRequest) -> None:
         """Remove a request that is answered, finished or abandoned, and cancel its open attempts."""
-        del self.held[pending.id]
+        del self.pending_requests[pending.id]
         self.streaming_count -= pending.bound or pending.coming
         if self.settings.cancel and not pending.bound:
             for number, attempt in enumerate(pending.attempts):
@@ -938,7 +938,11 @@
         if over_share:
             value *= self.settings.over_share_worth
         refused = self.overload.refuses(
-            value, pending.request_class.aim, len(self.held) - 1 - self.streaming_count, over_share, is_retry
+            value,
+            pending.request_class.aim,
+            len(self.pending_requests) - 1 - self.streaming_count,
+            over_share,
+            is_retry,
         )
         pending.over_share = refused and over_share
         return refused
