--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -133,7 +133,7 @@
         # The published 10 minutes far outlast a failure. The ramp time gives a server that recovers from
         # errors as long as a restarted one.
         self.half_life = max(1, settings.ramp_time)
-        self.usual: dict[int, float] = {}  # smoothed latency of good answers, by class index
+        self.latency_estimates: dict[int, float] = {}  # smoothed latency of good answers, by class index
         self.overload = Overload(self.rng)
         self.retry_budget = RetryBudget()
         self.kind_latency_ratios: dict[
@@ -243,7 +243,7 @@
                 server.errors, server.errors_updated_at = restored.errors, self.now
                 server.pace, server.paces = restored.pace, restored.paces
         self.kind_latency_ratios |= event.kinds
-        self.usual |= event.usual
+        self.latency_estimates |= event.usual
         self.hedge_tokens = min(
             self.hedge_tokens, event.copies
         )  # a process that restarts often must not refill it
@@ -725,7 +725,7 @@
 
     def _hedge_time(self, pending: PendingRequest) -> int:
         """Return when to hedge the request: late enough to be rare, in time for its target; 0 for never."""
-        latency = self.usual.get(pending.class_index, 0.0)
+        latency = self.latency_estimates.get(pending.class_index, 0.0)
         idempotency = pending.request_class.effect
         if (
             not self.settings.hedging
@@ -838,10 +838,12 @@
     def _too_slow(self, server: Server, pending: PendingRequest, duration: int) -> bool:
         """Update the latency estimates by an answer; return whether it was far slower than its class's."""
         class_index = pending.class_index
-        latency = self.usual.get(class_index, 0.0)
+        latency = self.latency_estimates.get(class_index, 0.0)
         limit = min(SLOW_FACTOR * latency, pending.grade.aim) if latency else pending.grade.aim
         capped = min(duration, pending.grade.aim)
-        self.usual[class_index] = latency + (capped - latency) / LATENCY_WINDOW if latency else capped
+        self.latency_estimates[class_index] = (
+            latency + (capped - latency) / LATENCY_WINDOW if latency else capped
+        )
         if latency:
             self._update_latency_ratio(server, capped / latency)
         return duration > limit
@@ -908,7 +910,7 @@
         for attempt in pending.attempts:
             if attempt.open and not attempt.counted_as_slow:
                 attempt.counted_as_slow = True
-                latency = self.usual.get(pending.class_index, 0.0)
+                latency = self.latency_estimates.get(pending.class_index, 0.0)
                 if latency:
                     self._update_latency_ratio(attempt.server, max(1.0, pending.grade.aim / latency))
                 self._record_failure(attempt.server)
--- a/garnethaven/state/snapshot.py
+++ b/garnethaven/state/snapshot.py
@@ -54,7 +54,7 @@
 def collect_statistics(balancer: Balancer, servers: list[StoredServer]) -> Statistics:
     """All statistics of the balancer, with those of `servers`."""
     overload = balancer.overload
-    latency_ratios, usual = dict(balancer.pace), dict(balancer.usual)
+    latency_ratios, usual = dict(balancer.pace), dict(balancer.latency_estimates)
     return Statistics(servers, latency_ratios, usual, balancer.copies, overload.retries, overload.gap)
 
 
