--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -140,7 +140,9 @@
             int, float
         ] = {}  # smoothed latency ratio to the class's estimate, by endpoint kind
         self.hedge_tokens = 1.0  # hedge tokens
-        self.patience: dict[int, int] = {}  # the largest time budget that a client sent, by class index
+        self.max_client_budgets: dict[
+            int, int
+        ] = {}  # the largest time budget that a client sent, by class index
         self.clients_mark_retries = False  # once one is marked, unmarked requests count as first tries
         self.last_unserved_at = DISTANT_PAST  # when a request last ended without a good answer
         self.tenant_credits = [1.0] * len(settings.tenants)
@@ -765,8 +767,8 @@
         it gained. Limitation: during that time it misjudges a client that gives a first try a smaller budget
         than others.
         """
-        max_budget = max(self.patience.get(request.grade, 0), request.budget)
-        self.patience[request.grade] = max_budget
+        max_budget = max(self.max_client_budgets.get(request.grade, 0), request.budget)
+        self.max_client_budgets[request.grade] = max_budget
         self.clients_mark_retries = self.clients_mark_retries or request.repeat
         may_be_unmarked_retry = (
             not self.clients_mark_retries and self.now - self.last_unserved_at < request_class.deadline
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -39,7 +39,7 @@
 def test_one_before_its_aim_is_sent_as_a_first_try_is() -> None:
     driver = sidecar()
     refuse_one(driver)
-    driver.balancer.patience[PROMPT_CLASS] = 2 * S  # clients use the whole deadline as timeout
+    driver.balancer.max_client_budgets[PROMPT_CLASS] = 2 * S  # clients use the whole deadline as timeout
     (send,) = sends(driver.ask(PROMPT_CLASS, budget=1_700 * MS))
     assert send.limit == PROMPT.aim
 
