--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -164,7 +164,7 @@
             ProcessResumed: lambda _: self._begin_startup_window(),
         }
 
-    def standing(self, endpoint: int) -> tuple[float, bool]:
+    def warmth_and_penalty(self, endpoint: int) -> tuple[float, bool]:
         """Return an endpoint's warmth, 0 to 1, and whether errors penalise it; (0, True) if not listed."""
         server = self.servers.get(endpoint)
         if server is None:
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -64,16 +64,16 @@
     balancer = make_balancer(count)
     balancer.handle(S, CordonChange(0, True))
     balancer.handle(3 * S, CordonChange(0, False))
-    assert balancer.standing(0)[0] == pytest.approx(0.2)
+    assert balancer.warmth_and_penalty(0)[0] == pytest.approx(0.2)
     balancer.handle(4 * S, Membership(ListKind.FULL, tuple(Endpoint(n) for n in range(count))))
-    assert balancer.standing(0)[0] == pytest.approx(0.28)
+    assert balancer.warmth_and_penalty(0)[0] == pytest.approx(0.28)
     # Discovery reports its start time.
     balancer.handle(5 * S, Membership(ListKind.DELTA, (Endpoint(0, started=2 * S),)))
-    assert balancer.standing(0)[0] == pytest.approx(0.44)
+    assert balancer.warmth_and_penalty(0)[0] == pytest.approx(0.44)
     request_count = send_requests(balancer, 5 * S, 10 * count, "c").count(0)
     assert 0 < request_count < 10
     balancer.handle(3 * S + SLOW_START, CordonChange(1, False))  # was never cordoned
-    assert balancer.standing(0)[0] == 1.0 and balancer.standing(1)[0] == 1.0
+    assert balancer.warmth_and_penalty(0)[0] == 1.0 and balancer.warmth_and_penalty(1)[0] == 1.0
 
 
 def test_the_last_of_a_rack_out_leaves_a_lost_keyed_request_no_place() -> None:
