--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -169,7 +169,7 @@
         server = self.servers.get(endpoint)
         if server is None:
             return 0.0, True
-        return self._warmth(server), self.errors_of(server) >= 1.0
+        return self._warmth(server), self.decayed_errors(server) >= 1.0
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Process one event at time `now` and return the resulting actions in order."""
@@ -302,7 +302,7 @@
     # Health and weights
 
     def _record_failure(self, server: Server) -> None:
-        server.errors = self.errors_of(server) + 1.0
+        server.errors = self.decayed_errors(server) + 1.0
         server.errors_updated_at = self.now
         self._mark_weight_stale(server)
 
@@ -318,7 +318,7 @@
         else:
             self.large_pool.changed[server.id] = server
 
-    def errors_of(self, server: Server) -> float:
+    def decayed_errors(self, server: Server) -> float:
         """Return the server's error count, decayed to the present."""
         if not server.errors:
             return 0.0
@@ -388,7 +388,7 @@
         server.capacity = (
             server.units / self.kind_latency_ratios.get(server.kind, 1.0) / self._server_latency_ratio(server)
         )
-        server.health = max(MIN_HEALTH, self.health_per_error ** self.errors_of(server))
+        server.health = max(MIN_HEALTH, self.health_per_error ** self.decayed_errors(server))
 
     def _update_max_cold_factor(self, warmths: list[float]) -> None:
         """Bound the weight of cold servers, so that the fleet together stays under `fall_multiple`.
--- a/garnethaven/state/snapshot.py
+++ b/garnethaven/state/snapshot.py
@@ -45,7 +45,7 @@
 ) -> Iterator[StoredServer]:
     """The balancer's statistics of these servers, as of its last event."""
     for server in servers:
-        errors = balancer.errors_of(server)
+        errors = balancer.decayed_errors(server)
         if errors or server.paces:
             start = started_ms(server.started, clock_offset)
             yield StoredServer(name_of(server.id), start, errors, server.pace, server.paces)
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -82,7 +82,7 @@
     driver.balancer.now = START
     driver.balancer._record_failure(server)
     driver.balancer.now = START + driver.balancer.half_life
-    assert driver.balancer.errors_of(server) == pytest.approx(0.5)
+    assert driver.balancer.decayed_errors(server) == pytest.approx(0.5)
 
 
 def test_a_retry_goes_to_the_healthiest_untried_server() -> None:
