--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -132,7 +132,7 @@
         self.failed_discovery_calls = 0  # consecutive, at most 2
         # The published 10 minutes far outlast a failure. The ramp time gives a server that recovers from
         # errors as long as a restarted one.
-        self.half_life = max(1, settings.ramp_time)
+        self.error_half_life = max(1, settings.ramp_time)
         self.latency_estimates: dict[int, float] = {}  # smoothed latency of good answers, by class index
         self.overload = Overload(self.rng)
         self.retry_budget = RetryBudget()
@@ -322,7 +322,7 @@
         """Return the server's error count, decayed to the present."""
         if not server.errors:
             return 0.0
-        age = (self.now - server.errors_updated_at) / self.half_life
+        age = (self.now - server.errors_updated_at) / self.error_half_life
         return server.errors * float(0.5**age)
 
     def _warmth(self, server: Server) -> float:
@@ -750,7 +750,7 @@
         """
         if self.hedge_tokens < 1.0 or self.overload.refused_share > 0.0 or len(pending.attempts) != 1:
             return
-        if self._rate_per_server() * self.half_life / SECOND >= UNHEDGED_REQUESTS_PER_HALF_LIFE:
+        if self._rate_per_server() * self.error_half_life / SECOND >= UNHEDGED_REQUESTS_PER_HALF_LIFE:
             return
         server = self._pick_with_retry_budget(pending)
         if server is not None:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -81,7 +81,7 @@
     server = driver.balancer.servers[1]
     driver.balancer.now = START
     driver.balancer._record_failure(server)
-    driver.balancer.now = START + driver.balancer.half_life
+    driver.balancer.now = START + driver.balancer.error_half_life
     assert driver.balancer.decayed_errors(server) == pytest.approx(0.5)
 
 
