--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -258,7 +258,7 @@
         """Whether a new attempt may go to the server: listed as up, and not cordoned."""
         return server.state is State.UP and server.id not in self.cordoned
 
-    def takes_new(self, endpoint: int) -> bool:
+    def accepts_attempts(self, endpoint: int) -> bool:
         """Whether a new attempt may begin at the endpoint; for transports that queue attempts."""
         server = self.servers.get(endpoint)
         return server is not None and self._selectable(server)
