--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -54,7 +54,7 @@
     TimerFired,
     Watch,
 )
-from garnethaven.records import COMING_MOST
+from garnethaven.records import MAX_BODY_RECEIVE_NS
 
 MS = 1_000_000
 S = 1_000_000_000
@@ -225,7 +225,7 @@
         call.id = str(next(self.call_numbers))
         self.calls[call.id] = call
         if call.coming:  # its time budget starts at its last byte
-            self._set_deadline(call, COMING_MOST)
+            self._set_deadline(call, MAX_BODY_RECEIVE_NS)
         else:
             self.account.take(call.grade)
             self._set_deadline(call, call.budget)
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -9,7 +9,7 @@
 
 # Deadline of a request whose body is still being received, in nanoseconds; the reader of the body applies
 # much tighter limits.
-COMING_MOST = 900_000_000_000
+MAX_BODY_RECEIVE_NS = 900_000_000_000
 
 
 class Server:
@@ -110,7 +110,7 @@
         # The request body is incomplete: the duration depends on the client, not on the servers.
         self.body_incomplete = request.coming
         if request.coming:
-            self.target_at = self.deadline = now + COMING_MOST
+            self.target_at = self.deadline = now + MAX_BODY_RECEIVE_NS
             self.lateness_recorded = True
 
 
