--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -27,8 +27,8 @@
         "id_hash",
         "in_rotation",
         "kind",
+        "latency_samples",
         "log_latency_ratio",
-        "paces",
         "started",
         "state",
         "units",
@@ -47,7 +47,7 @@
         self.in_rotation = False  # False until its first turn
         self.capacity = 0.0  # listed units divided by the latency ratios of its kind and of the server
         self.log_latency_ratio = 0.0  # natural logarithm of the ratio of its latency to its kind's
-        self.paces = 0.0  # number of answers behind that ratio, capped at the smoothing window
+        self.latency_samples = 0.0  # number of answers behind that ratio, capped at the smoothing window
         self.update(entry)
 
     def update(self, entry: Endpoint) -> None:
