--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -29,9 +29,9 @@
         "kind",
         "latency_samples",
         "log_latency_ratio",
+        "relative_capacity",
         "started",
         "state",
-        "units",
         "weight",
         "zone",
     )
@@ -55,7 +55,7 @@
         self.zone = entry.zone
         self.cell = entry.cell
         self.kind = entry.kind
-        self.units = max(entry.units, 1e-6)
+        self.relative_capacity = max(entry.units, 1e-6)
         self.state = entry.state
         self.started = entry.started
 
