--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -123,7 +123,7 @@
     kind: int = 0  # kind of machine: endpoints of one kind are expected to be equally fast per unit
     cell: int = 0  # group of endpoints within which Scope.CELL deduplicates
     state: State = State.UP
-    units: float = 1.0  # listed capacity, relative to the other endpoints
+    relative_capacity: float = 1.0  # listed capacity, relative to the other endpoints
     started: int = 0  # time of the start; 0: long ago
 
 
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -55,7 +55,7 @@
         self.zone = entry.zone
         self.cell = entry.cell
         self.kind = entry.kind
-        self.relative_capacity = max(entry.units, 1e-6)
+        self.relative_capacity = max(entry.relative_capacity, 1e-6)
         self.state = entry.state
         self.started = entry.started
 
--- a/tests/membership/test_payloads.py
+++ b/tests/membership/test_payloads.py
@@ -50,7 +50,7 @@
     fact = read(OWN)
     entry = fact.entry
     assert fact.address == ("10.0.0.1", 80)
-    assert (entry.zone, entry.kind, entry.cell, entry.units) == (1, 1, 4, 2.5)
+    assert (entry.zone, entry.kind, entry.cell, entry.relative_capacity) == (1, 1, 4, 2.5)
     assert (entry.state, entry.started, fact.born, fact.proof) == (State.UP, 50_000, 42, 5000)
     assert read(OWN | {"phase": "DRAINING"}).entry.state is State.DRAINING
     assert read(OWN | {"phase": None}).entry.state is State.DRAINING
@@ -66,7 +66,7 @@
     places = {"zone": "payload.room", "cell": "payload.rack", "size": "payload.weight"}
     fact = read(CURATOR, form="curator", places=places)
     entry = fact.entry
-    assert (fact.address, entry.zone, entry.cell, entry.units) == (("10.0.0.1", 80), 1, 4, 2.5)
+    assert (fact.address, entry.zone, entry.cell, entry.relative_capacity) == (("10.0.0.1", 80), 1, 4, 2.5)
     assert (entry.state, fact.proof, entry.started) == (State.UP, 0, 90_000)
     assert read(CURATOR, form="curator", secure=True).address == ("10.0.0.1", 443)
     assert read(CURATOR | {"enabled": False}, form="curator").entry.state is State.DRAINING
@@ -129,7 +129,7 @@
 )
 def test_what_can_not_be_read_of_a_server_lets_it_drain(changes: dict[str, Any]) -> None:
     entry = read(OWN | changes).entry
-    assert (entry.state, entry.cell, entry.units) == (State.DRAINING, 0, 1.0)
+    assert (entry.state, entry.cell, entry.relative_capacity) == (State.DRAINING, 0, 1.0)
 
 
 def test_an_address_outside_the_allowed_ranges_is_not_used() -> None:
