--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -229,7 +229,7 @@
     endpoint: int
     errors: float
     log_latency_ratio: float  # natural logarithm of the ratio of its latency to its kind's
-    paces: float  # number of answers that the ratio still counts as
+    latency_samples: float  # number of answers that the ratio still counts as
 
 
 @dataclass(slots=True)
