--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -237,7 +237,7 @@
     """State that an earlier process of this instance stored, aged by the time since (state/ageing.py)."""
 
     servers: tuple[RestoredServer, ...] = ()
-    kinds: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
+    kind_latency_ratios: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
     usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
     hedge_tokens: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
     retry_tokens: float = 0.0  # retry tokens of the overload control, likewise
