--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -238,7 +238,9 @@
 
     servers: tuple[RestoredServer, ...] = ()
     kind_latency_ratios: dict[int, float] = field(default_factory=dict)  # latency ratio by endpoint kind
-    usual: dict[int, float] = field(default_factory=dict)  # latency of good answers by class index
+    latency_estimates: dict[int, float] = field(
+        default_factory=dict
+    )  # latency of good answers by class index
     hedge_tokens: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
     retry_tokens: float = 0.0  # retry tokens of the overload control, likewise
     gap: float = 0.0  # smoothed time between two requests; 0: unknown
--- a/tests/state/test_ageing.py
+++ b/tests/state/test_ageing.py
@@ -77,7 +77,12 @@
 def test_what_belongs_to_a_release_ends_with_it() -> None:
     recent = restore(make_statistics(), S, HALF_LIFE, LISTED)
     old = restore(make_statistics(), int(RELEASE_S * S) + 1, HALF_LIFE, LISTED)
-    assert (recent.kind_latency_ratios, recent.usual, old.kind_latency_ratios, old.usual) == (
+    assert (
+        recent.kind_latency_ratios,
+        recent.latency_estimates,
+        old.kind_latency_ratios,
+        old.latency_estimates,
+    ) == (
         {0: 1.5},
         {0: 8e7},
         {},
