--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -243,7 +243,7 @@
     )  # latency of good answers by class index
     hedge_tokens: float = 0.0  # hedge tokens, as stored: a restart must not refill a budget
     retry_tokens: float = 0.0  # retry tokens of the overload control, likewise
-    gap: float = 0.0  # smoothed time between two requests; 0: unknown
+    request_interval: float = 0.0  # smoothed time between two requests; 0: unknown
 
 
 @dataclass(slots=True)
