--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -515,7 +515,7 @@
         assert self.large_pool.scheduler is not None
         if self.large_pool.changed or self.now >= self.large_pool.refresh_at:
             self._recompute_changed_weights()
-        keyed = bool(pending.key) and self.settings.warm_keys
+        keyed = bool(pending.key) and self.settings.key_affinity
         key_hash = crc32(pending.key.encode()) if keyed else None
         leaf = self.large_pool.scheduler.pick(key_hash, MAX_AFFINITY_LEAD, self._leaf_is_warm)
         return self.large_pool.servers_by_leaf[leaf] if leaf is not None else None
@@ -592,7 +592,7 @@
         if best is None:
             return None
         best = self._due_newcomer(best) or best
-        if pending.key and self.settings.warm_keys and self._warmth(best) >= 1.0:
+        if pending.key and self.settings.key_affinity and self._warmth(best) >= 1.0:
             best = self._pick_by_key(pending.key, best)
         best.current_weight -= 1.0
         return best
@@ -736,7 +736,7 @@
             or pending.body_incomplete
         ):
             return 0
-        if self.settings.warm_keys:  # another server would miss its cache, at several times the cost
+        if self.settings.key_affinity:  # another server would miss its cache, at several times the cost
             return 0
         return int(min(self.now + SLOW_FACTOR * latency, pending.target_at - latency))
 
