--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -181,7 +181,7 @@
     # Membership
 
     def _on_started(self, event: Started) -> None:
-        if self.settings.ask_discovery:
+        if self.settings.calls_discovery:
             # First calls are spread: a fleet that starts together would overload discovery. A small fleet
             # would not, and calls sooner because the persisted list may be stale. The instance index places
             # the call, more evenly than a random draw; index 0 may mean that none is configured.
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -91,7 +91,7 @@
     instance_index: int = 0  # instance index within the fleet; 0 may mean that none is configured
     fleet_size: int = 1
     zone: int = 0
-    ask_discovery: bool = False
+    calls_discovery: bool = False
     ask_within: int = 10_000_000_000  # time in which discovery can answer one call of every instance
     drain_grace: int = 0  # time for which new attempts may still reach an endpoint that drains
     cold_share: float = 1.0  # share of its capacity that a server has at its start
