--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -187,7 +187,7 @@
             # the call, more evenly than a random draw; index 0 may mean that none is configured.
             instance_index = self.settings.instance_index
             place = instance_index * GOLDEN_RATIO % 1.0 if instance_index else self.rng.random()
-            self._schedule_watch(self._scaled_to_fleet(self.settings.ask_within // 2), place)
+            self._schedule_watch(self._scaled_to_fleet(self.settings.discovery_call_span // 2), place)
 
     def _scaled_to_fleet(self, span: int) -> int:
         """Return the part of `span` over which a fleet of this size has to spread its calls."""
@@ -201,7 +201,7 @@
         if event.kind is ListKind.FAILED:
             # Back off: calls that failed under load would otherwise come back as more load.
             self.failed_discovery_calls = min(self.failed_discovery_calls + 1, 2)
-            span = self._scaled_to_fleet(self.settings.ask_within * self.failed_discovery_calls // 2)
+            span = self._scaled_to_fleet(self.settings.discovery_call_span * self.failed_discovery_calls // 2)
             span = max(span, self.failed_discovery_calls * SECOND // 2)
             self._schedule_watch(min(span, MAX_DISCOVERY_PAUSE_NS), self.rng.random())
             return
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -92,7 +92,7 @@
     fleet_size: int = 1
     zone: int = 0
     calls_discovery: bool = False
-    ask_within: int = 10_000_000_000  # time in which discovery can answer one call of every instance
+    discovery_call_span: int = 10_000_000_000  # time in which discovery can answer one call of every instance
     drain_grace: int = 0  # time for which new attempts may still reach an endpoint that drains
     cold_share: float = 1.0  # share of its capacity that a server has at its start
     ramp_time: int = 0  # time from a server's start until it has its full capacity
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -556,7 +556,7 @@
     driver = Driver(fleet(2), replace(SETTINGS, ask_discovery=True))
     for _ in range(5):
         (timer,) = driver.feed(Membership(ListKind.FAILED))
-        assert isinstance(timer, SetTimer) and timer.delay <= 4 * SETTINGS.ask_within
+        assert isinstance(timer, SetTimer) and timer.delay <= 4 * SETTINGS.discovery_call_span
         assert driver.feed(TimerFired(timer.token), after=timer.delay) == [Watch()]
     assert driver.serve() in (1, 2)  # the earlier list stays in use
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -27,7 +27,7 @@
 
 def test_what_a_fleet_needs_has_defaults() -> None:
     settings = read_settings(settings_object())
-    assert (settings.fall_multiple, settings.ask_within) == (3.0, 0)
+    assert (settings.fall_multiple, settings.discovery_call_span) == (3.0, 0)
     assert read_settings(settings_object(fallMultiple=2.5)).fall_multiple == 2.5
 
 
