--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -398,7 +398,9 @@
         """
         full_capacity = sum(server.capacity for server in self.pool) * self.mean_health
         available = sum(s.capacity * s.health * likely(w) for s, w in zip(self.pool, warmths, strict=True))
-        self.max_cold_factor = COLD_PART * self.settings.fall_multiple * available / (full_capacity or 1.0)
+        self.max_cold_factor = (
+            COLD_PART * self.settings.max_cold_load_multiple * available / (full_capacity or 1.0)
+        )
 
     def _cold_weight(self, server: Server, warmth: float) -> float:
         """Return the weight of a server that is still warming up."""
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -96,7 +96,7 @@
     drain_grace: int = 0  # time for which new attempts may still reach an endpoint that drains
     cold_share: float = 1.0  # share of its capacity that a server has at its start
     ramp_time: int = 0  # time from a server's start until it has its full capacity
-    fall_multiple: float = 3.0  # a cold server crashes above this multiple of its present capacity
+    max_cold_load_multiple: float = 3.0  # a cold server crashes above this multiple of its present capacity
     dial_timeout: int = 0
     conn_idle: int = 0  # time after which an idle connection is closed
     streams_per_conn: int = 1  # concurrent requests on one connection
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -27,8 +27,8 @@
 
 def test_what_a_fleet_needs_has_defaults() -> None:
     settings = read_settings(settings_object())
-    assert (settings.fall_multiple, settings.discovery_call_span) == (3.0, 0)
-    assert read_settings(settings_object(fallMultiple=2.5)).fall_multiple == 2.5
+    assert (settings.max_cold_load_multiple, settings.discovery_call_span) == (3.0, 0)
+    assert read_settings(settings_object(fallMultiple=2.5)).max_cold_load_multiple == 2.5
 
 
 @pytest.mark.parametrize("value", ["three", None, [3], float("nan"), float("inf"), {}])
