--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -942,7 +942,7 @@
         value = pending.request_class.worth
         over_share = self._tenant_over_share(pending.tenant)
         if over_share:
-            value *= self.settings.over_share_worth
+            value *= self.settings.over_share_value_factor
         refused = self.overload.refuses(
             value,
             pending.request_class.aim,
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -105,7 +105,7 @@
     cancel: bool = False  # whether open attempts are cancelled when they are no longer needed
     probes: bool = False
     key_affinity: bool = False  # whether servers cache by request key
-    over_share_worth: float = 1.0  # factor on the value of a request of a tenant beyond its share
+    over_share_value_factor: float = 1.0  # factor on the value of a request of a tenant beyond its share
     cross_zone_price: float = 0.0  # > 0: the local zone is preferred
     waste_price: float = 0.0
     probe_price: float = 0.0
