--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -818,7 +818,10 @@
         servers and fills the servers' connection tables.
         """
         settings = self.settings
-        if settings.streams_per_conn == 1 and self.overload.gap * len(self.pool) > settings.conn_idle > 0:
+        if (
+            settings.streams_per_conn == 1
+            and self.overload.gap * len(self.pool) > settings.connection_idle_timeout > 0
+        ):
             self.actions.append(CloseIdle(endpoint))
 
     def _record_outcome(self, event: AttemptEnded, pending: PendingRequest | None) -> None:
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -98,7 +98,7 @@
     ramp_time: int = 0  # time from a server's start until it has its full capacity
     max_cold_load_multiple: float = 3.0  # a cold server crashes above this multiple of its present capacity
     dial_timeout: int = 0
-    conn_idle: int = 0  # time after which an idle connection is closed
+    connection_idle_timeout: int = 0  # time after which an idle connection is closed
     streams_per_conn: int = 1  # concurrent requests on one connection
     max_attempts: int = 1
     hedging: bool = False  # whether a request may have several open attempts (hedging)
