--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -219,7 +219,7 @@
     """An operator cordons or uncordons an endpoint, independently of its state in the list."""
 
     endpoint: int
-    out: bool  # True: cordon
+    cordoned: bool  # True: cordon
 
 
 @dataclass(slots=True, frozen=True)
