--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -275,7 +275,7 @@
 
     id: str
     endpoint: int
-    limit: int = 0  # timeout of this attempt and of earlier open ones; 0: the client's time budget only
+    timeout: int = 0  # timeout of this attempt and of earlier open ones; 0: the client's time budget only
 
 
 @dataclass(slots=True)
