--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -27,13 +27,15 @@
 S = 1_000_000_000
 START = 100 * S
 
-SAFE = RequestClass(aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25)
-FRAGILE = replace(SAFE, effect=Idempotency.FRAGILE, worth=10.0)
-CELLED = replace(SAFE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
-DEDUP_EVERYWHERE = replace(SAFE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, window=1 * S)
+RETRYABLE = RequestClass(
+    aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25
+)
+FRAGILE = replace(RETRYABLE, effect=Idempotency.FRAGILE, worth=10.0)
+CELLED = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
+DEDUP_EVERYWHERE = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, window=1 * S)
 
 SETTINGS = Settings(
-    grades=(SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
+    grades=(RETRYABLE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
     fleet_size=10,
     drain_grace=500 * MS,
     cold_share=0.2,
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 
 from garnethaven.interface import ClientLeft, Outcome, Refuse
-from tests.helpers import MS, SAFE, SETTINGS, Driver, S, fleet, of, sends
+from tests.helpers import MS, RETRYABLE, SETTINGS, Driver, S, fleet, of, sends
 
-PROMPT = replace(SAFE, late_value=0.0)  # an answer after the latency target has no value
-LASTING = replace(SAFE, late_value=0.25)
+PROMPT = replace(RETRYABLE, late_value=0.0)  # an answer after the latency target has no value
+LASTING = replace(RETRYABLE, late_value=0.25)
 PROMPT_CLASS, LASTING_CLASS = 0, 1
 FIRST_ATTEMPT_TIMEOUT = 1_600 * MS  # client timeout of a first attempt; the deadline is 2 s
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -31,7 +31,7 @@
     TimerFired,
     Watch,
 )
-from tests.helpers import CELLED, FRAGILE, MS, SAFE, SETTINGS, START, Driver, S, fleet, of, sends
+from tests.helpers import CELLED, FRAGILE, MS, RETRYABLE, SETTINGS, START, Driver, S, fleet, of, sends
 
 
 def test_equal_servers_take_equal_turns() -> None:
@@ -176,7 +176,7 @@
 def test_a_refused_client_is_told_when_to_come_back() -> None:
     driver = Driver((), replace(SETTINGS, max_retry_after=2 * S))
     (refusal,) = of(driver.ask(), Refuse)
-    assert isinstance(refusal, Refuse) and 0 < refusal.retry_after < SAFE.target
+    assert isinstance(refusal, Refuse) and 0 < refusal.retry_after < RETRYABLE.target
 
 
 def test_a_list_of_only_new_servers_serves_at_once() -> None:
@@ -218,7 +218,7 @@
 
 
 def test_an_early_repeat_tells_how_long_the_client_has_waited() -> None:
-    request_class = replace(SAFE, late_value=0.0)
+    request_class = replace(RETRYABLE, late_value=0.0)
     driver = Driver(fleet(3), replace(SETTINGS, grades=(request_class,)))
     driver.ask()
     actions = driver.ask(budget=request_class.deadline - request_class.aim, repeat=True)
@@ -229,8 +229,8 @@
 
 
 def test_work_that_can_earn_nothing_more_is_stopped() -> None:
-    driver = Driver(fleet(3), replace(SETTINGS, grades=(replace(SAFE, late_value=0.0),)))
-    assert sends(driver.ask())[0].limit == SAFE.target
+    driver = Driver(fleet(3), replace(SETTINGS, grades=(replace(RETRYABLE, late_value=0.0),)))
+    assert sends(driver.ask())[0].limit == RETRYABLE.target
 
 
 def test_drains_are_kept_from_the_moment_they_are_known() -> None:
@@ -368,7 +368,7 @@
     """Send requests and answer all of them after their target."""
     for _ in range(rounds):
         for send in sends(driver.ask()):
-            driver.end(send, Outcome.DONE, after=SAFE.target + MS)
+            driver.end(send, Outcome.DONE, after=RETRYABLE.target + MS)
 
 
 def test_late_answers_everywhere_lead_to_early_refusals() -> None:
@@ -379,11 +379,11 @@
 
 
 def test_the_least_worth_is_refused_first() -> None:
-    driver = Driver(fleet(4), replace(SETTINGS, grades=(SAFE, FRAGILE)))
+    driver = Driver(fleet(4), replace(SETTINGS, grades=(RETRYABLE, FRAGILE)))
     for _ in range(20):
         for grade in (0, 1):
             for send in sends(driver.ask(grade=grade)):
-                driver.end(send, Outcome.DONE, after=SAFE.target + MS)
+                driver.end(send, Outcome.DONE, after=RETRYABLE.target + MS)
     refused: Counter[int] = Counter()
     for number in range(80):
         driver.balancer.overload.refused_share = 0.4
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,9 +33,9 @@
     State,
     TimerFired,
 )
-from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, SAFE, SETTINGS, START, S
+from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, RETRYABLE, SETTINGS, START, S
 
-REQUEST_CLASSES = (SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=DedupScope.ZONE))
+REQUEST_CLASSES = (RETRYABLE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=DedupScope.ZONE))
 ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
