--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,11 +31,11 @@
     aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25
 )
 FRAGILE = replace(RETRYABLE, effect=Idempotency.FRAGILE, worth=10.0)
-CELLED = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
+DEDUP_IN_CELL = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
 DEDUP_EVERYWHERE = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, window=1 * S)
 
 SETTINGS = Settings(
-    grades=(RETRYABLE, FRAGILE, CELLED, DEDUP_EVERYWHERE),
+    grades=(RETRYABLE, FRAGILE, DEDUP_IN_CELL, DEDUP_EVERYWHERE),
     fleet_size=10,
     drain_grace=500 * MS,
     cold_share=0.2,
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -6,7 +6,7 @@
 
 from garnethaven.interface import AttemptEnded, Cancel, Fail, Outcome, PriorAttempt, Refuse, TimerFired
 from garnethaven.limits.retry_budget import MAX_TOKENS
-from tests.helpers import CELLED, MS, SETTINGS, Driver, S, fleet, of, sends
+from tests.helpers import DEDUP_IN_CELL, MS, SETTINGS, Driver, S, fleet, of, sends
 
 SAFE_CLASS, FRAGILE_CLASS, CELLED_CLASS = 0, 1, 2
 
@@ -88,7 +88,7 @@
     for _ in range(int(MAX_TOKENS / 2) + 1):
         driver.serve(Outcome.DONE, after=1 * MS)
     send = sends(driver.ask(CELLED_CLASS, budget=20 * S))[0]
-    actions = driver.end(send, Outcome.RESET, after=CELLED.window)
+    actions = driver.end(send, Outcome.RESET, after=DEDUP_IN_CELL.window)
     assert not sends(actions)
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -31,7 +31,7 @@
     TimerFired,
     Watch,
 )
-from tests.helpers import CELLED, FRAGILE, MS, RETRYABLE, SETTINGS, START, Driver, S, fleet, of, sends
+from tests.helpers import DEDUP_IN_CELL, FRAGILE, MS, RETRYABLE, SETTINGS, START, Driver, S, fleet, of, sends
 
 
 def test_equal_servers_take_equal_turns() -> None:
@@ -279,7 +279,7 @@
 
 
 def test_a_celled_request_is_not_resent_past_its_window() -> None:
-    request_class = replace(CELLED, window=10 * MS)
+    request_class = replace(DEDUP_IN_CELL, window=10 * MS)
     driver = Driver(fleet(8), replace(SETTINGS, grades=(request_class,)))
     send = sends(driver.ask())[0]
     assert [type(action) for action in driver.end(send, Outcome.ERROR)] == [Fail]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,9 +33,15 @@
     State,
     TimerFired,
 )
-from tests.helpers import CELLED, DEDUP_EVERYWHERE, FRAGILE, MS, RETRYABLE, SETTINGS, START, S
-
-REQUEST_CLASSES = (RETRYABLE, FRAGILE, CELLED, DEDUP_EVERYWHERE, replace(CELLED, scope=DedupScope.ZONE))
+from tests.helpers import DEDUP_EVERYWHERE, DEDUP_IN_CELL, FRAGILE, MS, RETRYABLE, SETTINGS, START, S
+
+REQUEST_CLASSES = (
+    RETRYABLE,
+    FRAGILE,
+    DEDUP_IN_CELL,
+    DEDUP_EVERYWHERE,
+    replace(DEDUP_IN_CELL, scope=DedupScope.ZONE),
+)
 ATTEMPT_OUTCOMES = [outcome for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.SKIPPED)]
 
 
