--- a/tests/extproc/test_prior.py
+++ b/tests/extproc/test_prior.py
@@ -17,7 +17,7 @@
     Send,
     State,
 )
-from tests.helpers import MS, Driver, S, fleet, of, sends
+from tests.helpers import MS, Driver, S, actions_of_type, fleet, sends
 
 SAFE, FRAGILE, CELLED, ANYWHERE = range(4)
 
@@ -52,11 +52,11 @@
     grade: int, prior: PriorAttempt
 ) -> None:
     actions = come_again(prior, grade)
-    assert not of(actions, Send)
+    assert not actions_of_type(actions, Send)
     if grade == ANYWHERE:  # all servers drop its repeats, so a refusal is harmless
-        assert of(actions, Refuse)
+        assert actions_of_type(actions, Refuse)
     else:
-        assert of(actions, Fail) and not of(actions, Refuse)
+        assert actions_of_type(actions, Fail) and not actions_of_type(actions, Refuse)
 
 
 def test_a_safe_request_goes_anywhere() -> None:
@@ -68,7 +68,7 @@
     (send,) = sends(driver.ask(grade=CELLED, prior=PriorAttempt(endpoint=3, zone=0, cell=1, age=100 * MS)))
     assert send.endpoint == 4
     actions = driver.end(send, Outcome.CONNECT_FAILED, attempt=1)
-    assert of(actions, Fail) and not of(actions, Refuse)
+    assert actions_of_type(actions, Fail) and not actions_of_type(actions, Refuse)
 
 
 def test_a_server_that_drains_by_now_takes_no_repeat() -> None:
@@ -77,4 +77,4 @@
         gone = tuple(replace(entry, state=state) for entry in fleet(4)[2:])
         driver.feed(Membership(ListKind.DELTA, gone))
         actions = driver.ask(grade=CELLED, prior=PriorAttempt(endpoint=3, zone=0, cell=1, age=100 * MS))
-        assert of(actions, Fail) and not sends(actions)
+        assert actions_of_type(actions, Fail) and not sends(actions)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -96,5 +96,5 @@
     return [action for action in actions if isinstance(action, Send)]
 
 
-def of(actions: list[Action], kind: type) -> list[Action]:
+def actions_of_type(actions: list[Action], kind: type) -> list[Action]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -6,7 +6,7 @@
 
 from garnethaven.interface import AttemptEnded, Cancel, Fail, Outcome, PriorAttempt, Refuse, TimerFired
 from garnethaven.limits.retry_budget import MAX_TOKENS
-from tests.helpers import DEDUP_IN_CELL, MS, SETTINGS, Driver, S, fleet, of, sends
+from tests.helpers import DEDUP_IN_CELL, MS, SETTINGS, Driver, S, actions_of_type, fleet, sends
 
 SAFE_CLASS, FRAGILE_CLASS, CELLED_CLASS = 0, 1, 2
 
@@ -30,7 +30,9 @@
     send = sends(driver.ask())[0]
     actions = driver.end(send, Outcome.BUSY)
     assert not sends(actions)
-    assert len(of(actions, Refuse)) == 1  # the attempt was not executed, so the client may retry safely
+    assert (
+        len(actions_of_type(actions, Refuse)) == 1
+    )  # the attempt was not executed, so the client may retry safely
 
 
 def test_the_first_attempt_is_never_held_back() -> None:
@@ -60,15 +62,15 @@
     driver = closed_driver()
     send = sends(driver.ask(CELLED_CLASS))[0]
     actions = driver.end(send, outcome)
-    assert not sends(actions) and not of(actions, Refuse)
-    assert len(of(actions, Fail)) == 1
+    assert not sends(actions) and not actions_of_type(actions, Refuse)
+    assert len(actions_of_type(actions, Fail)) == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT])
 def test_what_is_safe_to_repeat_is_refused(outcome: Outcome) -> None:
     driver = closed_driver()
     send = sends(driver.ask(SAFE_CLASS))[0]
-    assert len(of(driver.end(send, outcome), Refuse)) == 1
+    assert len(actions_of_type(driver.end(send, outcome), Refuse)) == 1
 
 
 def test_an_open_budget_frees_no_class_from_its_rules() -> None:
@@ -106,7 +108,7 @@
             hedges += len(sends(driver.feed(TimerFired(token), 30 * MS)))
         assert hedges == (0 if budget_closed else 1)
         done = AttemptEnded(send.id, 0, send.endpoint, Outcome.DONE, duration=60 * MS, final=True)
-        assert len(of(driver.feed(done), Cancel)) == hedges
+        assert len(actions_of_type(driver.feed(done), Cancel)) == hedges
 
 
 def test_each_further_attempt_is_booked() -> None:
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from garnethaven.interface import ClientLeft, Outcome, Refuse
-from tests.helpers import MS, RETRYABLE, SETTINGS, Driver, S, fleet, of, sends
+from tests.helpers import MS, RETRYABLE, SETTINGS, Driver, S, actions_of_type, fleet, sends
 
 PROMPT = replace(RETRYABLE, late_value=0.0)  # an answer after the latency target has no value
 LASTING = replace(RETRYABLE, late_value=0.25)
@@ -24,7 +24,7 @@
     """Leave one request unserved: its server fails and the retry budget allows no further attempt."""
     driver.balancer.retry_budget.tokens = 0.0
     send = sends(driver.ask(budget=FIRST_ATTEMPT_TIMEOUT))[0]
-    assert of(driver.end(send, Outcome.ERROR), Refuse)
+    assert actions_of_type(driver.end(send, Outcome.ERROR), Refuse)
 
 
 def test_one_past_its_aim_is_refused_and_takes_no_servers_room() -> None:
@@ -33,7 +33,7 @@
     # 0.6 s of its 2 s are over, and the latency target is 0.5 s.
     actions = driver.ask(PROMPT_CLASS, budget=1_400 * MS)
     assert not sends(actions)
-    assert len(of(actions, Refuse)) == 1
+    assert len(actions_of_type(actions, Refuse)) == 1
 
 
 def test_one_before_its_aim_is_sent_as_a_first_try_is() -> None:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -31,7 +31,19 @@
     TimerFired,
     Watch,
 )
-from tests.helpers import DEDUP_IN_CELL, FRAGILE, MS, RETRYABLE, SETTINGS, START, Driver, S, fleet, of, sends
+from tests.helpers import (
+    DEDUP_IN_CELL,
+    FRAGILE,
+    MS,
+    RETRYABLE,
+    SETTINGS,
+    START,
+    Driver,
+    S,
+    actions_of_type,
+    fleet,
+    sends,
+)
 
 
 def test_equal_servers_take_equal_turns() -> None:
@@ -175,7 +187,7 @@
 
 def test_a_refused_client_is_told_when_to_come_back() -> None:
     driver = Driver((), replace(SETTINGS, max_retry_after=2 * S))
-    (refusal,) = of(driver.ask(), Refuse)
+    (refusal,) = actions_of_type(driver.ask(), Refuse)
     assert isinstance(refusal, Refuse) and 0 < refusal.retry_after < RETRYABLE.target
 
 
@@ -193,7 +205,7 @@
     driver.now += interval
     actions = driver.ask(**fields)
     hedges = []
-    for timer in sorted(of(actions, SetTimer), key=lambda t: t.delay):
+    for timer in sorted(actions_of_type(actions, SetTimer), key=lambda t: t.delay):
         fires_at = driver.now + timer.delay
         hedges += sends(driver.balancer.handle(fires_at, TimerFired(timer.token)))
     return hedges
@@ -306,10 +318,10 @@
 def test_sparse_sidecars_close_their_connections() -> None:
     driver = Driver(fleet(6))
     rare_requests = [driver.ask(after=5 * S) for _ in range(20)]
-    assert of(driver.end(sends(rare_requests[-1])[0], Outcome.DONE), CloseIdle)
+    assert actions_of_type(driver.end(sends(rare_requests[-1])[0], Outcome.DONE), CloseIdle)
     busy_driver = Driver(fleet(6))
     frequent_requests = [busy_driver.ask(after=10 * MS) for _ in range(20)]
-    assert not of(busy_driver.end(sends(frequent_requests[-1])[0], Outcome.DONE), CloseIdle)
+    assert not actions_of_type(busy_driver.end(sends(frequent_requests[-1])[0], Outcome.DONE), CloseIdle)
 
 
 def test_a_slow_server_loses_turns() -> None:
@@ -374,7 +386,7 @@
 def test_late_answers_everywhere_lead_to_early_refusals() -> None:
     driver = Driver(fleet(4))
     answer_late(driver, 100)
-    refused = sum(bool(of(driver.ask(), Refuse)) for _ in range(100))
+    refused = sum(bool(actions_of_type(driver.ask(), Refuse)) for _ in range(100))
     assert 60 < refused < 100
 
 
@@ -388,7 +400,7 @@
     for number in range(80):
         driver.balancer.overload.refused_share = 0.4
         actions = driver.ask(grade=number % 2)
-        refused[number % 2] += bool(of(actions, Refuse))
+        refused[number % 2] += bool(actions_of_type(actions, Refuse))
         for send in sends(actions):
             driver.end(send, Outcome.DONE)
     assert refused[0] > 25 and refused[1] == 0
@@ -402,7 +414,7 @@
     for number in range(200):
         driver.balancer.overload.refused_share = 0.15
         tenant = 0 if number % 4 == 0 else 1
-        refusals = of(driver.ask(tenant=tenant), Refuse)
+        refusals = actions_of_type(driver.ask(tenant=tenant), Refuse)
         refused[tenant] += len(refusals)
         over_share_counts[tenant] += sum(refusal.over_share for refusal in refusals)
     assert refused[1] > 20 and refused[0] <= 2
@@ -429,7 +441,7 @@
         (send,) = sends(actions)
         if stream_begins:
             driver.feed(StreamBegan(send.id, 0))
-        for timer in of(actions, SetTimer):
+        for timer in actions_of_type(actions, SetTimer):
             driver.feed(TimerFired(timer.token), after=S)
         assert driver.balancer.servers[1].errors == errors
 
@@ -445,7 +457,7 @@
         (send,) = sends(driver.ask(after=MS))
         driver.feed(StreamBegan(send.id, 0))
         streams.append(send)
-    assert not of(driver.ask(after=MS), Refuse)
+    assert not actions_of_type(driver.ask(after=MS), Refuse)
     for send in streams:
         driver.end(send, Outcome.DONE, after=100 * MS)
     assert overload.refused_share == before[1] and driver.balancer.latency_estimates == before[2]
@@ -460,12 +472,12 @@
     driver.feed(Membership(ListKind.DELTA, (replace(fleet(1)[0], state=State.REMOVED),)))
     actions = driver.end(send, Outcome.RESET)
     assert not sends(actions)
-    assert len(of(actions, Fail)) == 1
+    assert len(actions_of_type(actions, Fail)) == 1
 
 
 def test_a_refusal_for_want_of_servers_is_not_laid_to_the_tenant() -> None:
     driver = Driver((), replace(SETTINGS, tenants=(Tenant(0.01, 1.0),)))
-    refusals = [refusal for _ in range(50) for refusal in of(driver.ask(tenant=0), Refuse)]
+    refusals = [refusal for _ in range(50) for refusal in actions_of_type(driver.ask(tenant=0), Refuse)]
     assert len(refusals) == 50
     assert not any(refusal.over_share for refusal in refusals)
 
@@ -476,7 +488,7 @@
     for _ in range(100):
         driver.serve()
     actions_by_request = [driver.ask(after=MS) for _ in range(100)]
-    refused = [bool(of(actions, Refuse)) for actions in actions_by_request]
+    refused = [bool(actions_of_type(actions, Refuse)) for actions in actions_by_request]
     assert not any(refused[:10]) and all(refused[60:])
     for actions in actions_by_request:
         for send in sends(actions):
@@ -546,7 +558,7 @@
     delays = []
     for seed in range(seeds):
         balancer = Balancer(balancer_settings, seed)
-        (timer,) = of(balancer.handle(START, Started()), SetTimer)
+        (timer,) = actions_of_type(balancer.handle(START, Started()), SetTimer)
         delays.append(timer.delay)
         assert balancer.handle(START + delays[-1], TimerFired(timer.token)) == [Watch()]
     return delays
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -11,7 +11,7 @@
 from garnethaven.brain import LARGE_POOL_THRESHOLD, MIN_HEALTH
 from garnethaven.interface import Endpoint, Fail, ListKind, Membership, Outcome, Refuse, State
 from garnethaven.limits.retry_budget import RetryBudget
-from tests.helpers import MS, SETTINGS, Driver, S, fleet, of, sends
+from tests.helpers import MS, SETTINGS, Driver, S, actions_of_type, fleet, sends
 
 
 def driver_of(count: int = 300, seed: int = 7, **changes: object) -> Driver:
@@ -147,7 +147,7 @@
         retries = sends(driver.end(send, Outcome.RESET))
         assert retries and all((retry.endpoint - 1) // 2 == (send.endpoint - 1) // 2 for retry in retries)
         (send,) = sends(driver.ask(grade=1))
-        assert len(of(driver.end(send, Outcome.RESET), Fail)) == 1
+        assert len(actions_of_type(driver.end(send, Outcome.RESET), Fail)) == 1
 
 
 def test_with_all_gone_requests_are_refused_and_served_when_they_return() -> None:
@@ -155,7 +155,7 @@
     removed = tuple(replace(endpoint, state=State.REMOVED) for endpoint in fleet(100))
     for first in range(0, 100, 50):
         driver.feed(Membership(ListKind.DELTA, removed[first : first + 50]))
-    assert of(driver.ask(), Refuse)
+    assert actions_of_type(driver.ask(), Refuse)
     driver.feed(Membership(ListKind.FULL, fleet(100)))
     assert sends(driver.ask())
 
