--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 from garnethaven.limits.budgets import Descriptors
 from garnethaven.limits.lists import Evidence, FreshList
 from garnethaven.limits.overload import Overload
-from garnethaven.limits.places import Places, Usage
+from garnethaven.limits.places import ClientConnectionLimit, Usage
 
 ROUNDS = 7
 TIMES = 4000
@@ -58,13 +58,13 @@
 
 def answer_on_a_full_front() -> Callable[[], object]:
     """Whether an answer ends its connection, with all places taken."""
-    places, usage = Places(160, 128), Usage(0.0, asked=1)
+    places, usage = ClientConnectionLimit(160, 128), Usage(0.0, asked=1)
     return lambda: places.ends_with_answer(usage, 128, 1.0)
 
 
 def look_over_full_places() -> Callable[[], object]:
     """One look at 128 idle connections; there are 20 looks a second, so one for 15 of 300 requests."""
-    places, idle = Places(160, 128), [One(n / 128) for n in range(128)]
+    places, idle = ClientConnectionLimit(160, 128), [One(n / 128) for n in range(128)]
     turns = count()
 
     def once() -> None:
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -75,7 +75,7 @@
 T = TypeVar("T", bound=HasUsage)
 
 
-class Places:
+class ClientConnectionLimit:
     """Selects the client connections of one listener that are closed near the limit.
 
     `local_limit` (at least 1) is the largest number of connections on this side, `remote_limit` the largest
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -14,7 +14,7 @@
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
 from garnethaven.interface import ProcessResumed
-from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, Places, Usage
+from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, ClientConnectionLimit, Usage
 from garnethaven.net.client import DEFERRED_READ_S, ClientConnection
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES
 from garnethaven.net.own_failures import OUT_OF_RESOURCES
@@ -112,7 +112,7 @@
         self.loop = loop
         self.limit = limit
         self.client_share = config.sockets // CLIENT_SHARE_DIVISOR
-        self.places = Places(limit(), self.client_share)
+        self.places = ClientConnectionLimit(limit(), self.client_share)
         self.set_limits()
         self.connections: set[OwnedConnection] = set()
         self.never_asked = 0  # connections without a request so far
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -13,7 +13,7 @@
     FULL_PRESSURE_WAIT_S,
     PRESSURE_FULL,
     PRESSURE_START,
-    Places,
+    ClientConnectionLimit,
     Usage,
 )
 
@@ -24,7 +24,7 @@
     usage: Usage = field(default_factory=lambda: Usage(0.0))
 
 
-def used(name: str, times: list[float], places: Places) -> Connection:
+def used(name: str, times: list[float], places: ClientConnectionLimit) -> Connection:
     """A connection opened at the first time, with a request and its immediate answer at each later one."""
     connection = Connection(name, Usage(times[0]))
     for at in times[1:]:
@@ -34,7 +34,7 @@
 
 
 def test_no_connection_is_closed_while_half_of_the_places_are_free() -> None:
-    places = Places(local_limit=160, remote_limit=128)
+    places = ClientConnectionLimit(local_limit=160, remote_limit=128)
     idle = [used(f"c{n}", [0.0, 0.1], places) for n in range(64)]
     assert places.to_close(idle, open_count=64, now=1000.0) == []
     assert not places.ends_with_answer(idle[0].usage, open_count=64, now=1000.0)
@@ -42,18 +42,18 @@
 
 
 def test_the_smaller_side_is_the_limit() -> None:
-    assert Places(local_limit=160, remote_limit=128).most == 128
-    assert Places(local_limit=100, remote_limit=128).most == 100
-    assert Places(local_limit=160).most == 160
+    assert ClientConnectionLimit(local_limit=160, remote_limit=128).most == 128
+    assert ClientConnectionLimit(local_limit=100, remote_limit=128).most == 100
+    assert ClientConnectionLimit(local_limit=160).most == 160
 
 
 def test_places_need_a_positive_count() -> None:
     with pytest.raises(ValueError, match="local 0"):
-        Places(0)
+        ClientConnectionLimit(0)
 
 
 def test_those_that_asked_once_and_stay_go_before_those_that_come_round() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     regulars = [used(f"u{n}", [0.0, 1.0, 1.2, 1.4, 1.6, 1.8], places) for n in range(10)]
     once = [used(f"o{n}", [0.0, 0.5], places) for n in range(70)]
     closed = places.to_close(regulars + once, open_count=80, now=2.0)
@@ -62,7 +62,7 @@
 
 
 def test_silent_connections_press_on_one_another_only() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     active = [used(f"a{n}", [0.0, 0.1], places) for n in range(10)]
     unused = [Connection(f"s{n}", Usage(0.0)) for n in range(90)]
     closed = places.to_close(active + unused, open_count=100, now=0.9)
@@ -71,7 +71,7 @@
 
 
 def test_a_request_that_may_be_crossing_is_spared() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     for _ in range(500):
         places.gone(used("x", [0.0, 0.1], places).usage, 5.0)
     idle = [used(f"o{n}", [0.0, 9.999], places) for n in range(100)]
@@ -80,7 +80,7 @@
 
 
 def test_one_that_has_just_come_is_spared_until_its_first_request_must_have_come() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     new = [Connection(f"n{n}", Usage(10.0)) for n in range(100)]
     # All were opened at once, and the clients write their requests one after the other.
     assert places.to_close(new, open_count=100, now=10.05) == []
@@ -89,14 +89,14 @@
 
 
 def test_expected_back_within_a_second_is_spared_below_full_pressure() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     returning_soon = [used(f"u{n}", [0.0, 1.0, 1.9], places) for n in range(80)]  # gaps of 0.9 s
     assert places.to_close(returning_soon, open_count=80, now=2.4) == []
     assert places.to_close(returning_soon, open_count=86, now=2.4)
 
 
 def test_an_answer_ends_its_connection_once_such_connections_are_seen_not_to_return() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     connection = used("f", [0.0, 1.0], places)
     assert not places.ends_with_answer(connection.usage, open_count=95, now=1.0)
     for _ in range(300):
@@ -107,7 +107,7 @@
 
 
 def test_the_share_that_returns_recovers_when_clients_come_round_again() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     for _ in range(500):
         places.gone(used("x", [0.0, 1.0], places).usage, 4.0)
     low_return_share = places.returning
@@ -118,7 +118,7 @@
 
 
 def test_one_that_was_turned_away_is_worth_less() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     accepted, rejected = used("g", [0.0, 1.0], places), used("b", [0.0, 1.0], places)
     rejected.usage.turned_away = 1
     assert places.expected_wait(rejected.usage, 1.5) > places.expected_wait(accepted.usage, 1.5)
@@ -131,7 +131,7 @@
     If idle connections were kept as long as without pressure, there would be 600 of the first kind.
     """
     rng = random.Random(seed)
-    places, open_connections, now, missed, closed_regulars = Places(160, 128), [], 0.0, 0, 0
+    places, open_connections, now, missed, closed_regulars = ClientConnectionLimit(160, 128), [], 0.0, 0, 0
     regulars = [Connection(f"u{n}", Usage(0.0)) for n in range(30)]
     open_connections = list(regulars)
     next_request_at = {connection.name: rng.uniform(0.0, 0.3) for connection in regulars}
@@ -159,7 +159,7 @@
 
 
 def test_pressure_runs_from_ease_to_full() -> None:
-    places = Places(100)
+    places = ClientConnectionLimit(100)
     assert places.pressure(int(PRESSURE_START * 100)) == 0.0
     assert places.pressure(int(PRESSURE_FULL * 100)) == 1.0
     assert places.max_wait_s(100) == pytest.approx(FULL_PRESSURE_WAIT_S)
