--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -24,7 +24,7 @@
     Settings,
 )
 from garnethaven.limits.budgets import Descriptors
-from garnethaven.limits.lists import Evidence, FreshList
+from garnethaven.limits.lists import Evidence, ListFreshness
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.places import ClientConnectionLimit, Usage
 
@@ -90,7 +90,7 @@
 
 def weigh_evidence() -> Callable[[], object]:
     """A failed attempt as evidence against the list."""
-    fresh, numbers = FreshList(3, 10.0), count(1)
+    fresh, numbers = ListFreshness(3, 10.0), count(1)
     return lambda: fresh.contradicted(next(numbers) / 300, 1, Evidence.RESET)
 
 
--- a/garnethaven/limits/feature.py
+++ b/garnethaven/limits/feature.py
@@ -7,7 +7,7 @@
 
 from garnethaven.feature import Feature
 from garnethaven.limits.front import LimitsView
-from garnethaven.limits.lists import FreshList
+from garnethaven.limits.lists import ListFreshness
 from garnethaven.limits.table import Limits
 
 
@@ -16,7 +16,7 @@
 
 
 class Discovery(Protocol):
-    fresh: FreshList
+    fresh: ListFreshness
 
 
 class LimitedParts(Protocol):
--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -79,7 +79,7 @@
     PASS_OVER = "ignore the stale answer and fetch the full list"
 
 
-class FreshList:
+class ListFreshness:
     """Call timing and answer checks of one instance's discovery client; no I/O.
 
     `fleet_size` counts instances. `ask_within_s` is the time in which discovery can answer one call of each
--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -15,7 +15,7 @@
     from garnethaven.config import Config
     from garnethaven.engine.engine import Engine
     from garnethaven.interface import Endpoint, ListKind
-    from garnethaven.limits.lists import FreshList
+    from garnethaven.limits.lists import ListFreshness
     from garnethaven.net.listener import Listener
     from garnethaven.net.transport import HttpTransport, MakePool
     from garnethaven.peers.conversation import Peer
@@ -27,7 +27,7 @@
 class Discovery(Protocol):
     """The client of the platform's discovery service, which provides the endpoint list."""
 
-    fresh: FreshList
+    fresh: ListFreshness
     clock_offset: int
 
 
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import QUEUE_S, TOLD_S, FreshList
+from garnethaven.limits.lists import QUEUE_S, TOLD_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
 from tests.loopback import ANSWER, Lists, Peer, Sidecar, run, running, says, silent, until
 
@@ -64,7 +64,7 @@
     size: int, ask_within_s: int
 ) -> None:
     """For any schedule, three calls begin within the time limit, the last of them at least 1 s before it."""
-    fresh = FreshList(size, float(ask_within_s))
+    fresh = ListFreshness(size, float(ask_within_s))
     for seed in range(20):
         timing = CallTiming.asked(fresh.double_s, float(ask_within_s), size)
         schedule = CallSchedule(timing, fresh.wait_s, Random(seed))
@@ -89,7 +89,7 @@
 def test_a_silent_watch_of_a_large_fleet_is_doubled_in_time_where_discovery_bears_it(
     ask_within_s: float,
 ) -> None:
-    fresh = FreshList(200, ask_within_s)
+    fresh = ListFreshness(200, ask_within_s)
     assert fresh.wait_s + fresh.double_s + QUEUE_S <= TOLD_S
 
 
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -14,16 +14,16 @@
     OVERDUE_S,
     WAIT_MOST_S,
     Evidence,
-    FreshList,
+    ListFreshness,
     Verdict,
 )
 
 
 def test_a_small_fleet_renews_its_watch_often_and_a_large_one_seldom() -> None:
-    assert FreshList(3, 10.0).wait_s == MIN_WATCH_WAIT_S
-    assert FreshList(133, 10.0).wait_s == WAIT_MOST_S
-    assert FreshList(3, 10.0).wait_s < FreshList(30, 10.0).wait_s < FreshList(133, 10.0).wait_s
-    assert FreshList(3, 0.0).wait_s == WAIT_MOST_S  # discovery's capacity is not configured
+    assert ListFreshness(3, 10.0).wait_s == MIN_WATCH_WAIT_S
+    assert ListFreshness(133, 10.0).wait_s == WAIT_MOST_S
+    assert ListFreshness(3, 10.0).wait_s < ListFreshness(30, 10.0).wait_s < ListFreshness(133, 10.0).wait_s
+    assert ListFreshness(3, 0.0).wait_s == WAIT_MOST_S  # discovery's capacity is not configured
 
 
 def test_a_silent_call_is_doubled_before_news_counts_as_told() -> None:
@@ -31,7 +31,7 @@
 
 
 def test_one_server_is_no_evidence_however_often_it_fails() -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     assert {fresh.contradicted(1.0 + n / 10, 7, Evidence.REFUSED_DIAL) for n in range(50)} == {None}
 
 
@@ -46,13 +46,13 @@
     ],
 )
 def test_evidence_of_several_servers_is_worth_a_call(kinds: tuple[Evidence, ...], enough: bool) -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     calls = [fresh.contradicted(1.0 + n / 10, n, kind) is not None for n, kind in enumerate(kinds)]
     assert calls == [False] * (len(kinds) - 1) + [enough]
 
 
 def test_old_evidence_is_forgotten() -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     assert fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL) is None
     assert fresh.contradicted(1.1 + EVIDENCE_WINDOW_S, 2, Evidence.REFUSED_DIAL) is None
 
@@ -61,7 +61,7 @@
     def delays(size: int) -> list[float]:
         delays_s = []
         for seed in range(40):
-            fresh = FreshList(size, 10.0, seed)
+            fresh = ListFreshness(size, 10.0, seed)
             fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
             delays_s.append(fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL))
         return [delay for delay in delays_s if delay is not None]
@@ -71,7 +71,7 @@
 
 
 def test_news_that_came_first_makes_the_call_needless() -> None:
-    fresh = FreshList(1200, 10.0)
+    fresh = ListFreshness(1200, 10.0)
     fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
     assert fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL) is not None
     fresh.judge(1.2, 0, True, 5)  # the same revision
@@ -80,7 +80,7 @@
     assert not fresh.still_wanted()
 
 
-def calls_for_evidence(fresh: FreshList, seconds: float, changes: bool) -> int:
+def calls_for_evidence(fresh: ListFreshness, seconds: float, changes: bool) -> int:
     """Count the calls for evidence that comes ten times a second; each answer brings a change or none."""
     calls = 0
     for step in range(int(seconds * 10)):
@@ -92,14 +92,14 @@
 
 
 def test_calls_that_explain_nothing_become_rarer() -> None:
-    explained = calls_for_evidence(FreshList(3, 10.0), 60.0, changes=True)
-    unexplained = calls_for_evidence(FreshList(3, 10.0), 60.0, changes=False)
-    assert 10 <= explained <= 60 / FreshList(3, 10.0).evidence_interval_s + 3
+    explained = calls_for_evidence(ListFreshness(3, 10.0), 60.0, changes=True)
+    unexplained = calls_for_evidence(ListFreshness(3, 10.0), 60.0, changes=False)
+    assert 10 <= explained <= 60 / ListFreshness(3, 10.0).evidence_interval_s + 3
     assert 3 <= unexplained < explained / 2
 
 
 def test_an_answer_that_is_behind_is_passed_over_until_nothing_else_comes() -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     assert fresh.judge(1.0, 40, True, 5) is Verdict.APPLY
     for _ in range(MAX_STALE_ANSWERS - 1):
         assert fresh.judge(2.0, 12, True, 5) is Verdict.PASS_OVER
@@ -110,20 +110,20 @@
 
 
 def test_changes_that_are_behind_are_never_taken_in() -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     fresh.judge(1.0, 40, True, 5)
     assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {Verdict.PASS_OVER}
 
 
 def test_after_a_move_a_lower_revision_is_good() -> None:
-    fresh = FreshList(3, 10.0)
+    fresh = ListFreshness(3, 10.0)
     fresh.judge(1.0, 40, True, 5)
     fresh.moved()
     assert fresh.judge(2.0, 2, True, 5) is Verdict.APPLY
 
 
 def test_an_empty_list_is_believed_and_asked_for_again_ever_less_often() -> None:
-    fresh = FreshList(24, 10.0)
+    fresh = ListFreshness(24, 10.0)
     assert fresh.judge(1.0, 40, True, 0) is Verdict.TAKE_AND_ASK
     waits = [fresh.ask_again_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
@@ -142,7 +142,7 @@
     """
     rng = random.Random(seed)
     ask_within, seconds = 10.0, 120.0
-    fleet = [FreshList(size, ask_within, rng.getrandbits(32)) for _ in range(size)]
+    fleet = [ListFreshness(size, ask_within, rng.getrandbits(32)) for _ in range(size)]
     call_times: list[float] = []
     next_watches = [(rng.uniform(1.0, 1.0 + fleet[0].wait_s), n) for n in range(size)]
     heapq.heapify(next_watches)
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import FreshList
+from garnethaven.limits.lists import ListFreshness
 from garnethaven.membership.call_schedule import (
     CHANGE_KNOWN_AFTER_SECONDS,
     CHANGE_KNOWN_AFTER_WATCH_SECONDS,
@@ -31,7 +31,7 @@
 
 
 def schedule_of(fleet_size: int, ask_within_s: float = 10.0, seed: int = 1) -> CallSchedule:
-    fresh = FreshList(fleet_size, ask_within_s, seed)
+    fresh = ListFreshness(fleet_size, ask_within_s, seed)
     return CallSchedule(
         CallTiming.asked(fresh.double_s, ask_within_s, fleet_size), fresh.wait_s, Random(seed)
     )
@@ -290,7 +290,7 @@
 
 @pytest.mark.parametrize("fails", [Event.REFUSES, Event.SILENT, Event.OVERLOADED])
 def test_an_agent_is_asked_within_a_drains_grace(fails: Event) -> None:
-    fresh = FreshList(214, 10.0, pushed=True)
+    fresh = ListFreshness(214, 10.0, pushed=True)
     world = World(CallSchedule(CallTiming.pushed(fresh.double_s), fresh.wait_s, Random(1)))
     world.carry_out(world.schedule.start(0.0, 0.0))
     world.run_until(3.0)
