--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -71,7 +71,7 @@
     TURNED_AWAY = 0.5
 
 
-class Verdict(Enum):
+class AnswerAction(Enum):
     """What to do with an answer of discovery."""
 
     APPLY = "apply the answer"
@@ -169,12 +169,12 @@
         """Forget the revision, because discovery has another address and counts revisions of its own."""
         self.revision = self.behind = 0
 
-    def judge(self, now: float, revision: int, complete: bool, entries: int) -> Verdict:
+    def judge(self, now: float, revision: int, complete: bool, entries: int) -> AnswerAction:
         """Decide what to do with a valid answer; `complete` marks a full list, `entries` is their number."""
         if revision < self.revision:
             self.behind += 1
             if self.behind < MAX_STALE_ANSWERS or not complete:
-                return Verdict.PASS_OVER
+                return AnswerAction.PASS_OVER
         changed = revision != self.revision
         self.behind = 0
         self.revision = revision
@@ -184,7 +184,7 @@
         if entries and changed:
             self.backoff_factor = 1
             self.evidence.clear()
-        return Verdict.TAKE_AND_ASK if complete and not entries else Verdict.APPLY
+        return AnswerAction.TAKE_AND_ASK if complete and not entries else AnswerAction.APPLY
 
     def ask_again_s(self) -> float:
         """Seconds until the next fetch of a list that was empty, with jitter; doubles with each call."""
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -20,7 +20,7 @@
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import ListKind, Outcome, State
 from garnethaven.limits.budgets import AnswerMemory, max_list_bytes
-from garnethaven.limits.lists import FULL_FLEET, WAIT_MOST_S, Evidence, ListFreshness, Verdict
+from garnethaven.limits.lists import FULL_FLEET, WAIT_MOST_S, AnswerAction, Evidence, ListFreshness
 from garnethaven.membership.call_schedule import (
     MAX_OPEN_CALLS,
     AbandonCall,
@@ -271,8 +271,8 @@
             return
         revision, complete, entries = listed.revision, listed.complete, listed.entries
         verdict = self.fresh.judge(now, revision, complete, len(entries))
-        self.told_empty = not entries and (verdict is Verdict.TAKE_AND_ASK or self.told_empty)
-        if verdict is Verdict.PASS_OVER:
+        self.told_empty = not entries and (verdict is AnswerAction.TAKE_AND_ASK or self.told_empty)
+        if verdict is AnswerAction.PASS_OVER:
             self._log(f"revision {revision} is behind {self.fresh.revision}, passed over")
             self._failed(call, Failure.BEHIND)
             return
@@ -283,7 +283,7 @@
         self._carry_out(self.schedule.answered(now, call.number, changed=bool(entries)))
         if listed.hides_changes() and not call.full:
             self._carry_out(self.schedule.ask(now, full=True))
-        if verdict is Verdict.TAKE_AND_ASK:
+        if verdict is AnswerAction.TAKE_AND_ASK:
             self._log("an empty list; asked for again")
         if entries or complete or self.owes_news:
             self.owes_news = False
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -13,9 +13,9 @@
     MIN_WATCH_WAIT_S,
     OVERDUE_S,
     WAIT_MOST_S,
+    AnswerAction,
     Evidence,
     ListFreshness,
-    Verdict,
 )
 
 
@@ -100,36 +100,36 @@
 
 def test_an_answer_that_is_behind_is_passed_over_until_nothing_else_comes() -> None:
     fresh = ListFreshness(3, 10.0)
-    assert fresh.judge(1.0, 40, True, 5) is Verdict.APPLY
+    assert fresh.judge(1.0, 40, True, 5) is AnswerAction.APPLY
     for _ in range(MAX_STALE_ANSWERS - 1):
-        assert fresh.judge(2.0, 12, True, 5) is Verdict.PASS_OVER
+        assert fresh.judge(2.0, 12, True, 5) is AnswerAction.PASS_OVER
     assert fresh.revision == 40
     assert fresh.age_s(3.0) == 2.0  # a stale answer does not renew the list
-    assert fresh.judge(2.0, 12, True, 5) is Verdict.APPLY
+    assert fresh.judge(2.0, 12, True, 5) is AnswerAction.APPLY
     assert fresh.revision == 12
 
 
 def test_changes_that_are_behind_are_never_taken_in() -> None:
     fresh = ListFreshness(3, 10.0)
     fresh.judge(1.0, 40, True, 5)
-    assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {Verdict.PASS_OVER}
+    assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {AnswerAction.PASS_OVER}
 
 
 def test_after_a_move_a_lower_revision_is_good() -> None:
     fresh = ListFreshness(3, 10.0)
     fresh.judge(1.0, 40, True, 5)
     fresh.moved()
-    assert fresh.judge(2.0, 2, True, 5) is Verdict.APPLY
+    assert fresh.judge(2.0, 2, True, 5) is AnswerAction.APPLY
 
 
 def test_an_empty_list_is_believed_and_asked_for_again_ever_less_often() -> None:
     fresh = ListFreshness(24, 10.0)
-    assert fresh.judge(1.0, 40, True, 0) is Verdict.TAKE_AND_ASK
+    assert fresh.judge(1.0, 40, True, 0) is AnswerAction.TAKE_AND_ASK
     waits = [fresh.ask_again_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
     assert waits[1] <= 0.75 * fresh.call_time_s
     assert sum(waits) / 200 == pytest.approx(fresh.call_time_s, rel=0.1)  # one call in a call time
-    assert fresh.judge(2.0, 41, True, 1) is Verdict.APPLY
+    assert fresh.judge(2.0, 41, True, 1) is AnswerAction.APPLY
     assert fresh.ask_again_s() <= 0.375 * fresh.call_time_s
 
 
