--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -75,7 +75,7 @@
     """What to do with an answer of discovery."""
 
     APPLY = "apply the answer"
-    TAKE_AND_ASK = "apply the answer and fetch the full list again"
+    APPLY_AND_REFETCH = "apply the answer and fetch the full list again"
     PASS_OVER = "ignore the stale answer and fetch the full list"
 
 
@@ -184,7 +184,7 @@
         if entries and changed:
             self.backoff_factor = 1
             self.evidence.clear()
-        return AnswerAction.TAKE_AND_ASK if complete and not entries else AnswerAction.APPLY
+        return AnswerAction.APPLY_AND_REFETCH if complete and not entries else AnswerAction.APPLY
 
     def ask_again_s(self) -> float:
         """Seconds until the next fetch of a list that was empty, with jitter; doubles with each call."""
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -271,7 +271,7 @@
             return
         revision, complete, entries = listed.revision, listed.complete, listed.entries
         verdict = self.fresh.judge(now, revision, complete, len(entries))
-        self.told_empty = not entries and (verdict is AnswerAction.TAKE_AND_ASK or self.told_empty)
+        self.told_empty = not entries and (verdict is AnswerAction.APPLY_AND_REFETCH or self.told_empty)
         if verdict is AnswerAction.PASS_OVER:
             self._log(f"revision {revision} is behind {self.fresh.revision}, passed over")
             self._failed(call, Failure.BEHIND)
@@ -283,7 +283,7 @@
         self._carry_out(self.schedule.answered(now, call.number, changed=bool(entries)))
         if listed.hides_changes() and not call.full:
             self._carry_out(self.schedule.ask(now, full=True))
-        if verdict is AnswerAction.TAKE_AND_ASK:
+        if verdict is AnswerAction.APPLY_AND_REFETCH:
             self._log("an empty list; asked for again")
         if entries or complete or self.owes_news:
             self.owes_news = False
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -124,7 +124,7 @@
 
 def test_an_empty_list_is_believed_and_asked_for_again_ever_less_often() -> None:
     fresh = ListFreshness(24, 10.0)
-    assert fresh.judge(1.0, 40, True, 0) is AnswerAction.TAKE_AND_ASK
+    assert fresh.judge(1.0, 40, True, 0) is AnswerAction.APPLY_AND_REFETCH
     waits = [fresh.ask_again_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
     assert waits[1] <= 0.75 * fresh.call_time_s
