--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -76,7 +76,7 @@
 
     APPLY = "apply the answer"
     APPLY_AND_REFETCH = "apply the answer and fetch the full list again"
-    PASS_OVER = "ignore the stale answer and fetch the full list"
+    IGNORE_STALE = "ignore the stale answer and fetch the full list"
 
 
 class ListFreshness:
@@ -174,7 +174,7 @@
         if revision < self.revision:
             self.behind += 1
             if self.behind < MAX_STALE_ANSWERS or not complete:
-                return AnswerAction.PASS_OVER
+                return AnswerAction.IGNORE_STALE
         changed = revision != self.revision
         self.behind = 0
         self.revision = revision
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -272,7 +272,7 @@
         revision, complete, entries = listed.revision, listed.complete, listed.entries
         verdict = self.fresh.judge(now, revision, complete, len(entries))
         self.told_empty = not entries and (verdict is AnswerAction.APPLY_AND_REFETCH or self.told_empty)
-        if verdict is AnswerAction.PASS_OVER:
+        if verdict is AnswerAction.IGNORE_STALE:
             self._log(f"revision {revision} is behind {self.fresh.revision}, passed over")
             self._failed(call, Failure.BEHIND)
             return
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -102,7 +102,7 @@
     fresh = ListFreshness(3, 10.0)
     assert fresh.judge(1.0, 40, True, 5) is AnswerAction.APPLY
     for _ in range(MAX_STALE_ANSWERS - 1):
-        assert fresh.judge(2.0, 12, True, 5) is AnswerAction.PASS_OVER
+        assert fresh.judge(2.0, 12, True, 5) is AnswerAction.IGNORE_STALE
     assert fresh.revision == 40
     assert fresh.age_s(3.0) == 2.0  # a stale answer does not renew the list
     assert fresh.judge(2.0, 12, True, 5) is AnswerAction.APPLY
@@ -112,7 +112,7 @@
 def test_changes_that_are_behind_are_never_taken_in() -> None:
     fresh = ListFreshness(3, 10.0)
     fresh.judge(1.0, 40, True, 5)
-    assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {AnswerAction.PASS_OVER}
+    assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {AnswerAction.IGNORE_STALE}
 
 
 def test_after_a_move_a_lower_revision_is_good() -> None:
