--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -309,7 +309,7 @@
             if endpoint.state is State.REMOVED:
                 self.start_times.leave(endpoint.id, now)
             else:
-                started = self.start_times.judge(endpoint.id, endpoint.started, now, absent_at)
+                started = self.start_times.effective_start(endpoint.id, endpoint.started, now, absent_at)
                 if started != endpoint.started:
                     endpoint = replace(endpoint, started=started)
             judged.append((endpoint, address))
--- a/garnethaven/recovery/start_times.py
+++ b/garnethaven/recovery/start_times.py
@@ -56,7 +56,7 @@
         self.servers: dict[int, ServerStarts] = {}
         self.unlisted: dict[int, None] = {}  # ids in the order in which they left the list
 
-    def judge(self, endpoint: int, claimed: int, now: int, absent_at: int | None) -> int:
+    def effective_start(self, endpoint: int, claimed: int, now: int, absent_at: int | None) -> int:
         """Return the effective start of a listed server; 0 means long ago.
 
         `claimed` is the start in the list and `now` the time at which the list arrived; for `absent_at` see
--- a/tests/recovery/test_start_times.py
+++ b/tests/recovery/test_start_times.py
@@ -35,27 +35,27 @@
     ],
 )
 def test_a_claim_is_held_against_the_lists_before(claimed: int, absent_at: int | None, counts: int) -> None:
-    assert StartTimes().judge(SERVER_ID, claimed, NOW, absent_at) == counts
+    assert StartTimes().effective_start(SERVER_ID, claimed, NOW, absent_at) == counts
 
 
 def test_the_start_of_a_life_does_not_move() -> None:
     times = StartTimes()
-    first = times.judge(SERVER_ID, NOW + HOUR, NOW, NOW)
+    first = times.effective_start(SERVER_ID, NOW + HOUR, NOW, NOW)
     for later in range(1, 40):
         now = NOW + later * 30 * SECOND
-        assert times.judge(SERVER_ID, NOW + HOUR, now, now) == first == NOW
+        assert times.effective_start(SERVER_ID, NOW + HOUR, now, now) == first == NOW
 
 
 def test_a_server_that_is_listed_again_keeps_its_start_for_a_while() -> None:
     times = StartTimes()
-    times.judge(SERVER_ID, NOW - HOUR, NOW, None)
+    times.effective_start(SERVER_ID, NOW - HOUR, NOW, None)
     times.leave_all_but([], NOW)
     times.forget_old(NOW + RETENTION_NS - 1)
-    assert times.judge(SERVER_ID, NOW - HOUR, NOW + RETENTION_NS - 1, NOW) == NOW - HOUR
+    assert times.effective_start(SERVER_ID, NOW - HOUR, NOW + RETENTION_NS - 1, NOW) == NOW - HOUR
     times.leave(SERVER_ID, NOW + RETENTION_NS)
     times.forget_old(NOW + 2 * RETENTION_NS)
     late = NOW + 2 * RETENTION_NS
-    assert times.judge(SERVER_ID, NOW - HOUR, late, late) == late, (
+    assert times.effective_start(SERVER_ID, NOW - HOUR, late, late) == late, (
         "a server taken for too cold costs a share of its capacity, one taken for too warm fails"
     )
     assert len(times.servers) == 1 and not times.unlisted
@@ -63,24 +63,24 @@
 
 def test_claims_that_go_back_make_no_server_older() -> None:
     times = StartTimes()
-    times.judge(SERVER_ID, NOW - 50 * SECOND, NOW - 20 * SECOND, None)
-    assert times.judge(SERVER_ID, NOW - 2 * SECOND, NOW, NOW) == NOW - 2 * SECOND
-    assert times.judge(SERVER_ID, NOW - 50 * SECOND, NOW + SECOND, NOW + SECOND) == NOW - 2 * SECOND
-    assert times.judge(SERVER_ID, 0, NOW + 2 * SECOND, NOW + 2 * SECOND) == NOW - 2 * SECOND
+    times.effective_start(SERVER_ID, NOW - 50 * SECOND, NOW - 20 * SECOND, None)
+    assert times.effective_start(SERVER_ID, NOW - 2 * SECOND, NOW, NOW) == NOW - 2 * SECOND
+    assert times.effective_start(SERVER_ID, NOW - 50 * SECOND, NOW + SECOND, NOW + SECOND) == NOW - 2 * SECOND
+    assert times.effective_start(SERVER_ID, 0, NOW + 2 * SECOND, NOW + 2 * SECOND) == NOW - 2 * SECOND
 
 
 def test_a_start_before_this_machine_was_booted_is_told_from_long_ago() -> None:
     times = StartTimes()
-    assert times.judge(SERVER_ID, 0, NOW, None) == 0
-    assert times.judge(SERVER_ID, -HOUR, NOW, None) == -HOUR
-    assert times.judge(SERVER_ID, 0, NOW + SECOND, NOW) == -HOUR
+    assert times.effective_start(SERVER_ID, 0, NOW, None) == 0
+    assert times.effective_start(SERVER_ID, -HOUR, NOW, None) == -HOUR
+    assert times.effective_start(SERVER_ID, 0, NOW + SECOND, NOW) == -HOUR
 
 
 def test_one_that_starts_again_and_again_holds_little_memory() -> None:
     times = StartTimes()
     for number in range(1000):
         now = NOW + number * SECOND
-        assert times.judge(SERVER_ID, now, now, now) == now
+        assert times.effective_start(SERVER_ID, now, now, now) == now
     assert len(times.servers[SERVER_ID].starts) == MAX_STARTS_PER_SERVER
 
 
@@ -96,7 +96,7 @@
         bounded: bool | None = None
         started_at = NOW - HOUR if listed_before else NOW - 2 * SECOND
         if listed_before:  # an earlier list names the previous incarnation
-            times.judge(SERVER_ID, NOW - HOUR, NOW, None)
+            times.effective_start(SERVER_ID, NOW - HOUR, NOW, None)
             answered_at, started_at = NOW, NOW + SECOND // 2
         for step in order:
             now += 3 * SECOND
@@ -106,7 +106,7 @@
             if step == "left out":
                 times.leave_all_but([], now)
             else:
-                effective = times.judge(SERVER_ID, started_at + skew, now, absent_at)
+                effective = times.effective_start(SERVER_ID, started_at + skew, now, absent_at)
                 assert effective <= now
                 # A list without the server bounds its start, unless the very first list names it.
                 if bounded is None:
