--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -77,7 +77,7 @@
 def judge_overload() -> Callable[[], object]:
     """An arrival and an answer in the model of overload, while it refuses."""
     overload, numbers = Overload(Random(1)), count(1)
-    overload.refused_share, overload.ease = 0.5, 1.0
+    overload.refused_share, overload.smoothed_latency_fraction = 0.5, 1.0
 
     def once() -> None:
         now = next(numbers) * 3_000_000
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -173,7 +173,7 @@
             discovery_calls=self.discovery.calls_made,
             discovery_extra_calls=self.discovery.extra_calls,
             refused_share=round(overload.refused_share, 3),
-            ease=round(overload.ease, 3),
+            ease=round(overload.smoothed_latency_fraction, 3),
             under_way=len(self.engine.open_ids),
             oldest_s=round(self.engine.oldest_s(), 3),
         )
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -69,7 +69,7 @@
         self.last_answer = 0
         self.refused_share = 0.0  # of arrivals
         self.share_updated_at = 0
-        self.ease = 0.0  # smoothed latency fraction
+        self.smoothed_latency_fraction = 0.0  # smoothed latency fraction
         self.retries = RETRY_BURST  # tokens for marked retries
         self.arrivals_by_value: dict[float, float] = {}  # recent arrivals, exponentially decayed
 
@@ -107,12 +107,14 @@
 
     def _smooth_latency(self, now: int, latency_fraction: float) -> None:
         self._decay_refused_share(now)
-        self.ease += (min(1.0, latency_fraction) - self.ease) / LATENCY_EWMA_ANSWERS
+        self.smoothed_latency_fraction += (
+            min(1.0, latency_fraction) - self.smoothed_latency_fraction
+        ) / LATENCY_EWMA_ANSWERS
 
     def _decay_refused_share(self, now: int) -> None:
         """Halve the share once per half-life for the time since the last update, if there is no queue."""
         elapsed, self.share_updated_at = now - self.share_updated_at, now
-        if self.refused_share > 0.0 and self.ease < MAX_UNQUEUED_FRACTION:
+        if self.refused_share > 0.0 and self.smoothed_latency_fraction < MAX_UNQUEUED_FRACTION:
             self.refused_share *= 0.5 ** (elapsed / REFUSED_SHARE_HALF_LIFE_NS)
             if self.refused_share < MIN_REFUSED_SHARE:
                 self.refused_share = 0.0
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -451,7 +451,11 @@
     for _ in range(100):
         driver.serve()
     overload = driver.balancer.overload
-    before = (overload.ease, overload.refused_share, dict(driver.balancer.latency_estimates))
+    before = (
+        overload.smoothed_latency_fraction,
+        overload.refused_share,
+        dict(driver.balancer.latency_estimates),
+    )
     streams = []
     for _ in range(200):
         (send,) = sends(driver.ask(after=MS))
@@ -461,7 +465,7 @@
     for send in streams:
         driver.end(send, Outcome.DONE, after=100 * MS)
     assert overload.refused_share == before[1] and driver.balancer.latency_estimates == before[2]
-    assert overload.ease < 0.1  # all streams began at once
+    assert overload.smoothed_latency_fraction < 0.1  # all streams began at once
     assert overload.answer_gap < 10 * MS  # measured at the starts of the streams, not at their ends
     assert driver.balancer.streaming_count == 0
 
