--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -938,7 +938,7 @@
         if pending.lateness_recorded:
             return
         pending.lateness_recorded = True
-        self.overload.judged(self.now, late)
+        self.overload.record_first_attempt(self.now, late)
 
     def _should_shed(self, pending: PendingRequest, is_retry: bool) -> bool:
         """Whether to refuse an arriving request, lowest value first (limits/overload.py)."""
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -92,7 +92,7 @@
             self.answer_gap += (now - self.last_answer - self.answer_gap) / span
         self.last_answer = now
 
-    def judged(self, now: int, late: bool) -> None:
+    def record_first_attempt(self, now: int, late: bool) -> None:
         """Record a first attempt as in time or late, and move the refused share."""
         if late:
             self.window.answered(now, 1.0)
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -27,7 +27,7 @@
     for n in range(20):
         overload.arrives(START + n * S // 2)
         overload.answered(START + n * S // 2 + 100 * MS, 0.1)
-        overload.judged(START + n * S // 2 + 100 * MS, late=False)
+        overload.record_first_attempt(START + n * S // 2 + 100 * MS, late=False)
     return overload
 
 
@@ -63,7 +63,7 @@
     record_late_answers(overload)
     answers = 0
     while overload.refused_share > 0.0 and answers < 100:
-        overload.judged(START + 60 * S, late=False)
+        overload.record_first_attempt(START + 60 * S, late=False)
         answers += 1
     assert answers < 35  # 48 with steps of a constant size
 
