--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -81,7 +81,7 @@
 
     def once() -> None:
         now = next(numbers) * 3_000_000
-        overload.arrives(now)
+        overload.record_arrival(now)
         overload.refuses(1.0, S, 3, False, False)
         overload.answered(now, 0.9)
 
--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -694,7 +694,7 @@
         self.pending_requests[pending.id] = pending
         if request.prior is not None:
             pending.attempts.append(self._prior_attempt(request.prior))
-        self.overload.arrives(self.now)
+        self.overload.record_arrival(self.now)
         self.hedge_tokens = min(MAX_HEDGE_TOKENS, self.hedge_tokens + HEDGES_PER_REQUEST)
         self.streaming_count += pending.body_incomplete
         # A retry whose answer would come too late to have any value would only take capacity from others.
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -73,7 +73,7 @@
         self.retries = RETRY_BURST  # tokens for marked retries
         self.arrivals_by_value: dict[float, float] = {}  # recent arrivals, exponentially decayed
 
-    def arrives(self, now: int) -> None:
+    def record_arrival(self, now: int) -> None:
         """Record the arrival of a request."""
         if self.last_arrival:
             self.gap += (now - self.last_arrival - self.gap) / ARRIVAL_GAP_EWMA_REQUESTS
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -25,7 +25,7 @@
     """Overload state of a sidecar with two requests a second and fast answers so far."""
     overload = Overload(Random(seed))
     for n in range(20):
-        overload.arrives(START + n * S // 2)
+        overload.record_arrival(START + n * S // 2)
         overload.answered(START + n * S // 2 + 100 * MS, 0.1)
         overload.record_first_attempt(START + n * S // 2 + 100 * MS, late=False)
     return overload
@@ -77,7 +77,7 @@
         now += int(rng.expovariate(rate if now < START + 10 * S else 3.5 * rate) * S)
         while answers_due and answers_due[0] <= now:
             overload.answered(heappop(answers_due), 0.3)
-        overload.arrives(now)
+        overload.record_arrival(now)
         if overload.refuses(1.0, 1600 * MS, len(answers_due), False, False):
             refused += 1
         else:
@@ -97,7 +97,7 @@
     now = record_late_answers(overload)
     for n in range(2 * LATENCY_EWMA_ANSWERS):  # as few as a sidecar gets while it refuses most requests
         overload.answered(now + n * 100 * MS, 0.1)
-    overload.arrives(now + S + 6 * REFUSED_SHARE_HALF_LIFE_NS)
+    overload.record_arrival(now + S + 6 * REFUSED_SHARE_HALF_LIFE_NS)
     assert overload.refused_share == 0.0
     assert refusals(overload, 100) == 0
 
@@ -105,7 +105,7 @@
 def test_the_clock_alone_ends_nothing_while_answers_are_late() -> None:
     overload = sparse_overload()
     now = record_late_answers(overload)
-    overload.arrives(now + 60 * S)
+    overload.record_arrival(now + 60 * S)
     assert overload.refused_share == MAX_REFUSED_SHARE
 
 
@@ -128,7 +128,7 @@
 def test_a_busy_one_refuses_by_what_is_under_way_before_any_answer_is_late() -> None:
     overload = Overload(Random(1))
     for n in range(400):
-        overload.arrives(START + n * 5 * MS)
+        overload.record_arrival(START + n * 5 * MS)
         overload.answered(START + n * 5 * MS, 0.1)
     few, many = TARGET // (10 * MS), 2 * TARGET // (5 * MS)
     assert not overload.refuses(1.0, TARGET, few, False, False)
