--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -83,7 +83,7 @@
         now = next(numbers) * 3_000_000
         overload.record_arrival(now)
         overload.refuses(1.0, S, 3, False, False)
-        overload.answered(now, 0.9)
+        overload.record_answer(now, 0.9)
 
     return once
 
--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -795,7 +795,7 @@
             attempt.open = False
             attempt.may_have_run = event.outcome not in NEVER_RAN
         if event.outcome is Outcome.DONE and not pending.bound and not pending.coming:
-            self.overload.answered(self.now, event.duration / max(1, pending.grade.aim))
+            self.overload.record_answer(self.now, event.duration / max(1, pending.grade.aim))
         if event.outcome is Outcome.BUSY:  # the server is full, a queue that no answer's latency shows
             self.overload.window.answered(self.now, 1.0)
         if event.final or event.outcome is Outcome.DONE:
@@ -894,7 +894,7 @@
             if event.attempt < len(pending.attempts) and not pending.coming:
                 # The time to the start of the stream counts as the latency of the answer.
                 duration = self.now - pending.attempts[event.attempt].sent_at
-                self.overload.answered(self.now, duration / max(1, pending.grade.aim))
+                self.overload.record_answer(self.now, duration / max(1, pending.grade.aim))
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
         pass
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -80,7 +80,7 @@
         self.last_arrival = now
         self._decay_refused_share(now)
 
-    def answered(self, now: int, latency_fraction: float) -> None:
+    def record_answer(self, now: int, latency_fraction: float) -> None:
         """Record a good answer; `latency_fraction` is its latency divided by the latency target."""
         self.window.answered(now, latency_fraction)
         self._smooth_latency(now, latency_fraction)
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -26,7 +26,7 @@
     overload = Overload(Random(seed))
     for n in range(20):
         overload.record_arrival(START + n * S // 2)
-        overload.answered(START + n * S // 2 + 100 * MS, 0.1)
+        overload.record_answer(START + n * S // 2 + 100 * MS, 0.1)
         overload.record_first_attempt(START + n * S // 2 + 100 * MS, late=False)
     return overload
 
@@ -76,7 +76,7 @@
     while now < START + 16 * S:
         now += int(rng.expovariate(rate if now < START + 10 * S else 3.5 * rate) * S)
         while answers_due and answers_due[0] <= now:
-            overload.answered(heappop(answers_due), 0.3)
+            overload.record_answer(heappop(answers_due), 0.3)
         overload.record_arrival(now)
         if overload.refuses(1.0, 1600 * MS, len(answers_due), False, False):
             refused += 1
@@ -96,7 +96,7 @@
     overload = sparse_overload()
     now = record_late_answers(overload)
     for n in range(2 * LATENCY_EWMA_ANSWERS):  # as few as a sidecar gets while it refuses most requests
-        overload.answered(now + n * 100 * MS, 0.1)
+        overload.record_answer(now + n * 100 * MS, 0.1)
     overload.record_arrival(now + S + 6 * REFUSED_SHARE_HALF_LIFE_NS)
     assert overload.refused_share == 0.0
     assert refusals(overload, 100) == 0
@@ -129,7 +129,7 @@
     overload = Overload(Random(1))
     for n in range(400):
         overload.record_arrival(START + n * 5 * MS)
-        overload.answered(START + n * 5 * MS, 0.1)
+        overload.record_answer(START + n * 5 * MS, 0.1)
     few, many = TARGET // (10 * MS), 2 * TARGET // (5 * MS)
     assert not overload.refuses(1.0, TARGET, few, False, False)
     assert overload.refuses(1.0, TARGET, many, False, False)
