--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -82,7 +82,7 @@
     def once() -> None:
         now = next(numbers) * 3_000_000
         overload.record_arrival(now)
-        overload.refuses(1.0, S, 3, False, False)
+        overload.should_refuse(1.0, S, 3, False, False)
         overload.record_answer(now, 0.9)
 
     return once
--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -946,7 +946,7 @@
         over_share = self._tenant_over_share(pending.tenant)
         if over_share:
             value *= self.settings.over_share_value_factor
-        refused = self.overload.refuses(
+        refused = self.overload.should_refuse(
             value,
             pending.request_class.aim,
             len(self.pending_requests) - 1 - self.streaming_count,
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -119,7 +119,9 @@
             if self.refused_share < MIN_REFUSED_SHARE:
                 self.refused_share = 0.0
 
-    def refuses(self, value: float, target: int, in_flight: int, over_share: bool, is_retry: bool) -> bool:
+    def should_refuse(
+        self, value: float, target: int, in_flight: int, over_share: bool, is_retry: bool
+    ) -> bool:
         """Whether to refuse an arrival; requests of the lowest value are refused first.
 
         `target` is the latency target in nanoseconds. `in_flight` excludes the arrival itself. `over_share`
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -41,7 +41,7 @@
 
 
 def refusals(overload: Overload, count: int, is_retry: bool = False) -> int:
-    return sum(overload.refuses(1.0, TARGET, 0, False, is_retry) for _ in range(count))
+    return sum(overload.should_refuse(1.0, TARGET, 0, False, is_retry) for _ in range(count))
 
 
 def test_nothing_is_refused_on_a_calm_day() -> None:
@@ -78,7 +78,7 @@
         while answers_due and answers_due[0] <= now:
             overload.record_answer(heappop(answers_due), 0.3)
         overload.record_arrival(now)
-        if overload.refuses(1.0, 1600 * MS, len(answers_due), False, False):
+        if overload.should_refuse(1.0, 1600 * MS, len(answers_due), False, False):
             refused += 1
         else:
             heappush(answers_due, now + int(min(2.5, rng.lognormvariate(-0.8, 0.7)) * S))
@@ -115,7 +115,7 @@
     admitted = {False: 0, True: 0}
     for n in range(4000):
         is_retry = n % 2 == 0
-        admitted[is_retry] += not overload.refuses(1.0, TARGET, 0, False, is_retry)
+        admitted[is_retry] += not overload.should_refuse(1.0, TARGET, 0, False, is_retry)
     assert 0 < admitted[True] <= RETRY_SHARE * admitted[False] + RETRY_BURST
     assert admitted[False] > 1000
 
@@ -131,18 +131,18 @@
         overload.record_arrival(START + n * 5 * MS)
         overload.record_answer(START + n * 5 * MS, 0.1)
     few, many = TARGET // (10 * MS), 2 * TARGET // (5 * MS)
-    assert not overload.refuses(1.0, TARGET, few, False, False)
-    assert overload.refuses(1.0, TARGET, many, False, False)
+    assert not overload.should_refuse(1.0, TARGET, few, False, False)
+    assert overload.should_refuse(1.0, TARGET, many, False, False)
     between = int(0.9 * TARGET / (5 * MS))
-    assert not overload.refuses(1.0, TARGET, between, False, False)
-    assert overload.refuses(1.0, TARGET, between, True, False)  # its tenant exceeds its share
+    assert not overload.should_refuse(1.0, TARGET, between, False, False)
+    assert overload.should_refuse(1.0, TARGET, between, True, False)  # its tenant exceeds its share
 
 
 def test_equal_seeds_give_equal_answers() -> None:
     def play(seed: int) -> list[bool]:
         overload = sparse_overload(seed)
         record_late_answers(overload, 12)
-        return [overload.refuses(1.0, TARGET, 0, False, n % 3 == 0) for n in range(300)]
+        return [overload.should_refuse(1.0, TARGET, 0, False, n % 3 == 0) for n in range(300)]
 
     assert play(5) == play(5) != play(6)
 
