--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -251,7 +251,7 @@
         )  # a process that restarts often must not refill it
         self.overload.retries = min(self.overload.retries, event.retries)
         # Otherwise a burst after the restart would look like a high request rate and lower the error penalty.
-        self.overload.gap = event.gap or self.overload.gap
+        self.overload.arrival_gap = event.gap or self.overload.arrival_gap
         self._recompute_weights()
 
     def _selectable(self, server: Server) -> bool:
@@ -346,7 +346,7 @@
 
     def _rate_per_server(self) -> float:
         """Return the mean requests per second that this sidecar sends to one server."""
-        gap = self.overload.gap
+        gap = self.overload.arrival_gap
         return SECOND / gap / len(self.pool) if gap and self.pool else 0.0
 
     def _recompute_weights(self) -> None:
@@ -820,7 +820,7 @@
         settings = self.settings
         if (
             settings.streams_per_conn == 1
-            and self.overload.gap * len(self.pool) > settings.connection_idle_timeout > 0
+            and self.overload.arrival_gap * len(self.pool) > settings.connection_idle_timeout > 0
         ):
             self.actions.append(CloseIdle(endpoint))
 
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -63,7 +63,7 @@
     def __init__(self, rng: Random) -> None:
         self.rng = rng
         self.window = StartupWindow()  # admission limit after a start, before there is a latency estimate
-        self.gap = 0.0  # smoothed time between arrivals
+        self.arrival_gap = 0.0  # smoothed time between arrivals
         self.last_arrival = 0
         self.answer_gap = 0.0  # smoothed time between good answers
         self.last_answer = 0
@@ -76,7 +76,7 @@
     def record_arrival(self, now: int) -> None:
         """Record the arrival of a request."""
         if self.last_arrival:
-            self.gap += (now - self.last_arrival - self.gap) / ARRIVAL_GAP_EWMA_REQUESTS
+            self.arrival_gap += (now - self.last_arrival - self.arrival_gap) / ARRIVAL_GAP_EWMA_REQUESTS
         self.last_arrival = now
         self._decay_refused_share(now)
 
@@ -149,7 +149,7 @@
         Limitation: many requests that hang at a silent server count here, until they are attributed to it and
         end.
         """
-        if not 0.0 < self.gap < BUSY_GAP_NS:
+        if not 0.0 < self.arrival_gap < BUSY_GAP_NS:
             return False
         max_fraction = MAX_QUEUE_FRACTION_OVER_SHARE if over_share else MAX_QUEUE_FRACTION
         return in_flight * self.answer_gap > max_fraction * target
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -101,7 +101,7 @@
         driver.balancer.hedge_tokens = 5.0
         for _ in range(4):
             driver.serve(Outcome.DONE, after=1 * MS)
-        driver.balancer.overload.gap = 2 * S  # sparse requests, so that a hedge is useful
+        driver.balancer.overload.arrival_gap = 2 * S  # sparse requests, so that a hedge is useful
         send = sends(driver.ask())[0]
         hedges = 0
         for token in sorted(driver.balancer.timers)[-2:]:
