--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -249,7 +249,7 @@
         self.hedge_tokens = min(
             self.hedge_tokens, event.copies
         )  # a process that restarts often must not refill it
-        self.overload.retries = min(self.overload.retries, event.retries)
+        self.overload.retry_tokens = min(self.overload.retry_tokens, event.retries)
         # Otherwise a burst after the restart would look like a high request rate and lower the error penalty.
         self.overload.arrival_gap = event.gap or self.overload.arrival_gap
         self._recompute_weights()
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -70,7 +70,7 @@
         self.refused_share = 0.0  # of arrivals
         self.share_updated_at = 0
         self.smoothed_latency_fraction = 0.0  # smoothed latency fraction
-        self.retries = RETRY_BURST  # tokens for marked retries
+        self.retry_tokens = RETRY_BURST  # tokens for marked retries
         self.arrivals_by_value: dict[float, float] = {}  # recent arrivals, exponentially decayed
 
     def record_arrival(self, now: int) -> None:
@@ -138,7 +138,9 @@
             or self._refused_by_share(value, is_retry)
         )
         if not refused:
-            self.retries = min(RETRY_BURST, self.retries - 1.0 if is_retry else self.retries + RETRY_SHARE)
+            self.retry_tokens = min(
+                RETRY_BURST, self.retry_tokens - 1.0 if is_retry else self.retry_tokens + RETRY_SHARE
+            )
         return refused
 
     def _queue_is_long(self, target: int, in_flight: int, over_share: bool) -> bool:
@@ -158,7 +160,7 @@
         """Whether the refused share, filled from the lowest value upwards, takes this arrival."""
         if self.refused_share <= 0.0:
             return False
-        if is_retry and self.retries < 1.0:
+        if is_retry and self.retry_tokens < 1.0:
             return True
         lower_valued = sum(count for other, count in self.arrivals_by_value.items() if other < value)
         to_refuse = self.refused_share * sum(self.arrivals_by_value.values()) - lower_valued
--- a/garnethaven/state/snapshot.py
+++ b/garnethaven/state/snapshot.py
@@ -55,7 +55,9 @@
     """All statistics of the balancer, with those of `servers`."""
     overload = balancer.overload
     latency_ratios, usual = dict(balancer.pace), dict(balancer.latency_estimates)
-    return Statistics(servers, latency_ratios, usual, balancer.copies, overload.retries, overload.arrival_gap)
+    return Statistics(
+        servers, latency_ratios, usual, balancer.copies, overload.retry_tokens, overload.arrival_gap
+    )
 
 
 def list_members(
--- a/tests/state/test_ageing.py
+++ b/tests/state/test_ageing.py
@@ -103,7 +103,7 @@
         (send,) = [a for a in balancer.handle(now, Request(str(n), 0, S)) if isinstance(a, Send)]
         outcome = Outcome.ERROR if send.endpoint == 97 else Outcome.DONE
         balancer.handle(now, AttemptEnded(str(n), 0, send.endpoint, outcome, S // 10, final=True))
-    balancer.hedge_tokens, balancer.overload.retries = 0.25, 0.5
+    balancer.hedge_tokens, balancer.overload.retry_tokens = 0.25, 0.5
     errors = balancer.decayed_errors(balancer.servers[97])
     assert errors > 2.0
     for restart in range(5):
@@ -111,7 +111,7 @@
         balancer = make_balancer(restart)
         listed = {name_of(97 + n): (97 + n, 0) for n in range(3)}
         balancer.handle(S, restore(stored, 2 * S // 10, HALF_LIFE, listed))
-        assert balancer.hedge_tokens <= 0.25 and balancer.overload.retries <= 0.5
+        assert balancer.hedge_tokens <= 0.25 and balancer.overload.retry_tokens <= 0.5
     weights = {server.id: server.weight for server in balancer.pool}
     assert balancer.decayed_errors(balancer.servers[97]) == pytest.approx(errors * 0.5 ** (1 / 6), rel=1e-3)
     assert weights[97] < 0.5 * weights[98]
