--- a/garnethaven/recovery/window.py
+++ b/garnethaven/recovery/window.py
@@ -45,7 +45,7 @@
     """Startup window of one sidecar. There is no limit before `begin` and after the window has ended."""
 
     def __init__(self) -> None:
-        self.most = 0.0  # limit of the requests in flight; 0: none
+        self.limit = 0.0  # limit of the requests in flight; 0: none
         self.target = 0  # shortest latency target
         self.initial_limit = 0.0
         self.grown_at = 0
@@ -58,7 +58,7 @@
         `servers` counts servers of average size, each multiplied by its warmth. `target` is the shortest
         latency target of all request classes.
         """
-        self.initial_limit = self.most = max(
+        self.initial_limit = self.limit = max(
             MIN_LIMIT, INITIAL_REQUESTS_PER_SERVER * servers / max(1, fleet_size)
         )
         self.target = max(1, target)
@@ -66,26 +66,26 @@
 
     def should_refuse(self, now: int, in_flight: int) -> bool:
         """Whether to refuse an arrival; `in_flight` excludes it."""
-        if not self.most:
+        if not self.limit:
             return False
         if now - self.busy_at > CALM_NS:
-            self.most = 0.0
+            self.limit = 0.0
             return False
-        self.most += GROWTH_PER_TARGET * self.initial_limit * (now - self.grown_at) / self.target
+        self.limit += GROWTH_PER_TARGET * self.initial_limit * (now - self.grown_at) / self.target
         self.grown_at = now
-        if in_flight < self.most:
+        if in_flight < self.limit:
             return False
         self.busy_at = now
         return True
 
     def answered(self, now: int, latency_fraction: float) -> None:
         """Record an answer by its latency divided by its target; 1 or more means that it was late."""
-        if not self.most:
+        if not self.limit:
             return
         if latency_fraction < FAST_FRACTION:
-            self.most += 1.0
+            self.limit += 1.0
         elif latency_fraction > SLOW_FRACTION:
             self.busy_at = now
             if now - self.cut_at >= self.target:
                 self.cut_at = now
-                self.most = max(MIN_LIMIT, self.most * CUT_FACTOR)
+                self.limit = max(MIN_LIMIT, self.limit * CUT_FACTOR)
--- a/tests/grpcs/test_late_dials.py
+++ b/tests/grpcs/test_late_dials.py
@@ -235,7 +235,7 @@
         await Server(held, breaks).start(),
         await Server(held if other_held else None, breaks).start(),
     ]
-    engine.balancer.overload.window.most = 0.0  # it has served for a while: no beginner
+    engine.balancer.overload.window.limit = 0.0  # it has served for a while: no beginner
     try:
         yield made
     finally:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -62,7 +62,7 @@
         self.request_count = 0
         self.balancer.handle(self.now, Started())
         self.feed(Membership(ListKind.PERSISTED, endpoints))
-        self.balancer.overload.window.most = 0.0  # ends the startup window
+        self.balancer.overload.window.limit = 0.0  # ends the startup window
 
     def feed(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -77,27 +77,27 @@
 
 def test_slow_answers_cut_it_once_an_aim_and_never_to_nothing() -> None:
     window = started_window(24.0, 1)
-    before = window.most
+    before = window.limit
     for _ in range(50):
         window.answered(S, 1.0)
-    assert before * 0.6 < window.most < before
+    assert before * 0.6 < window.limit < before
     for second in range(2, 60):
         window.answered(second * S, SLOW_FRACTION + 0.01)
-    assert window.most == MIN_LIMIT  # growth by the clock applies only to arrivals
+    assert window.limit == MIN_LIMIT  # growth by the clock applies only to arrivals
 
 
 def test_a_try_that_a_server_had_no_place_for_cuts_it_too() -> None:
     settings = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), max_attempts=2)
     balancer = Balancer(settings, 1)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(number) for number in range(4))))
-    before = balancer.overload.window.most
+    before = balancer.overload.window.limit
     (send,) = (a for a in balancer.handle(2 * S, Request("a", 0, 3 * S)) if isinstance(a, Send))
     balancer.handle(2 * S, AttemptEnded("a", 0, send.endpoint, Outcome.CONNECT_FAILED))
     # The limit has grown by the clock; a failed dial does not indicate a queue.
-    assert balancer.overload.window.most > before
-    grown_limit = balancer.overload.window.most
+    assert balancer.overload.window.limit > before
+    grown_limit = balancer.overload.window.limit
     balancer.handle(2 * S, AttemptEnded("a", 1, send.endpoint, Outcome.BUSY))
-    assert balancer.overload.window.most == pytest.approx(grown_limit * CUT_FACTOR)
+    assert balancer.overload.window.limit == pytest.approx(grown_limit * CUT_FACTOR)
 
 
 def test_a_process_that_stood_still_begins_anew() -> None:
@@ -106,7 +106,7 @@
     listed = tuple(Endpoint(number) for number in range(12))
     balancer.handle(0, Membership(ListKind.FULL, listed))
     balancer.handle(4 * CALM_NS, Request("calm", 0, S))
-    assert not balancer.overload.window.most  # it has ended
+    assert not balancer.overload.window.limit  # it has ended
     balancer.handle(5 * CALM_NS, ProcessResumed())
     actions = [balancer.handle(5 * CALM_NS, Request(str(n), 0, S)) for n in range(40)]
     refused = sum(isinstance(action, Refuse) for batch in actions for action in batch)
