--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -797,7 +797,7 @@
         if event.outcome is Outcome.DONE and not pending.bound and not pending.coming:
             self.overload.record_answer(self.now, event.duration / max(1, pending.grade.aim))
         if event.outcome is Outcome.BUSY:  # the server is full, a queue that no answer's latency shows
-            self.overload.window.answered(self.now, 1.0)
+            self.overload.window.record_answer(self.now, 1.0)
         if event.final or event.outcome is Outcome.DONE:
             late = event.outcome is not Outcome.DONE or self.now > pending.target_at
             self._record_lateness(pending, late)
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -82,7 +82,7 @@
 
     def record_answer(self, now: int, latency_fraction: float) -> None:
         """Record a good answer; `latency_fraction` is its latency divided by the latency target."""
-        self.window.answered(now, latency_fraction)
+        self.window.record_answer(now, latency_fraction)
         self._smooth_latency(now, latency_fraction)
         if self.last_answer:
             span = min(
@@ -95,7 +95,7 @@
     def record_first_attempt(self, now: int, late: bool) -> None:
         """Record a first attempt as in time or late, and move the refused share."""
         if late:
-            self.window.answered(now, 1.0)
+            self.window.record_answer(now, 1.0)
             self._smooth_latency(now, 1.0)
         step = REFUSED_SHARE_GAIN * ((1.0 if late else 0.0) - LATE_SHARE_TARGET)
         if step < 0.0:
--- a/garnethaven/recovery/window.py
+++ b/garnethaven/recovery/window.py
@@ -78,7 +78,7 @@
         self.busy_at = now
         return True
 
-    def answered(self, now: int, latency_fraction: float) -> None:
+    def record_answer(self, now: int, latency_fraction: float) -> None:
         """Record an answer by its latency divided by its target; 1 or more means that it was late."""
         if not self.limit:
             return
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -63,7 +63,7 @@
     window = started_window(12.0, 24)
     first = admitted(window, 0, 100)
     for _ in range(first):
-        window.answered(0, FAST_FRACTION / 2)
+        window.record_answer(0, FAST_FRACTION / 2)
     assert admitted(window, 0, 100) == 2 * first
 
 
@@ -79,10 +79,10 @@
     window = started_window(24.0, 1)
     before = window.limit
     for _ in range(50):
-        window.answered(S, 1.0)
+        window.record_answer(S, 1.0)
     assert before * 0.6 < window.limit < before
     for second in range(2, 60):
-        window.answered(second * S, SLOW_FRACTION + 0.01)
+        window.record_answer(second * S, SLOW_FRACTION + 0.01)
     assert window.limit == MIN_LIMIT  # growth by the clock applies only to arrivals
 
 
