--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -50,7 +50,7 @@
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.retry_budget import RetryBudget
 from garnethaven.records import Attempt, LargePool, PendingRequest, Server
-from garnethaven.recovery.cold import COLD_PART, likely, warmth_of
+from garnethaven.recovery.cold import COLD_PART, likely_capacity, warmth_of
 from garnethaven.turns import WeightedRoundRobin
 
 # Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
@@ -397,7 +397,9 @@
         the load falls to each server.
         """
         full_capacity = sum(server.capacity for server in self.pool) * self.mean_health
-        available = sum(s.capacity * s.health * likely(w) for s, w in zip(self.pool, warmths, strict=True))
+        available = sum(
+            s.capacity * s.health * likely_capacity(w) for s, w in zip(self.pool, warmths, strict=True)
+        )
         self.max_cold_factor = (
             COLD_PART * self.settings.max_cold_load_multiple * available / (full_capacity or 1.0)
         )
@@ -407,7 +409,7 @@
         # A newcomer counts as no healthier than the mean: in an overload all its peers are penalised, and
         # its error count of zero would bring it many times its share.
         health = min(server.health, self.mean_health)
-        return server.capacity * health * min(likely(warmth), self.max_cold_factor * warmth)
+        return server.capacity * health * min(likely_capacity(warmth), self.max_cold_factor * warmth)
 
     # Large pools: weighted round-robin as a tree (turns.py), where a change updates one path only
 
--- a/garnethaven/recovery/cold.py
+++ b/garnethaven/recovery/cold.py
@@ -23,6 +23,6 @@
     return cold_share + (1.0 - cold_share) * max(0, age) / ramp
 
 
-def likely(warmth: float) -> float:
+def likely_capacity(warmth: float) -> float:
     """The estimated share of capacity of a starting server with this warmth."""
     return 1.0 - (1.0 - warmth) ** 2
