--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -50,7 +50,7 @@
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.retry_budget import RetryBudget
 from garnethaven.records import Attempt, LargePool, PendingRequest, Server
-from garnethaven.recovery.cold import COLD_PART, likely_capacity, warmth_of
+from garnethaven.recovery.cold import COLD_PART, likely_capacity, warmth_at_age
 from garnethaven.turns import WeightedRoundRobin
 
 # Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
@@ -330,7 +330,7 @@
         settings = self.settings
         if not server.started:
             return 1.0
-        return warmth_of(self.now - server.started, settings.cold_share, settings.ramp_time)
+        return warmth_at_age(self.now - server.started, settings.cold_share, settings.ramp_time)
 
     def _error_penalty(self) -> float:
         """Return the share of weight that one error costs; it shrinks as the rate per server grows.
--- a/garnethaven/recovery/cold.py
+++ b/garnethaven/recovery/cold.py
@@ -13,7 +13,7 @@
 COLD_PART = 0.75  # of the allowed load on a cold server; the rest covers random peaks and overload
 
 
-def warmth_of(age: int, cold_share: float, ramp: int) -> float:
+def warmth_at_age(age: int, cold_share: float, ramp: int) -> float:
     """The guaranteed share of a server's capacity at an age; `age` and `ramp` have the same unit of time.
 
     A negative age counts as 0.
