--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -50,7 +50,7 @@
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.retry_budget import RetryBudget
 from garnethaven.records import Attempt, LargePool, PendingRequest, Server
-from garnethaven.recovery.cold import COLD_PART, likely_capacity, warmth_at_age
+from garnethaven.recovery.cold import MAX_COLD_LOAD_SHARE, likely_capacity, warmth_at_age
 from garnethaven.turns import WeightedRoundRobin
 
 # Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
@@ -401,7 +401,7 @@
             s.capacity * s.health * likely_capacity(w) for s, w in zip(self.pool, warmths, strict=True)
         )
         self.max_cold_factor = (
-            COLD_PART * self.settings.max_cold_load_multiple * available / (full_capacity or 1.0)
+            MAX_COLD_LOAD_SHARE * self.settings.max_cold_load_multiple * available / (full_capacity or 1.0)
         )
 
     def _cold_weight(self, server: Server, warmth: float) -> float:
--- a/garnethaven/recovery/cold.py
+++ b/garnethaven/recovery/cold.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-COLD_PART = 0.75  # of the allowed load on a cold server; the rest covers random peaks and overload
+MAX_COLD_LOAD_SHARE = 0.75  # of the allowed load on a cold server; the rest covers random peaks and overload
 
 
 def warmth_at_age(age: int, cold_share: float, ramp: int) -> float:
