--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -307,7 +307,7 @@
         judged: Entries = []
         for endpoint, address in entries:
             if endpoint.state is State.REMOVED:
-                self.start_times.leave(endpoint.id, now)
+                self.start_times.mark_unlisted(endpoint.id, now)
             else:
                 started = self.start_times.effective_start(endpoint.id, endpoint.started, now, absent_at)
                 if started != endpoint.started:
--- a/garnethaven/recovery/start_times.py
+++ b/garnethaven/recovery/start_times.py
@@ -84,7 +84,7 @@
         if claimed:
             server.latest = effective if server.latest is None else max(server.latest, effective)
 
-    def leave(self, endpoint: int, now: int) -> None:
+    def mark_unlisted(self, endpoint: int, now: int) -> None:
         """Mark a server as no longer listed."""
         server = self.servers.get(endpoint)
         if server is not None and server.unlisted_at is None:
@@ -95,7 +95,7 @@
         """Mark all servers that a full list does not name as no longer listed."""
         listed_ids = set(listed)
         for endpoint in [known for known in self.servers if known not in listed_ids]:
-            self.leave(endpoint, now)
+            self.mark_unlisted(endpoint, now)
 
     def forget_old(self, now: int) -> None:
         """Drop the servers that have been unlisted for `RETENTION_NS`."""
--- a/tests/recovery/test_start_times.py
+++ b/tests/recovery/test_start_times.py
@@ -52,7 +52,7 @@
     times.leave_all_but([], NOW)
     times.forget_old(NOW + RETENTION_NS - 1)
     assert times.effective_start(SERVER_ID, NOW - HOUR, NOW + RETENTION_NS - 1, NOW) == NOW - HOUR
-    times.leave(SERVER_ID, NOW + RETENTION_NS)
+    times.mark_unlisted(SERVER_ID, NOW + RETENTION_NS)
     times.forget_old(NOW + 2 * RETENTION_NS)
     late = NOW + 2 * RETENTION_NS
     assert times.effective_start(SERVER_ID, NOW - HOUR, late, late) == late, (
