--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -303,7 +303,7 @@
         """Pass a list on, with the starts of its servers as far as they may be believed."""
         now = time.monotonic_ns()
         if kind is not ListKind.DELTA:
-            self.start_times.leave_all_but((endpoint.id for endpoint, _ in entries), now)
+            self.start_times.mark_unlisted_except((endpoint.id for endpoint, _ in entries), now)
         judged: Entries = []
         for endpoint, address in entries:
             if endpoint.state is State.REMOVED:
--- a/garnethaven/recovery/start_times.py
+++ b/garnethaven/recovery/start_times.py
@@ -91,7 +91,7 @@
             server.unlisted_at = now
             self.unlisted[endpoint] = None
 
-    def leave_all_but(self, listed: Iterable[int], now: int) -> None:
+    def mark_unlisted_except(self, listed: Iterable[int], now: int) -> None:
         """Mark all servers that a full list does not name as no longer listed."""
         listed_ids = set(listed)
         for endpoint in [known for known in self.servers if known not in listed_ids]:
--- a/tests/recovery/test_start_times.py
+++ b/tests/recovery/test_start_times.py
@@ -49,7 +49,7 @@
 def test_a_server_that_is_listed_again_keeps_its_start_for_a_while() -> None:
     times = StartTimes()
     times.effective_start(SERVER_ID, NOW - HOUR, NOW, None)
-    times.leave_all_but([], NOW)
+    times.mark_unlisted_except([], NOW)
     times.forget_old(NOW + RETENTION_NS - 1)
     assert times.effective_start(SERVER_ID, NOW - HOUR, NOW + RETENTION_NS - 1, NOW) == NOW - HOUR
     times.mark_unlisted(SERVER_ID, NOW + RETENTION_NS)
@@ -104,7 +104,7 @@
                 continue
             absent_at = now if step == "watch" and answered_at is not None else answered_at
             if step == "left out":
-                times.leave_all_but([], now)
+                times.mark_unlisted_except([], now)
             else:
                 effective = times.effective_start(SERVER_ID, started_at + skew, now, absent_at)
                 assert effective <= now
