--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -313,7 +313,7 @@
                 if started != endpoint.started:
                     endpoint = replace(endpoint, started=started)
             judged.append((endpoint, address))
-        self.start_times.forget_old(now)
+        self.start_times.drop_expired(now)
         self.learn(kind, judged)
 
     def _log(self, text: str) -> None:
--- a/garnethaven/recovery/start_times.py
+++ b/garnethaven/recovery/start_times.py
@@ -97,7 +97,7 @@
         for endpoint in [known for known in self.servers if known not in listed_ids]:
             self.mark_unlisted(endpoint, now)
 
-    def forget_old(self, now: int) -> None:
+    def drop_expired(self, now: int) -> None:
         """Drop the servers that have been unlisted for `RETENTION_NS`."""
         while self.unlisted:
             endpoint = next(iter(self.unlisted))
--- a/tests/recovery/test_start_times.py
+++ b/tests/recovery/test_start_times.py
@@ -50,10 +50,10 @@
     times = StartTimes()
     times.effective_start(SERVER_ID, NOW - HOUR, NOW, None)
     times.mark_unlisted_except([], NOW)
-    times.forget_old(NOW + RETENTION_NS - 1)
+    times.drop_expired(NOW + RETENTION_NS - 1)
     assert times.effective_start(SERVER_ID, NOW - HOUR, NOW + RETENTION_NS - 1, NOW) == NOW - HOUR
     times.mark_unlisted(SERVER_ID, NOW + RETENTION_NS)
-    times.forget_old(NOW + 2 * RETENTION_NS)
+    times.drop_expired(NOW + 2 * RETENTION_NS)
     late = NOW + 2 * RETENTION_NS
     assert times.effective_start(SERVER_ID, NOW - HOUR, late, late) == late, (
         "a server taken for too cold costs a share of its capacity, one taken for too warm fails"
@@ -115,5 +115,5 @@
                     assert effective >= started_at - MAX_DISCOVERY_LAG_NS, (skew, listed_before, order)
                 checked += 1
             answered_at = now
-            times.forget_old(now)
+            times.drop_expired(now)
     assert checked > 10_000
