--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -116,7 +116,7 @@
             self._count_return(usage, 1.0)
         usage.asked += 1
 
-    def gone(self, usage: Usage, now: float) -> None:
+    def record_close(self, usage: Usage, now: float) -> None:
         """Record the end of a connection; one with a single request and a long idle time did not return."""
         if now - usage.since >= PROTECTED_WAIT_S:
             self._count_not_returned(usage)
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -234,7 +234,7 @@
     def forget(self, connection: OwnedConnection) -> None:
         if not connection.usage.asked:
             self.never_asked -= 1
-        self.places.gone(connection.usage, self.loop.time())
+        self.places.record_close(connection.usage, self.loop.time())
         self.connections.discard(connection)
         self.closing.discard(connection)
         self.lingering.pop(connection, None)
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -73,7 +73,7 @@
 def test_a_request_that_may_be_crossing_is_spared() -> None:
     places = ClientConnectionLimit(100)
     for _ in range(500):
-        places.gone(used("x", [0.0, 0.1], places).usage, 5.0)
+        places.record_close(used("x", [0.0, 0.1], places).usage, 5.0)
     idle = [used(f"o{n}", [0.0, 9.999], places) for n in range(100)]
     assert places.to_close(idle, open_count=100, now=10.0) == []
     assert places.to_close(idle, open_count=100, now=10.2)
@@ -100,7 +100,7 @@
     connection = used("f", [0.0, 1.0], places)
     assert not places.ends_with_answer(connection.usage, open_count=95, now=1.0)
     for _ in range(300):
-        places.gone(used("x", [0.0, 1.0], places).usage, 4.0)
+        places.record_close(used("x", [0.0, 1.0], places).usage, 4.0)
     ended = [places.ends_with_answer(connection.usage, open_count=95, now=1.0) for _ in range(16)]
     assert ended.count(True) == 14  # two are kept as trials
     assert not places.ends_with_answer(connection.usage, open_count=40, now=1.0)
@@ -109,7 +109,7 @@
 def test_the_share_that_returns_recovers_when_clients_come_round_again() -> None:
     places = ClientConnectionLimit(100)
     for _ in range(500):
-        places.gone(used("x", [0.0, 1.0], places).usage, 4.0)
+        places.record_close(used("x", [0.0, 1.0], places).usage, 4.0)
     low_return_share = places.returning
     for _ in range(300):
         used("u", [0.0, 1.0, 1.1], places)
