--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -107,7 +107,7 @@
 
     # Connection events
 
-    def asks(self, usage: Usage, now: float) -> None:
+    def record_request(self, usage: Usage, now: float) -> None:
         """Record a complete request on a connection."""
         if usage.asked:
             gap = max(0.0, now - usage.since)
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -226,7 +226,7 @@
     def request_received(self, usage: Usage, now: float) -> None:
         if not usage.asked:
             self.never_asked -= 1
-        self.places.asks(usage, now)
+        self.places.record_request(usage, now)
 
     def close_started(self, connection: OwnedConnection) -> None:
         self.closing.add(connection)
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -147,7 +147,7 @@
         for connection in regulars:
             if next_request_at[connection.name] <= now:
                 next_request_at[connection.name] = now + rng.uniform(0.1, 0.4)
-                places.asks(connection.usage, now)
+                places.record_request(connection.usage, now)
                 connection.usage.since = now
         for connection in places.to_close(open_connections, len(open_connections), now):
             closed_regulars += connection.name != "o"
