--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -69,7 +69,7 @@
 
     def once() -> None:
         if next(turns) % 15 == 0:
-            places.to_close(idle, 128, 2.0)
+            places.select_surplus(idle, 128, 2.0)
 
     return once
 
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -161,7 +161,7 @@
         self.ended_early += ends
         return ends
 
-    def to_close(self, idle: Iterable[T], open_count: int, now: float) -> list[T]:
+    def select_surplus(self, idle: Iterable[T], open_count: int, now: float) -> list[T]:
         """Return the idle connections to close now, longest expected wait first.
 
         Their number brings the open connections back to `PRESSURE_START` of the limit within a few sweeps; at
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -333,7 +333,7 @@
     def _close_surplus(self, now: float) -> None:
         """Close the idle connections that are least likely to be used, before the limit is reached."""
         idle = [candidate for candidate in self.connections if candidate.is_awaiting_request()]
-        for connection in self.places.to_close(idle, self.held(), now):
+        for connection in self.places.select_surplus(idle, self.held(), now):
             if connection.is_idle():
                 connection.stop_reading()
 
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -36,7 +36,7 @@
 def test_no_connection_is_closed_while_half_of_the_places_are_free() -> None:
     places = ClientConnectionLimit(local_limit=160, remote_limit=128)
     idle = [used(f"c{n}", [0.0, 0.1], places) for n in range(64)]
-    assert places.to_close(idle, open_count=64, now=1000.0) == []
+    assert places.select_surplus(idle, open_count=64, now=1000.0) == []
     assert not places.ends_with_answer(idle[0].usage, open_count=64, now=1000.0)
     assert places.max_wait_s(64) == pytest.approx(CALM_WAIT_S)
 
@@ -56,7 +56,7 @@
     places = ClientConnectionLimit(100)
     regulars = [used(f"u{n}", [0.0, 1.0, 1.2, 1.4, 1.6, 1.8], places) for n in range(10)]
     once = [used(f"o{n}", [0.0, 0.5], places) for n in range(70)]
-    closed = places.to_close(regulars + once, open_count=80, now=2.0)
+    closed = places.select_surplus(regulars + once, open_count=80, now=2.0)
     assert closed
     assert {connection.name[0] for connection in closed} == {"o"}
 
@@ -65,7 +65,7 @@
     places = ClientConnectionLimit(100)
     active = [used(f"a{n}", [0.0, 0.1], places) for n in range(10)]
     unused = [Connection(f"s{n}", Usage(0.0)) for n in range(90)]
-    closed = places.to_close(active + unused, open_count=100, now=0.9)
+    closed = places.select_surplus(active + unused, open_count=100, now=0.9)
     assert len(closed) >= 50
     assert {connection.name[0] for connection in closed} == {"s"}
 
@@ -75,24 +75,24 @@
     for _ in range(500):
         places.record_close(used("x", [0.0, 0.1], places).usage, 5.0)
     idle = [used(f"o{n}", [0.0, 9.999], places) for n in range(100)]
-    assert places.to_close(idle, open_count=100, now=10.0) == []
-    assert places.to_close(idle, open_count=100, now=10.2)
+    assert places.select_surplus(idle, open_count=100, now=10.0) == []
+    assert places.select_surplus(idle, open_count=100, now=10.2)
 
 
 def test_one_that_has_just_come_is_spared_until_its_first_request_must_have_come() -> None:
     places = ClientConnectionLimit(100)
     new = [Connection(f"n{n}", Usage(10.0)) for n in range(100)]
     # All were opened at once, and the clients write their requests one after the other.
-    assert places.to_close(new, open_count=100, now=10.05) == []
+    assert places.select_surplus(new, open_count=100, now=10.05) == []
     assert places.may_be_asking(new[0].usage, 10.0 + FIRST_S / 2)
-    assert places.to_close(new, open_count=100, now=10.01 + FIRST_S)
+    assert places.select_surplus(new, open_count=100, now=10.01 + FIRST_S)
 
 
 def test_expected_back_within_a_second_is_spared_below_full_pressure() -> None:
     places = ClientConnectionLimit(100)
     returning_soon = [used(f"u{n}", [0.0, 1.0, 1.9], places) for n in range(80)]  # gaps of 0.9 s
-    assert places.to_close(returning_soon, open_count=80, now=2.4) == []
-    assert places.to_close(returning_soon, open_count=86, now=2.4)
+    assert places.select_surplus(returning_soon, open_count=80, now=2.4) == []
+    assert places.select_surplus(returning_soon, open_count=86, now=2.4)
 
 
 def test_an_answer_ends_its_connection_once_such_connections_are_seen_not_to_return() -> None:
@@ -149,7 +149,7 @@
                 next_request_at[connection.name] = now + rng.uniform(0.1, 0.4)
                 places.record_request(connection.usage, now)
                 connection.usage.since = now
-        for connection in places.to_close(open_connections, len(open_connections), now):
+        for connection in places.select_surplus(open_connections, len(open_connections), now):
             closed_regulars += connection.name != "o"
             open_connections.remove(connection)
     assert missed == 0, seed
