--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -132,7 +132,7 @@
 
     # Selection
 
-    def may_be_asking(self, usage: Usage, now: float) -> bool:
+    def may_have_request_in_transit(self, usage: Usage, now: float) -> bool:
         """Whether a request may be on its way, which a close without an answer would lose."""
         return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_S)
 
@@ -187,7 +187,7 @@
         ranked = [
             (wait, connection)
             for connection in idle
-            if not self.may_be_asking(connection.usage, now)
+            if not self.may_have_request_in_transit(connection.usage, now)
             and (wait := self.expected_wait(connection.usage, now)) > min_wait
         ]
         ranked.sort(key=lambda pair: -pair[0])
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -360,7 +360,7 @@
 
     def _may_send_first_request(self, usage: Usage, now: float) -> bool:
         """Whether the first request of a connection may be in transit."""
-        return not usage.asked and self.places.may_be_asking(usage, now)
+        return not usage.asked and self.places.may_have_request_in_transit(usage, now)
 
     def _close_idle(self) -> None:
         now = self.loop.time()
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -84,7 +84,7 @@
     new = [Connection(f"n{n}", Usage(10.0)) for n in range(100)]
     # All were opened at once, and the clients write their requests one after the other.
     assert places.select_surplus(new, open_count=100, now=10.05) == []
-    assert places.may_be_asking(new[0].usage, 10.0 + FIRST_S / 2)
+    assert places.may_have_request_in_transit(new[0].usage, 10.0 + FIRST_S / 2)
     assert places.select_surplus(new, open_count=100, now=10.01 + FIRST_S)
 
 
