--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -157,7 +157,7 @@
         return Figures(
             clients_held=clients,
             clients_most=self._max_clients(),
-            client_places=listener.places.most,
+            client_places=listener.places.limit,
             silent_clients=listener.never_asked,
             pressure=round(listener.places.pressure(clients), 3),
             returning=round(listener.places.returning, 3),
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -96,13 +96,13 @@
         """Change the limits; keeps the statistics. Raises ValueError if a limit is out of range."""
         if local_limit < 1 or remote_limit < 0:
             raise ValueError(f"connection limits out of range: local {local_limit}, remote {remote_limit}")
-        self.most = min(local_limit, remote_limit) if remote_limit else local_limit
+        self.limit = min(local_limit, remote_limit) if remote_limit else local_limit
         self.unpressured_wait_s = unpressured_wait_s
 
     def pressure(self, open_count: int) -> float:
         """How close the number of open connections is to the limit, from 0 to 1."""
         return min(
-            1.0, max(0.0, (open_count / self.most - PRESSURE_START) / (PRESSURE_FULL - PRESSURE_START))
+            1.0, max(0.0, (open_count / self.limit - PRESSURE_START) / (PRESSURE_FULL - PRESSURE_START))
         )
 
     # Connection events
@@ -191,5 +191,5 @@
             and (wait := self.expected_wait(connection.usage, now)) > min_wait
         ]
         ranked.sort(key=lambda pair: -pair[0])
-        wanted = ceil((open_count - PRESSURE_START * self.most) * max(0.25, pressure))
+        wanted = ceil((open_count - PRESSURE_START * self.limit) * max(0.25, pressure))
         return [connection for _, connection in ranked[:wanted]]
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -42,9 +42,9 @@
 
 
 def test_the_smaller_side_is_the_limit() -> None:
-    assert ClientConnectionLimit(local_limit=160, remote_limit=128).most == 128
-    assert ClientConnectionLimit(local_limit=100, remote_limit=128).most == 100
-    assert ClientConnectionLimit(local_limit=160).most == 160
+    assert ClientConnectionLimit(local_limit=160, remote_limit=128).limit == 128
+    assert ClientConnectionLimit(local_limit=100, remote_limit=128).limit == 100
+    assert ClientConnectionLimit(local_limit=160).limit == 160
 
 
 def test_places_need_a_positive_count() -> None:
