--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -160,7 +160,7 @@
             client_places=listener.places.limit,
             silent_clients=listener.never_asked,
             pressure=round(listener.places.pressure(clients), 3),
-            returning=round(listener.places.returning, 3),
+            returning=round(listener.places.return_share, 3),
             ended_early=listener.places.ended_early,
             endpoints_held=pool.held(),
             endpoints_most=self._max_endpoints(),
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -88,7 +88,7 @@
     ) -> None:
         self.resize(local_limit, remote_limit, unpressured_wait_s)
         self.ended_early = 0  # connections closed because of the limit
-        self.returning = 1.0  # share of connections with a second request
+        self.return_share = 1.0  # share of connections with a second request
         self.typical_gap = 0.05  # smoothed gap of all connections, in seconds
         self.close_candidates = 0  # answers at which a connection qualified for closing
 
@@ -128,7 +128,7 @@
     def _count_return(self, usage: Usage, returned: float) -> None:
         if not usage.return_counted:
             usage.return_counted = True
-            self.returning += (returned - self.returning) / RETURN_EWMA_CONNECTIONS
+            self.return_share += (returned - self.return_share) / RETURN_EWMA_CONNECTIONS
 
     # Selection
 
@@ -142,7 +142,7 @@
         if not usage.asked:
             wait = UNUSED_WAIT_FACTOR * idle
         elif usage.asked == 1:
-            wait = (idle + self.typical_gap) / max(MIN_RETURN_SHARE, self.returning)
+            wait = (idle + self.typical_gap) / max(MIN_RETURN_SHARE, self.return_share)
         else:
             wait = usage.gap if idle <= OVERDUE_FACTOR * usage.gap else idle
         return wait * REJECTED_WAIT_FACTOR if usage.turned_away else wait
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -110,11 +110,11 @@
     places = ClientConnectionLimit(100)
     for _ in range(500):
         places.record_close(used("x", [0.0, 1.0], places).usage, 4.0)
-    low_return_share = places.returning
+    low_return_share = places.return_share
     for _ in range(300):
         used("u", [0.0, 1.0, 1.1], places)
     assert low_return_share < 0.05
-    assert places.returning > 0.9
+    assert places.return_share > 0.9
 
 
 def test_one_that_was_turned_away_is_worth_less() -> None:
