--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 from garnethaven.limits.budgets import Descriptors
 from garnethaven.limits.lists import Evidence, ListFreshness
 from garnethaven.limits.overload import Overload
-from garnethaven.limits.places import ClientConnectionLimit, Usage
+from garnethaven.limits.places import ClientConnectionLimit, ConnectionHistory
 
 ROUNDS = 7
 TIMES = 4000
@@ -35,7 +35,7 @@
 
 class One:
     def __init__(self, since: float) -> None:
-        self.usage = Usage(since, asked=1)
+        self.usage = ConnectionHistory(since, asked=1)
 
 
 def floor() -> Callable[[], object]:
@@ -58,7 +58,7 @@
 
 def answer_on_a_full_front() -> Callable[[], object]:
     """Whether an answer ends its connection, with all places taken."""
-    places, usage = ClientConnectionLimit(160, 128), Usage(0.0, asked=1)
+    places, usage = ClientConnectionLimit(160, 128), ConnectionHistory(0.0, asked=1)
     return lambda: places.ends_with_answer(usage, 128, 1.0)
 
 
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Usage:
+class ConnectionHistory:
     """History of one client connection; times are seconds of the caller's clock."""
 
     since: float  # when it was accepted or had its last answer
@@ -69,7 +69,7 @@
 class HasUsage(Protocol):
     """A connection with a usage history."""
 
-    usage: Usage
+    usage: ConnectionHistory
 
 
 T = TypeVar("T", bound=HasUsage)
@@ -107,7 +107,7 @@
 
     # Connection events
 
-    def record_request(self, usage: Usage, now: float) -> None:
+    def record_request(self, usage: ConnectionHistory, now: float) -> None:
         """Record a complete request on a connection."""
         if usage.asked:
             gap = max(0.0, now - usage.since)
@@ -116,27 +116,27 @@
             self._count_return(usage, 1.0)
         usage.asked += 1
 
-    def record_close(self, usage: Usage, now: float) -> None:
+    def record_close(self, usage: ConnectionHistory, now: float) -> None:
         """Record the end of a connection; one with a single request and a long idle time did not return."""
         if now - usage.since >= PROTECTED_WAIT_S:
             self._count_not_returned(usage)
 
-    def _count_not_returned(self, usage: Usage) -> None:
+    def _count_not_returned(self, usage: ConnectionHistory) -> None:
         if usage.asked == 1:
             self._count_return(usage, 0.0)
 
-    def _count_return(self, usage: Usage, returned: float) -> None:
+    def _count_return(self, usage: ConnectionHistory, returned: float) -> None:
         if not usage.return_counted:
             usage.return_counted = True
             self.return_share += (returned - self.return_share) / RETURN_EWMA_CONNECTIONS
 
     # Selection
 
-    def may_have_request_in_transit(self, usage: Usage, now: float) -> bool:
+    def may_have_request_in_transit(self, usage: ConnectionHistory, now: float) -> bool:
         """Whether a request may be on its way, which a close without an answer would lose."""
         return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_S)
 
-    def expected_wait(self, usage: Usage, now: float) -> float:
+    def expected_wait(self, usage: ConnectionHistory, now: float) -> float:
         """Estimated seconds until the next request."""
         idle = max(0.0, now - usage.since)
         if not usage.asked:
@@ -152,7 +152,7 @@
         pressure = self.pressure(open_count)
         return float(self.unpressured_wait_s ** (1.0 - pressure) * FULL_PRESSURE_WAIT_S**pressure)
 
-    def ends_with_answer(self, usage: Usage, open_count: int, now: float) -> bool:
+    def ends_with_answer(self, usage: ConnectionHistory, open_count: int, now: float) -> bool:
         """Whether the next answer on a connection should close it."""
         if self.pressure(open_count) <= 0.0 or self.expected_wait(usage, now) <= self.max_wait_s(open_count):
             return False
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -11,7 +11,7 @@
 
 from garnethaven.engine.account import End
 from garnethaven.engine.calls import Call
-from garnethaven.limits.places import FIRST_S, Usage
+from garnethaven.limits.places import FIRST_S, ConnectionHistory
 from garnethaven.net.body_memory import BodyReservation
 from garnethaven.net.call_making import make_call
 from garnethaven.net.client_presence import ClientPresence
@@ -58,7 +58,7 @@
         self.closing = False
         self.penalised = False
         self.active_at = owner.loop.time()
-        self.usage = Usage(self.active_at)
+        self.usage = ConnectionHistory(self.active_at)
         self.reader = RequestReader(self, self.active_at)
         self.unsent = 0  # bytes in the write buffer at the last check
 
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -14,7 +14,7 @@
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
 from garnethaven.interface import ProcessResumed
-from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, ClientConnectionLimit, Usage
+from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, ClientConnectionLimit, ConnectionHistory
 from garnethaven.net.client import DEFERRED_READ_S, ClientConnection
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES
 from garnethaven.net.own_failures import OUT_OF_RESOURCES
@@ -223,7 +223,7 @@
         self.never_asked += 1
         self.accepted_sockets.discard(connection.sock)
 
-    def request_received(self, usage: Usage, now: float) -> None:
+    def request_received(self, usage: ConnectionHistory, now: float) -> None:
         if not usage.asked:
             self.never_asked -= 1
         self.places.record_request(usage, now)
@@ -358,7 +358,7 @@
         self.loop.call_at(min(now + DRAIN_LISTEN_S, listen_until), self._stop_listening, listen_until)
         self.read_until = min(now + DRAIN_READ_S, self.last_answer_at)
 
-    def _may_send_first_request(self, usage: Usage, now: float) -> bool:
+    def _may_send_first_request(self, usage: ConnectionHistory, now: float) -> bool:
         """Whether the first request of a connection may be in transit."""
         return not usage.asked and self.places.may_have_request_in_transit(usage, now)
 
--- a/garnethaven/net/owner.py
+++ b/garnethaven/net/owner.py
@@ -8,7 +8,7 @@
 
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine
-from garnethaven.limits.places import Usage
+from garnethaven.limits.places import ConnectionHistory
 from garnethaven.net.transport import HttpTransport
 
 
@@ -16,7 +16,7 @@
     """A client's connection as the listener uses it; times are seconds of the loop's clock."""
 
     sock: socket.socket
-    usage: Usage
+    usage: ConnectionHistory
 
     @property
     def waiting_since(self) -> float:
@@ -64,7 +64,7 @@
     def opened(self, connection: OwnedConnection) -> None:
         """The connection is established."""
 
-    def request_received(self, usage: Usage, now: float) -> None:
+    def request_received(self, usage: ConnectionHistory, now: float) -> None:
         """A complete request was received on the connection with this usage."""
 
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -14,19 +14,19 @@
     PRESSURE_FULL,
     PRESSURE_START,
     ClientConnectionLimit,
-    Usage,
+    ConnectionHistory,
 )
 
 
 @dataclass
 class Connection:
     name: str
-    usage: Usage = field(default_factory=lambda: Usage(0.0))
+    usage: ConnectionHistory = field(default_factory=lambda: ConnectionHistory(0.0))
 
 
 def used(name: str, times: list[float], places: ClientConnectionLimit) -> Connection:
     """A connection opened at the first time, with a request and its immediate answer at each later one."""
-    connection = Connection(name, Usage(times[0]))
+    connection = Connection(name, ConnectionHistory(times[0]))
     for at in times[1:]:
         places.asks(connection.usage, at)
         connection.usage.since = at
@@ -64,7 +64,7 @@
 def test_silent_connections_press_on_one_another_only() -> None:
     places = ClientConnectionLimit(100)
     active = [used(f"a{n}", [0.0, 0.1], places) for n in range(10)]
-    unused = [Connection(f"s{n}", Usage(0.0)) for n in range(90)]
+    unused = [Connection(f"s{n}", ConnectionHistory(0.0)) for n in range(90)]
     closed = places.select_surplus(active + unused, open_count=100, now=0.9)
     assert len(closed) >= 50
     assert {connection.name[0] for connection in closed} == {"s"}
@@ -81,7 +81,7 @@
 
 def test_one_that_has_just_come_is_spared_until_its_first_request_must_have_come() -> None:
     places = ClientConnectionLimit(100)
-    new = [Connection(f"n{n}", Usage(10.0)) for n in range(100)]
+    new = [Connection(f"n{n}", ConnectionHistory(10.0)) for n in range(100)]
     # All were opened at once, and the clients write their requests one after the other.
     assert places.select_surplus(new, open_count=100, now=10.05) == []
     assert places.may_have_request_in_transit(new[0].usage, 10.0 + FIRST_S / 2)
@@ -132,7 +132,7 @@
     """
     rng = random.Random(seed)
     places, open_connections, now, missed, closed_regulars = ClientConnectionLimit(160, 128), [], 0.0, 0, 0
-    regulars = [Connection(f"u{n}", Usage(0.0)) for n in range(30)]
+    regulars = [Connection(f"u{n}", ConnectionHistory(0.0)) for n in range(30)]
     open_connections = list(regulars)
     next_request_at = {connection.name: rng.uniform(0.0, 0.3) for connection in regulars}
     while now < 20.0:
