--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -59,7 +59,7 @@
 class ConnectionHistory:
     """History of one client connection; times are seconds of the caller's clock."""
 
-    since: float  # when it was accepted or had its last answer
+    idle_since: float  # when it was accepted or had its last answer
     asked: int = 0  # complete requests
     turned_away: int = 0  # requests that were rejected before any endpoint could see them
     gap: float = 0.0  # smoothed time from an answer to the next request
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -313,7 +313,7 @@
         if self.half_closed or self.over_limit or self.owner.draining or self.streamed_request is not None:
             self.keep_alive = False
         elif self.keep_alive and not self.reader.ready and not self.unread:
-            self.usage.since = self.owner.loop.time()
+            self.usage.idle_since = self.owner.loop.time()
             self.keep_alive = not self.owner.ends_with_answer(self)
         return self.keep_alive
 
@@ -321,7 +321,7 @@
         self.call = self.streamed_answer = None
         self.body_memory.release()
         self.writer.answer_ended()
-        self.active_at = self.usage.since = self.owner.loop.time()
+        self.active_at = self.usage.idle_since = self.owner.loop.time()
         if not self.keep_alive:
             self._close_lingering(STREAM_LINGER_S if self.streamed_request is not None else LINGER_S)
         elif (self.unread or self.reader.ready or self.reader.has_streamed_body()) and not self.penalised:
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -29,7 +29,7 @@
     connection = Connection(name, ConnectionHistory(times[0]))
     for at in times[1:]:
         places.asks(connection.usage, at)
-        connection.usage.since = at
+        connection.usage.idle_since = at
     return connection
 
 
@@ -148,7 +148,7 @@
             if next_request_at[connection.name] <= now:
                 next_request_at[connection.name] = now + rng.uniform(0.1, 0.4)
                 places.record_request(connection.usage, now)
-                connection.usage.since = now
+                connection.usage.idle_since = now
         for connection in places.select_surplus(open_connections, len(open_connections), now):
             closed_regulars += connection.name != "o"
             open_connections.remove(connection)
