--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -60,7 +60,7 @@
     """History of one client connection; times are seconds of the caller's clock."""
 
     idle_since: float  # when it was accepted or had its last answer
-    asked: int = 0  # complete requests
+    request_count: int = 0  # complete requests
     turned_away: int = 0  # requests that were rejected before any endpoint could see them
     gap: float = 0.0  # smoothed time from an answer to the next request
     return_counted: bool = False  # whether the return share includes this connection
@@ -171,7 +171,7 @@
         unused: list[T] = []
         used: list[T] = []
         for connection in idle:
-            (used if connection.usage.asked else unused).append(connection)
+            (used if connection.usage.request_count else unused).append(connection)
         chosen = self._longest_waits(unused, open_count, now)
         chosen += self._longest_waits(used, open_count - len(unused), now)
         self.ended_early += len(chosen)
