--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -61,7 +61,7 @@
 
     idle_since: float  # when it was accepted or had its last answer
     request_count: int = 0  # complete requests
-    turned_away: int = 0  # requests that were rejected before any endpoint could see them
+    rejected_count: int = 0  # requests that were rejected before any endpoint could see them
     gap: float = 0.0  # smoothed time from an answer to the next request
     return_counted: bool = False  # whether the return share includes this connection
 
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -287,7 +287,7 @@
     def _answer_with_penalty(self, status: int) -> None:
         """Answer an invalid request; the next one on the connection is not read for a while."""
         self.penalised = True
-        self.usage.turned_away += 1
+        self.usage.rejected_count += 1
         self._answer_status(status)
         if not self.closing and not self.transport.is_closing():
             self.transport.pause_reading()
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -120,7 +120,7 @@
 def test_one_that_was_turned_away_is_worth_less() -> None:
     places = ClientConnectionLimit(100)
     accepted, rejected = used("g", [0.0, 1.0], places), used("b", [0.0, 1.0], places)
-    rejected.usage.turned_away = 1
+    rejected.usage.rejected_count = 1
     assert places.expected_wait(rejected.usage, 1.5) > places.expected_wait(accepted.usage, 1.5)
 
 
