--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -44,7 +44,7 @@
 # Grace period for the first request. A client that opens many connections at once writes its first request
 # after the last of them is open, and later on a busy machine. With a shorter period, clients that all return
 # to a restarted process lose requests; with a longer one, unused connections stay open for longer.
-FIRST_S = 0.2
+FIRST_REQUEST_GRACE_S = 0.2
 UNUSED_WAIT_FACTOR = 8.0
 REJECTED_WAIT_FACTOR = 4.0
 OVERDUE_FACTOR = 4.0  # after an idle time of so many gaps, the gap no longer predicts the next request
@@ -134,7 +134,7 @@
 
     def may_have_request_in_transit(self, usage: ConnectionHistory, now: float) -> bool:
         """Whether a request may be on its way, which a close without an answer would lose."""
-        return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_S)
+        return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_REQUEST_GRACE_S)
 
     def expected_wait(self, usage: ConnectionHistory, now: float) -> float:
         """Estimated seconds until the next request."""
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -11,7 +11,7 @@
 
 from garnethaven.engine.account import End
 from garnethaven.engine.calls import Call
-from garnethaven.limits.places import FIRST_S, ConnectionHistory
+from garnethaven.limits.places import FIRST_REQUEST_GRACE_S, ConnectionHistory
 from garnethaven.net.body_memory import BodyReservation
 from garnethaven.net.call_making import make_call
 from garnethaven.net.client_presence import ClientPresence
@@ -403,7 +403,7 @@
         """Whether the client is silent or slow, or its last request was invalid."""
         if self.closing or self._has_request():
             return False
-        silent = self.waiting_since > 0.0 and now - self.waiting_since >= FIRST_S
+        silent = self.waiting_since > 0.0 and now - self.waiting_since >= FIRST_REQUEST_GRACE_S
         return self.penalised or silent
 
     def _is_overdue(self, now: float) -> bool:
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -14,7 +14,12 @@
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
 from garnethaven.interface import ProcessResumed
-from garnethaven.limits.places import CALM_WAIT_S, FIRST_S, ClientConnectionLimit, ConnectionHistory
+from garnethaven.limits.places import (
+    CALM_WAIT_S,
+    FIRST_REQUEST_GRACE_S,
+    ClientConnectionLimit,
+    ConnectionHistory,
+)
 from garnethaven.net.client import DEFERRED_READ_S, ClientConnection
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES
 from garnethaven.net.own_failures import OUT_OF_RESOURCES
@@ -352,7 +357,7 @@
         self.linger_deadline = killed_at - LINGER_LAST_S
         self.last_answer_at = killed_at - LAST_ANSWER_S
         self.engine.end_by(self.last_answer_at - now)
-        last_arrival = max(now + DRAIN_IDLE_S, self.last_answer_at - FIRST_S)
+        last_arrival = max(now + DRAIN_IDLE_S, self.last_answer_at - FIRST_REQUEST_GRACE_S)
         self.loop.call_at(now + DRAIN_IDLE_S, self._close_idle)
         listen_until = min(now + DRAIN_LISTEN_MOST_S, last_arrival)
         self.loop.call_at(min(now + DRAIN_LISTEN_S, listen_until), self._stop_listening, listen_until)
@@ -391,7 +396,9 @@
         self._pause_accepting()
         self.sock.close()
         self._close_idle()
-        self.loop.call_at(max(self.read_until, min(now + FIRST_S, self.last_answer_at)), self._stop_reading)
+        self.loop.call_at(
+            max(self.read_until, min(now + FIRST_REQUEST_GRACE_S, self.last_answer_at)), self._stop_reading
+        )
         self._check_finished()
 
     def _stop_reading(self) -> None:
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -9,7 +9,7 @@
 
 from garnethaven.limits.places import (
     CALM_WAIT_S,
-    FIRST_S,
+    FIRST_REQUEST_GRACE_S,
     FULL_PRESSURE_WAIT_S,
     PRESSURE_FULL,
     PRESSURE_START,
@@ -84,8 +84,8 @@
     new = [Connection(f"n{n}", ConnectionHistory(10.0)) for n in range(100)]
     # All were opened at once, and the clients write their requests one after the other.
     assert places.select_surplus(new, open_count=100, now=10.05) == []
-    assert places.may_have_request_in_transit(new[0].usage, 10.0 + FIRST_S / 2)
-    assert places.select_surplus(new, open_count=100, now=10.01 + FIRST_S)
+    assert places.may_have_request_in_transit(new[0].usage, 10.0 + FIRST_REQUEST_GRACE_S / 2)
+    assert places.select_surplus(new, open_count=100, now=10.01 + FIRST_REQUEST_GRACE_S)
 
 
 def test_expected_back_within_a_second_is_spared_below_full_pressure() -> None:
