--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -37,7 +37,7 @@
 
 PRESSURE_START = 0.5  # share of the limit at which pressure rises above 0
 PRESSURE_FULL = 0.85  # share of the limit at which pressure is 1; the rest takes arrivals between two sweeps
-CALM_WAIT_S = 6.0  # longest expected wait of a connection that is kept at pressure 0
+UNPRESSURED_WAIT_S = 6.0  # longest expected wait of a connection that is kept at pressure 0
 FULL_PRESSURE_WAIT_S = 0.15  # the same at pressure 1
 PROTECTED_WAIT_S = 1.0  # a connection with a shorter expected wait is not closed below full pressure
 REQUEST_IN_TRANSIT_S = 0.02  # after such a short idle time the next request may be on its way
@@ -84,7 +84,7 @@
     """
 
     def __init__(
-        self, local_limit: int, remote_limit: int = 0, unpressured_wait_s: float = CALM_WAIT_S
+        self, local_limit: int, remote_limit: int = 0, unpressured_wait_s: float = UNPRESSURED_WAIT_S
     ) -> None:
         self.resize(local_limit, remote_limit, unpressured_wait_s)
         self.ended_early = 0  # connections closed because of the limit
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -5,7 +5,7 @@
 from typing import Annotated
 
 from garnethaven.limits.lists import WAIT_MOST_S
-from garnethaven.limits.places import CALM_WAIT_S
+from garnethaven.limits.places import UNPRESSURED_WAIT_S
 from garnethaven.tables import At, Table, bounded, said
 
 
@@ -24,7 +24,7 @@
     ] = 0
     calm_idle_s: Annotated[
         float, bounded(0.5, 3600, "how long an idle connection is kept while places are plenty", "seconds")
-    ] = CALM_WAIT_S
+    ] = UNPRESSURED_WAIT_S
     watch_most_s: Annotated[
         float, bounded(2, 60, "the longest that a watch of discovery may wait", "seconds")
     ] = WAIT_MOST_S
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -15,8 +15,8 @@
 from garnethaven.engine.engine import Engine, S
 from garnethaven.interface import ProcessResumed
 from garnethaven.limits.places import (
-    CALM_WAIT_S,
     FIRST_REQUEST_GRACE_S,
+    UNPRESSURED_WAIT_S,
     ClientConnectionLimit,
     ConnectionHistory,
 )
@@ -317,7 +317,7 @@
         now = self.loop.time()
         return now < self.lagging_until or now - self.swept_at > SWEEP_INTERVAL_S + LOOP_LAG_S
 
-    def set_limits(self, client_places: int = 0, calm_idle_s: float = CALM_WAIT_S) -> None:
+    def set_limits(self, client_places: int = 0, calm_idle_s: float = UNPRESSURED_WAIT_S) -> None:
         """Apply an operator's settings, also while connections are open.
 
         `client_places` is the maximum number of connections that clients hold on their side (0: not known),
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -8,11 +8,11 @@
 import pytest
 
 from garnethaven.limits.places import (
-    CALM_WAIT_S,
     FIRST_REQUEST_GRACE_S,
     FULL_PRESSURE_WAIT_S,
     PRESSURE_FULL,
     PRESSURE_START,
+    UNPRESSURED_WAIT_S,
     ClientConnectionLimit,
     ConnectionHistory,
 )
@@ -38,7 +38,7 @@
     idle = [used(f"c{n}", [0.0, 0.1], places) for n in range(64)]
     assert places.select_surplus(idle, open_count=64, now=1000.0) == []
     assert not places.ends_with_answer(idle[0].usage, open_count=64, now=1000.0)
-    assert places.max_wait_s(64) == pytest.approx(CALM_WAIT_S)
+    assert places.max_wait_s(64) == pytest.approx(UNPRESSURED_WAIT_S)
 
 
 def test_the_smaller_side_is_the_limit() -> None:
