--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -91,7 +91,7 @@
 def weigh_evidence() -> Callable[[], object]:
     """A failed attempt as evidence against the list."""
     fresh, numbers = ListFreshness(3, 10.0), count(1)
-    return lambda: fresh.contradicted(next(numbers) / 300, 1, Evidence.RESET)
+    return lambda: fresh.record_evidence(next(numbers) / 300, 1, Evidence.RESET)
 
 
 def share_descriptors() -> Callable[[], object]:
--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -129,7 +129,7 @@
 
     # Evidence
 
-    def contradicted(self, now: float, server: int, kind: Evidence) -> float | None:
+    def record_evidence(self, now: float, server: int, kind: Evidence) -> float | None:
         """Record evidence from a listed server; return the delay in seconds of the call it causes, if any."""
         self.evidence = {
             known: entry for known, entry in self.evidence.items() if now - entry[0] < EVIDENCE_WINDOW_S
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -174,7 +174,7 @@
     def contradicts(self, endpoint: int, outcome: Outcome) -> None:
         """A listed server did what its place on the list does not explain: ask anew, if it is worth that."""
         kind = EVIDENCE.get(outcome)
-        delay = self.fresh.contradicted(self.loop.time(), endpoint, kind) if kind is not None else None
+        delay = self.fresh.record_evidence(self.loop.time(), endpoint, kind) if kind is not None else None
         if delay is not None:
             self.loop.call_later(delay, self._ask_if_wanted)
 
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -32,7 +32,7 @@
 
 def test_one_server_is_no_evidence_however_often_it_fails() -> None:
     fresh = ListFreshness(3, 10.0)
-    assert {fresh.contradicted(1.0 + n / 10, 7, Evidence.REFUSED_DIAL) for n in range(50)} == {None}
+    assert {fresh.record_evidence(1.0 + n / 10, 7, Evidence.REFUSED_DIAL) for n in range(50)} == {None}
 
 
 @pytest.mark.parametrize(
@@ -47,14 +47,14 @@
 )
 def test_evidence_of_several_servers_is_worth_a_call(kinds: tuple[Evidence, ...], enough: bool) -> None:
     fresh = ListFreshness(3, 10.0)
-    calls = [fresh.contradicted(1.0 + n / 10, n, kind) is not None for n, kind in enumerate(kinds)]
+    calls = [fresh.record_evidence(1.0 + n / 10, n, kind) is not None for n, kind in enumerate(kinds)]
     assert calls == [False] * (len(kinds) - 1) + [enough]
 
 
 def test_old_evidence_is_forgotten() -> None:
     fresh = ListFreshness(3, 10.0)
-    assert fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL) is None
-    assert fresh.contradicted(1.1 + EVIDENCE_WINDOW_S, 2, Evidence.REFUSED_DIAL) is None
+    assert fresh.record_evidence(1.0, 1, Evidence.REFUSED_DIAL) is None
+    assert fresh.record_evidence(1.1 + EVIDENCE_WINDOW_S, 2, Evidence.REFUSED_DIAL) is None
 
 
 def test_a_small_fleet_asks_at_once_and_a_large_one_spreads_its_calls() -> None:
@@ -62,8 +62,8 @@
         delays_s = []
         for seed in range(40):
             fresh = ListFreshness(size, 10.0, seed)
-            fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
-            delays_s.append(fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL))
+            fresh.record_evidence(1.0, 1, Evidence.REFUSED_DIAL)
+            delays_s.append(fresh.record_evidence(1.1, 2, Evidence.REFUSED_DIAL))
         return [delay for delay in delays_s if delay is not None]
 
     assert max(delays(3)) <= 0.1
@@ -72,8 +72,8 @@
 
 def test_news_that_came_first_makes_the_call_needless() -> None:
     fresh = ListFreshness(1200, 10.0)
-    fresh.contradicted(1.0, 1, Evidence.REFUSED_DIAL)
-    assert fresh.contradicted(1.1, 2, Evidence.REFUSED_DIAL) is not None
+    fresh.record_evidence(1.0, 1, Evidence.REFUSED_DIAL)
+    assert fresh.record_evidence(1.1, 2, Evidence.REFUSED_DIAL) is not None
     fresh.judge(1.2, 0, True, 5)  # the same revision
     assert fresh.still_wanted()
     fresh.judge(1.3, 9, False, 1)
@@ -85,7 +85,7 @@
     calls = 0
     for step in range(int(seconds * 10)):
         now = 1.0 + step / 10
-        if fresh.contradicted(now, step % 5, Evidence.REFUSED_DIAL) is not None:
+        if fresh.record_evidence(now, step % 5, Evidence.REFUSED_DIAL) is not None:
             calls += 1
             fresh.judge(now, fresh.revision + (1 if changes else 0), True, 5)
     return calls
@@ -154,7 +154,7 @@
         first_evidence_at = rng.uniform(1.0, 11.0)
         for step in range(int((seconds - first_evidence_at) * 2)):
             now = first_evidence_at + step / 2
-            delay = fresh.contradicted(now, step % 5, Evidence.REFUSED_DIAL)
+            delay = fresh.record_evidence(now, step % 5, Evidence.REFUSED_DIAL)
             if delay is not None:
                 call_times.append(now + delay)
     capacity = max(size, 50) / ask_within
