--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -169,7 +169,7 @@
         """Forget the revision, because discovery has another address and counts revisions of its own."""
         self.revision = self.behind = 0
 
-    def judge(self, now: float, revision: int, complete: bool, entries: int) -> AnswerAction:
+    def classify_answer(self, now: float, revision: int, complete: bool, entries: int) -> AnswerAction:
         """Decide what to do with a valid answer; `complete` marks a full list, `entries` is their number."""
         if revision < self.revision:
             self.behind += 1
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -270,7 +270,7 @@
             self._failed(call, Failure.TURNED_AWAY)
             return
         revision, complete, entries = listed.revision, listed.complete, listed.entries
-        verdict = self.fresh.judge(now, revision, complete, len(entries))
+        verdict = self.fresh.classify_answer(now, revision, complete, len(entries))
         self.told_empty = not entries and (verdict is AnswerAction.APPLY_AND_REFETCH or self.told_empty)
         if verdict is AnswerAction.IGNORE_STALE:
             self._log(f"revision {revision} is behind {self.fresh.revision}, passed over")
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -74,9 +74,9 @@
     fresh = ListFreshness(1200, 10.0)
     fresh.record_evidence(1.0, 1, Evidence.REFUSED_DIAL)
     assert fresh.record_evidence(1.1, 2, Evidence.REFUSED_DIAL) is not None
-    fresh.judge(1.2, 0, True, 5)  # the same revision
+    fresh.classify_answer(1.2, 0, True, 5)  # the same revision
     assert fresh.still_wanted()
-    fresh.judge(1.3, 9, False, 1)
+    fresh.classify_answer(1.3, 9, False, 1)
     assert not fresh.still_wanted()
 
 
@@ -87,7 +87,7 @@
         now = 1.0 + step / 10
         if fresh.record_evidence(now, step % 5, Evidence.REFUSED_DIAL) is not None:
             calls += 1
-            fresh.judge(now, fresh.revision + (1 if changes else 0), True, 5)
+            fresh.classify_answer(now, fresh.revision + (1 if changes else 0), True, 5)
     return calls
 
 
@@ -100,36 +100,36 @@
 
 def test_an_answer_that_is_behind_is_passed_over_until_nothing_else_comes() -> None:
     fresh = ListFreshness(3, 10.0)
-    assert fresh.judge(1.0, 40, True, 5) is AnswerAction.APPLY
+    assert fresh.classify_answer(1.0, 40, True, 5) is AnswerAction.APPLY
     for _ in range(MAX_STALE_ANSWERS - 1):
-        assert fresh.judge(2.0, 12, True, 5) is AnswerAction.IGNORE_STALE
+        assert fresh.classify_answer(2.0, 12, True, 5) is AnswerAction.IGNORE_STALE
     assert fresh.revision == 40
     assert fresh.age_s(3.0) == 2.0  # a stale answer does not renew the list
-    assert fresh.judge(2.0, 12, True, 5) is AnswerAction.APPLY
+    assert fresh.classify_answer(2.0, 12, True, 5) is AnswerAction.APPLY
     assert fresh.revision == 12
 
 
 def test_changes_that_are_behind_are_never_taken_in() -> None:
     fresh = ListFreshness(3, 10.0)
-    fresh.judge(1.0, 40, True, 5)
-    assert {fresh.judge(2.0, 12, False, 1) for _ in range(20)} == {AnswerAction.IGNORE_STALE}
+    fresh.classify_answer(1.0, 40, True, 5)
+    assert {fresh.classify_answer(2.0, 12, False, 1) for _ in range(20)} == {AnswerAction.IGNORE_STALE}
 
 
 def test_after_a_move_a_lower_revision_is_good() -> None:
     fresh = ListFreshness(3, 10.0)
-    fresh.judge(1.0, 40, True, 5)
+    fresh.classify_answer(1.0, 40, True, 5)
     fresh.moved()
-    assert fresh.judge(2.0, 2, True, 5) is AnswerAction.APPLY
+    assert fresh.classify_answer(2.0, 2, True, 5) is AnswerAction.APPLY
 
 
 def test_an_empty_list_is_believed_and_asked_for_again_ever_less_often() -> None:
     fresh = ListFreshness(24, 10.0)
-    assert fresh.judge(1.0, 40, True, 0) is AnswerAction.APPLY_AND_REFETCH
+    assert fresh.classify_answer(1.0, 40, True, 0) is AnswerAction.APPLY_AND_REFETCH
     waits = [fresh.ask_again_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
     assert waits[1] <= 0.75 * fresh.call_time_s
     assert sum(waits) / 200 == pytest.approx(fresh.call_time_s, rel=0.1)  # one call in a call time
-    assert fresh.judge(2.0, 41, True, 1) is AnswerAction.APPLY
+    assert fresh.classify_answer(2.0, 41, True, 1) is AnswerAction.APPLY
     assert fresh.ask_again_s() <= 0.375 * fresh.call_time_s
 
 
