--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -165,7 +165,7 @@
 
     # Answers
 
-    def moved(self) -> None:
+    def reset_revision(self) -> None:
         """Forget the revision, because discovery has another address and counts revisions of its own."""
         self.revision = self.behind = 0
 
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -162,7 +162,7 @@
         self.address = address
         self.target.move(None)
         self.target = Target(self.pool, address)
-        self.fresh.moved()
+        self.fresh.reset_revision()
         self._carry_out(self.schedule.move(self.loop.time()))
 
     def watch(self) -> None:
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -118,7 +118,7 @@
 def test_after_a_move_a_lower_revision_is_good() -> None:
     fresh = ListFreshness(3, 10.0)
     fresh.classify_answer(1.0, 40, True, 5)
-    fresh.moved()
+    fresh.reset_revision()
     assert fresh.classify_answer(2.0, 2, True, 5) is AnswerAction.APPLY
 
 
