--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -143,7 +143,7 @@
             return None
         return self.rng.random() * self.max_call_delay_s if self.take_call_token(now) else None
 
-    def still_wanted(self) -> bool:
+    def is_call_needed(self) -> bool:
         """Whether a delayed call is still needed: no change has arrived since its evidence."""
         return bool(self.evidence)
 
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -179,7 +179,7 @@
             self.loop.call_later(delay, self._ask_if_wanted)
 
     def _ask_if_wanted(self) -> None:
-        if not self.fresh.still_wanted():
+        if not self.fresh.is_call_needed():
             return
         spending = self.engine.spending
         if spending is None or spending.may_spend(Spend.DISCOVERY):
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -75,9 +75,9 @@
     fresh.record_evidence(1.0, 1, Evidence.REFUSED_DIAL)
     assert fresh.record_evidence(1.1, 2, Evidence.REFUSED_DIAL) is not None
     fresh.classify_answer(1.2, 0, True, 5)  # the same revision
-    assert fresh.still_wanted()
+    assert fresh.is_call_needed()
     fresh.classify_answer(1.3, 9, False, 1)
-    assert not fresh.still_wanted()
+    assert not fresh.is_call_needed()
 
 
 def calls_for_evidence(fresh: ListFreshness, seconds: float, changes: bool) -> int:
