--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -186,7 +186,7 @@
             self.evidence.clear()
         return AnswerAction.APPLY_AND_REFETCH if complete and not entries else AnswerAction.APPLY
 
-    def ask_again_s(self) -> float:
+    def empty_list_retry_s(self) -> float:
         """Seconds until the next fetch of a list that was empty, with jitter; doubles with each call."""
         fraction = min(1.0, FIRST_EMPTY_RETRY_FRACTION * 2.0**self.empty_retries)
         self.empty_retries += 1
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -194,7 +194,7 @@
     def _ask_again(self) -> None:
         """Have the list again where it is empty, also after a call for it that failed."""
         if self.told_empty and self.again is None:
-            self.again = self.loop.call_later(self.fresh.ask_again_s(), self._ask_if_empty)
+            self.again = self.loop.call_later(self.fresh.empty_list_retry_s(), self._ask_if_empty)
 
     def _ask_if_empty(self) -> None:
         self.again = None
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -125,12 +125,12 @@
 def test_an_empty_list_is_believed_and_asked_for_again_ever_less_often() -> None:
     fresh = ListFreshness(24, 10.0)
     assert fresh.classify_answer(1.0, 40, True, 0) is AnswerAction.APPLY_AND_REFETCH
-    waits = [fresh.ask_again_s() for _ in range(200)]
+    waits = [fresh.empty_list_retry_s() for _ in range(200)]
     assert 0.1 < waits[0] <= 0.375 * fresh.call_time_s
     assert waits[1] <= 0.75 * fresh.call_time_s
     assert sum(waits) / 200 == pytest.approx(fresh.call_time_s, rel=0.1)  # one call in a call time
     assert fresh.classify_answer(2.0, 41, True, 1) is AnswerAction.APPLY
-    assert fresh.ask_again_s() <= 0.375 * fresh.call_time_s
+    assert fresh.empty_list_retry_s() <= 0.375 * fresh.call_time_s
 
 
 @pytest.mark.parametrize("seed", range(3))
