--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -103,7 +103,7 @@
         )
         if pushed:
             self.call_time_s = AGENT_CALL_TIME_S
-        self.double_s = AGENT_OVERDUE_S if pushed else OVERDUE_S
+        self.overdue_s = AGENT_OVERDUE_S if pushed else OVERDUE_S
         self.set_max_watch_wait(max_wait_s)
         self.evidence_interval_s = max(MIN_EVIDENCE_INTERVAL_S, self.call_time_s / EVIDENCE_LOAD_SHARE)
         self.max_call_delay_s = max(0.0, self.evidence_interval_s - QUEUE_S)
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -115,7 +115,7 @@
         self.target = Target(self.pool, self.address)
         fleet_size, ask_within_s = config.settings.fleet_size, config.settings.ask_within / S
         self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, WAIT_MOST_S, self.pushed)
-        overdue_s = self.fresh.double_s
+        overdue_s = self.fresh.overdue_s
         if self.pushed:
             timing = CallTiming.pushed(overdue_s)
         else:
