--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -167,7 +167,7 @@
             answers_bytes=pool.memory.held,
             answers_most=pool.memory.most,
             list_age_s=round(fresh.age_s(self.loop.time()), 3),
-            list_wait_s=fresh.wait_s,
+            list_wait_s=fresh.watch_wait_s,
             list_revision=fresh.revision,
             list_behind=fresh.behind,
             discovery_calls=self.discovery.calls_made,
--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -121,7 +121,7 @@
         wait_s = max(MIN_WATCH_WAIT_S, self.call_time_s / WATCH_LOAD_SHARE)
         if self.call_time_s <= BOUNDED_WATCH_WAIT_S * MAX_BOUNDED_WATCH_LOAD_SHARE:
             wait_s = min(wait_s, BOUNDED_WATCH_WAIT_S)
-        self.wait_s = min(max_wait_s, AGENT_WATCH_WAIT_S if self.pushed else wait_s)
+        self.watch_wait_s = min(max_wait_s, AGENT_WATCH_WAIT_S if self.pushed else wait_s)
 
     def age_s(self, now: float) -> float:
         """Seconds since the last valid answer of discovery; 0 before the first."""
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -120,7 +120,7 @@
             timing = CallTiming.pushed(overdue_s)
         else:
             timing = CallTiming.asked(overdue_s, ask_within_s, fleet_size)
-        self.schedule = CallSchedule(timing, self.fresh.wait_s, Random(config.seed))
+        self.schedule = CallSchedule(timing, self.fresh.watch_wait_s, Random(config.seed))
         self.calls: dict[int, ListCall] = {}  # by number: those that have neither been answered nor ended
         self.alarm: asyncio.TimerHandle | None = None  # when the schedule wants to advance
         self.told_empty = False  # the list has no entry, and changes are all that the watch would tell
@@ -229,7 +229,7 @@
         self.alarm = self.loop.call_later(HEARS_S, self._advance)
 
     def _advance(self) -> None:
-        self.schedule.watch_wait_s = self.fresh.wait_s
+        self.schedule.watch_wait_s = self.fresh.watch_wait_s
         self._carry_out(self.schedule.advance(self.loop.time()))
 
     def _begin(self, action: BeginCall) -> None:
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -67,7 +67,7 @@
     fresh = ListFreshness(size, float(ask_within_s))
     for seed in range(20):
         timing = CallTiming.asked(fresh.overdue_s, float(ask_within_s), size)
-        schedule = CallSchedule(timing, fresh.wait_s, Random(seed))
+        schedule = CallSchedule(timing, fresh.watch_wait_s, Random(seed))
         (fetch,) = schedule.start(0.0, 0.0)
         (watch,) = schedule.answered(0.1, fetch.number, changed=False)
         start_times: list[float] = []
@@ -90,7 +90,7 @@
     ask_within_s: float,
 ) -> None:
     fresh = ListFreshness(200, ask_within_s)
-    assert fresh.wait_s + fresh.overdue_s + QUEUE_S <= TOLD_S
+    assert fresh.watch_wait_s + fresh.overdue_s + QUEUE_S <= TOLD_S
 
 
 @pytest.mark.parametrize("slot", [3, 55, 212])  # without an early call, these first call after 4.3 to 4.9 s
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -20,10 +20,14 @@
 
 
 def test_a_small_fleet_renews_its_watch_often_and_a_large_one_seldom() -> None:
-    assert ListFreshness(3, 10.0).wait_s == MIN_WATCH_WAIT_S
-    assert ListFreshness(133, 10.0).wait_s == WAIT_MOST_S
-    assert ListFreshness(3, 10.0).wait_s < ListFreshness(30, 10.0).wait_s < ListFreshness(133, 10.0).wait_s
-    assert ListFreshness(3, 0.0).wait_s == WAIT_MOST_S  # discovery's capacity is not configured
+    assert ListFreshness(3, 10.0).watch_wait_s == MIN_WATCH_WAIT_S
+    assert ListFreshness(133, 10.0).watch_wait_s == WAIT_MOST_S
+    assert (
+        ListFreshness(3, 10.0).watch_wait_s
+        < ListFreshness(30, 10.0).watch_wait_s
+        < ListFreshness(133, 10.0).watch_wait_s
+    )
+    assert ListFreshness(3, 0.0).watch_wait_s == WAIT_MOST_S  # discovery's capacity is not configured
 
 
 def test_a_silent_call_is_doubled_before_news_counts_as_told() -> None:
@@ -144,12 +148,12 @@
     ask_within, seconds = 10.0, 120.0
     fleet = [ListFreshness(size, ask_within, rng.getrandbits(32)) for _ in range(size)]
     call_times: list[float] = []
-    next_watches = [(rng.uniform(1.0, 1.0 + fleet[0].wait_s), n) for n in range(size)]
+    next_watches = [(rng.uniform(1.0, 1.0 + fleet[0].watch_wait_s), n) for n in range(size)]
     heapq.heapify(next_watches)
     while next_watches[0][0] < seconds:
         now, n = heapq.heappop(next_watches)
         call_times.append(now)
-        heapq.heappush(next_watches, (now + fleet[n].wait_s, n))
+        heapq.heappush(next_watches, (now + fleet[n].watch_wait_s, n))
     for fresh in fleet:
         first_evidence_at = rng.uniform(1.0, 11.0)
         for step in range(int((seconds - first_evidence_at) * 2)):
@@ -161,5 +165,5 @@
     for start in range(10, int(seconds) - 10, 5):
         calls_in_window = sum(start <= at < start + 10 for at in call_times)
         assert calls_in_window / 10 <= capacity, (seed, size, start)
-    max_update_age_s = fleet[0].wait_s + 2 * OVERDUE_S  # the second call is repeated
+    max_update_age_s = fleet[0].watch_wait_s + 2 * OVERDUE_S  # the second call is repeated
     assert max_update_age_s < 22.0  # an update has to be known 2 s after the wait of a silent watch
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -33,7 +33,7 @@
 def schedule_of(fleet_size: int, ask_within_s: float = 10.0, seed: int = 1) -> CallSchedule:
     fresh = ListFreshness(fleet_size, ask_within_s, seed)
     return CallSchedule(
-        CallTiming.asked(fresh.overdue_s, ask_within_s, fleet_size), fresh.wait_s, Random(seed)
+        CallTiming.asked(fresh.overdue_s, ask_within_s, fleet_size), fresh.watch_wait_s, Random(seed)
     )
 
 
@@ -291,7 +291,7 @@
 @pytest.mark.parametrize("fails", [Event.REFUSES, Event.SILENT, Event.OVERLOADED])
 def test_an_agent_is_asked_within_a_drains_grace(fails: Event) -> None:
     fresh = ListFreshness(214, 10.0, pushed=True)
-    world = World(CallSchedule(CallTiming.pushed(fresh.overdue_s), fresh.wait_s, Random(1)))
+    world = World(CallSchedule(CallTiming.pushed(fresh.overdue_s), fresh.watch_wait_s, Random(1)))
     world.carry_out(world.schedule.start(0.0, 0.0))
     world.run_until(3.0)
     world.happens(fails)
