--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -169,7 +169,7 @@
             list_age_s=round(fresh.age_s(self.loop.time()), 3),
             list_wait_s=fresh.watch_wait_s,
             list_revision=fresh.revision,
-            list_behind=fresh.behind,
+            list_behind=fresh.stale_answers,
             discovery_calls=self.discovery.calls_made,
             discovery_extra_calls=self.discovery.extra_calls,
             refused_share=round(overload.refused_share, 3),
--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -111,7 +111,7 @@
         self.call_tokens = 1.0
         self.tokens_updated_at = 0.0
         self.evidence: dict[int, tuple[float, float]] = {}  # by server: time and weight
-        self.behind = 0  # stale answers in a row
+        self.stale_answers = 0  # stale answers in a row
         self.empty_retries = 0  # times that the current empty list was fetched again
         self.revision = 0
         self.last_valid_answer_at: float | None = None
@@ -167,16 +167,16 @@
 
     def reset_revision(self) -> None:
         """Forget the revision, because discovery has another address and counts revisions of its own."""
-        self.revision = self.behind = 0
+        self.revision = self.stale_answers = 0
 
     def classify_answer(self, now: float, revision: int, complete: bool, entries: int) -> AnswerAction:
         """Decide what to do with a valid answer; `complete` marks a full list, `entries` is their number."""
         if revision < self.revision:
-            self.behind += 1
-            if self.behind < MAX_STALE_ANSWERS or not complete:
+            self.stale_answers += 1
+            if self.stale_answers < MAX_STALE_ANSWERS or not complete:
                 return AnswerAction.IGNORE_STALE
         changed = revision != self.revision
-        self.behind = 0
+        self.stale_answers = 0
         self.revision = revision
         self.last_valid_answer_at = now
         if entries:
