--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -68,7 +68,7 @@
 
     REFUSED_DIAL = 1.0
     RESET = 0.75
-    TURNED_AWAY = 0.5
+    REJECTED = 0.5
 
 
 class AnswerAction(Enum):
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -50,7 +50,7 @@
 EVIDENCE = {
     Outcome.CONNECT_FAILED: Evidence.REFUSED_DIAL,
     Outcome.RESET: Evidence.RESET,
-    Outcome.BUSY: Evidence.TURNED_AWAY,
+    Outcome.BUSY: Evidence.REJECTED,
 }
 
 
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -44,9 +44,9 @@
     [
         ((Evidence.REFUSED_DIAL, Evidence.REFUSED_DIAL), True),
         ((Evidence.RESET, Evidence.RESET), True),
-        ((Evidence.TURNED_AWAY, Evidence.TURNED_AWAY), False),
-        ((Evidence.TURNED_AWAY, Evidence.TURNED_AWAY, Evidence.TURNED_AWAY), True),
-        ((Evidence.TURNED_AWAY, Evidence.REFUSED_DIAL), True),
+        ((Evidence.REJECTED, Evidence.REJECTED), False),
+        ((Evidence.REJECTED, Evidence.REJECTED, Evidence.REJECTED), True),
+        ((Evidence.REJECTED, Evidence.REFUSED_DIAL), True),
     ],
 )
 def test_evidence_of_several_servers_is_worth_a_call(kinds: tuple[Evidence, ...], enough: bool) -> None:
