--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -41,7 +41,7 @@
 from random import Random
 
 MIN_WATCH_WAIT_S = 2.0
-WAIT_MOST_S = 20.0  # the longest wait of a watch by default; discovery permits 60 s
+MAX_WATCH_WAIT_S = 20.0  # the longest wait of a watch by default; discovery permits 60 s
 WATCH_LOAD_SHARE = 0.5  # of the service's capacity
 EVIDENCE_LOAD_SHARE = 0.3  # of the service's capacity
 QUEUE_S = 2.0  # discovery fails a call that is queued for longer
@@ -92,14 +92,14 @@
         fleet_size: int,
         ask_within_s: float,
         seed: int = 0,
-        max_wait_s: float = WAIT_MOST_S,
+        max_wait_s: float = MAX_WATCH_WAIT_S,
         pushed: bool = False,
     ) -> None:
         self.rng = Random(seed)
         self.pushed = pushed
         fleet_fraction = min(1.0, max(1, fleet_size) / FULL_FLEET)
         self.call_time_s = (
-            ask_within_s * fleet_fraction if ask_within_s > 0.0 else WAIT_MOST_S * WATCH_LOAD_SHARE
+            ask_within_s * fleet_fraction if ask_within_s > 0.0 else MAX_WATCH_WAIT_S * WATCH_LOAD_SHARE
         )
         if pushed:
             self.call_time_s = AGENT_CALL_TIME_S
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.limits.lists import WAIT_MOST_S
+from garnethaven.limits.lists import MAX_WATCH_WAIT_S
 from garnethaven.limits.places import UNPRESSURED_WAIT_S
 from garnethaven.tables import At, Table, bounded, said
 
@@ -27,7 +27,7 @@
     ] = UNPRESSURED_WAIT_S
     watch_most_s: Annotated[
         float, bounded(2, 60, "the longest that a watch of discovery may wait", "seconds")
-    ] = WAIT_MOST_S
+    ] = MAX_WATCH_WAIT_S
 
 
 TABLE = Limits
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -20,7 +20,7 @@
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import ListKind, Outcome, State
 from garnethaven.limits.budgets import AnswerMemory, max_list_bytes
-from garnethaven.limits.lists import FULL_FLEET, WAIT_MOST_S, AnswerAction, Evidence, ListFreshness
+from garnethaven.limits.lists import FULL_FLEET, MAX_WATCH_WAIT_S, AnswerAction, Evidence, ListFreshness
 from garnethaven.membership.call_schedule import (
     MAX_OPEN_CALLS,
     AbandonCall,
@@ -114,7 +114,7 @@
         self.address = config.discovery
         self.target = Target(self.pool, self.address)
         fleet_size, ask_within_s = config.settings.fleet_size, config.settings.ask_within / S
-        self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, WAIT_MOST_S, self.pushed)
+        self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, MAX_WATCH_WAIT_S, self.pushed)
         overdue_s = self.fresh.overdue_s
         if self.pushed:
             timing = CallTiming.pushed(overdue_s)
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -10,9 +10,9 @@
 from garnethaven.limits.lists import (
     EVIDENCE_WINDOW_S,
     MAX_STALE_ANSWERS,
+    MAX_WATCH_WAIT_S,
     MIN_WATCH_WAIT_S,
     OVERDUE_S,
-    WAIT_MOST_S,
     AnswerAction,
     Evidence,
     ListFreshness,
@@ -21,13 +21,13 @@
 
 def test_a_small_fleet_renews_its_watch_often_and_a_large_one_seldom() -> None:
     assert ListFreshness(3, 10.0).watch_wait_s == MIN_WATCH_WAIT_S
-    assert ListFreshness(133, 10.0).watch_wait_s == WAIT_MOST_S
+    assert ListFreshness(133, 10.0).watch_wait_s == MAX_WATCH_WAIT_S
     assert (
         ListFreshness(3, 10.0).watch_wait_s
         < ListFreshness(30, 10.0).watch_wait_s
         < ListFreshness(133, 10.0).watch_wait_s
     )
-    assert ListFreshness(3, 0.0).watch_wait_s == WAIT_MOST_S  # discovery's capacity is not configured
+    assert ListFreshness(3, 0.0).watch_wait_s == MAX_WATCH_WAIT_S  # discovery's capacity is not configured
 
 
 def test_a_silent_call_is_doubled_before_news_counts_as_told() -> None:
