--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -44,7 +44,7 @@
 MAX_WATCH_WAIT_S = 20.0  # the longest wait of a watch by default; discovery permits 60 s
 WATCH_LOAD_SHARE = 0.5  # of the service's capacity
 EVIDENCE_LOAD_SHARE = 0.3  # of the service's capacity
-QUEUE_S = 2.0  # discovery fails a call that is queued for longer
+MAX_QUEUE_WAIT_S = 2.0  # discovery fails a call that is queued for longer
 FULL_FLEET = 50  # from this number of sidecars on, their calls need the whole call time
 OVERDUE_S = 0.6  # after the end of a watch's wait
 TOLD_S = 6.0  # maximum delay of a change
@@ -106,7 +106,7 @@
         self.overdue_s = AGENT_OVERDUE_S if pushed else OVERDUE_S
         self.set_max_watch_wait(max_wait_s)
         self.evidence_interval_s = max(MIN_EVIDENCE_INTERVAL_S, self.call_time_s / EVIDENCE_LOAD_SHARE)
-        self.max_call_delay_s = max(0.0, self.evidence_interval_s - QUEUE_S)
+        self.max_call_delay_s = max(0.0, self.evidence_interval_s - MAX_QUEUE_WAIT_S)
         self.backoff_factor = 1
         self.call_tokens = 1.0
         self.tokens_updated_at = 0.0
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import QUEUE_S, TOLD_S, ListFreshness
+from garnethaven.limits.lists import MAX_QUEUE_WAIT_S, TOLD_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
 from tests.loopback import ANSWER, Lists, Peer, Sidecar, run, running, says, silent, until
 
@@ -90,7 +90,7 @@
     ask_within_s: float,
 ) -> None:
     fresh = ListFreshness(200, ask_within_s)
-    assert fresh.watch_wait_s + fresh.overdue_s + QUEUE_S <= TOLD_S
+    assert fresh.watch_wait_s + fresh.overdue_s + MAX_QUEUE_WAIT_S <= TOLD_S
 
 
 @pytest.mark.parametrize("slot", [3, 55, 212])  # without an early call, these first call after 4.3 to 4.9 s
