--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -45,7 +45,7 @@
 WATCH_LOAD_SHARE = 0.5  # of the service's capacity
 EVIDENCE_LOAD_SHARE = 0.3  # of the service's capacity
 MAX_QUEUE_WAIT_S = 2.0  # discovery fails a call that is queued for longer
-FULL_FLEET = 50  # from this number of sidecars on, their calls need the whole call time
+FULL_LOAD_FLEET_SIZE = 50  # from this number of sidecars on, their calls need the whole call time
 OVERDUE_S = 0.6  # after the end of a watch's wait
 TOLD_S = 6.0  # maximum delay of a change
 BOUNDED_WATCH_WAIT_S = 3.4  # plus OVERDUE_S and discovery's queue time: within the maximum delay
@@ -97,7 +97,7 @@
     ) -> None:
         self.rng = Random(seed)
         self.pushed = pushed
-        fleet_fraction = min(1.0, max(1, fleet_size) / FULL_FLEET)
+        fleet_fraction = min(1.0, max(1, fleet_size) / FULL_LOAD_FLEET_SIZE)
         self.call_time_s = (
             ask_within_s * fleet_fraction if ask_within_s > 0.0 else MAX_WATCH_WAIT_S * WATCH_LOAD_SHARE
         )
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -20,7 +20,13 @@
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import ListKind, Outcome, State
 from garnethaven.limits.budgets import AnswerMemory, max_list_bytes
-from garnethaven.limits.lists import FULL_FLEET, MAX_WATCH_WAIT_S, AnswerAction, Evidence, ListFreshness
+from garnethaven.limits.lists import (
+    FULL_LOAD_FLEET_SIZE,
+    MAX_WATCH_WAIT_S,
+    AnswerAction,
+    Evidence,
+    ListFreshness,
+)
 from garnethaven.membership.call_schedule import (
     MAX_OPEN_CALLS,
     AbandonCall,
@@ -149,7 +155,9 @@
         if self.pushed:
             return 0.0
         fleet_size = self.config.settings.fleet_size
-        return self.schedule.rng.random() * FIRST_CALL_SPAN_S * min(1.0, (fleet_size - 1) / FULL_FLEET)
+        return (
+            self.schedule.rng.random() * FIRST_CALL_SPAN_S * min(1.0, (fleet_size - 1) / FULL_LOAD_FLEET_SIZE)
+        )
 
     def move(self, address: Address) -> None:
         """Discovery has another address: leave the old one and have the full list from the new.
