--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -788,7 +788,7 @@
         if event.outcome is Outcome.DONE:
             self.retry_budget.answered()
         elif event.outcome is Outcome.BUSY:
-            self.retry_budget.turned_away()
+            self.retry_budget.record_rejection()
         self._record_outcome(event, pending)
         if pending is None:
             return
--- a/garnethaven/limits/retry_budget.py
+++ b/garnethaven/limits/retry_budget.py
@@ -48,7 +48,7 @@
         """Record a good answer."""
         self._add(1.0)
 
-    def turned_away(self) -> None:
+    def record_rejection(self) -> None:
         """Record an attempt that a server rejected for lack of capacity."""
         self._add(-REJECTION_TOKENS)
 
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -42,7 +42,7 @@
     budget = RetryBudget()
     turned_away = 0
     while budget.allows() and turned_away <= MAX_TOKENS:
-        budget.turned_away()
+        budget.record_rejection()
         turned_away += 1
     assert turned_away == 5  # half of the tokens, at ten per rejection
 
@@ -50,7 +50,7 @@
 def test_answers_open_it_again_however_many_were_turned_away() -> None:
     budget = RetryBudget()
     for _ in range(10_000):
-        budget.turned_away()
+        budget.record_rejection()
     needed = 0
     while not budget.allows() and needed <= MAX_TOKENS:
         budget.answered()
@@ -70,7 +70,7 @@
     for _ in range(1_000):
         for _ in range(19):
             budget.answered()
-        budget.turned_away()
+        budget.record_rejection()
         assert budget.allows()
         budget.spend()
 
@@ -106,7 +106,7 @@
     for answers, keeps_level in ((REJECTION_TOKENS + 2, True), (REJECTION_TOKENS, False)):
         budget = RetryBudget()
         budget.tokens = before = 0.75 * MAX_TOKENS
-        budget.turned_away()
+        budget.record_rejection()
         budget.spend()
         for _ in range(int(answers)):
             budget.answered()
