--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -786,7 +786,7 @@
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         pending = self.pending_requests.get(event.id)
         if event.outcome is Outcome.DONE:
-            self.retry_budget.answered()
+            self.retry_budget.record_answer()
         elif event.outcome is Outcome.BUSY:
             self.retry_budget.record_rejection()
         self._record_outcome(event, pending)
--- a/garnethaven/limits/retry_budget.py
+++ b/garnethaven/limits/retry_budget.py
@@ -44,7 +44,7 @@
         """Take one token for a further attempt (a retry or a hedge)."""
         self._add(-1.0)
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Record a good answer."""
         self._add(1.0)
 
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -53,7 +53,7 @@
         budget.record_rejection()
     needed = 0
     while not budget.allows() and needed <= MAX_TOKENS:
-        budget.answered()
+        budget.record_answer()
         needed += 1
     assert needed == MAX_TOKENS / 2 + 1
 
@@ -61,7 +61,7 @@
 def test_answers_save_up_no_more_than_it_holds() -> None:
     budget = RetryBudget()
     for _ in range(10_000):
-        budget.answered()
+        budget.record_answer()
     assert budget.tokens == MAX_TOKENS
 
 
@@ -69,7 +69,7 @@
     budget = RetryBudget()
     for _ in range(1_000):
         for _ in range(19):
-            budget.answered()
+            budget.record_answer()
         budget.record_rejection()
         assert budget.allows()
         budget.spend()
@@ -87,14 +87,14 @@
             assert budget.allows()
             budget.spend()
         for _ in range(6):
-            budget.answered()
+            budget.record_answer()
 
 
 def test_without_tries_turned_away_there_is_one_further_attempt_an_answer_at_the_most() -> None:
     budget = RetryBudget()
     made = 0
     for _ in range(10_000):
-        budget.answered()
+        budget.record_answer()
         for _ in range(3):
             if budget.allows():
                 budget.spend()
@@ -109,5 +109,5 @@
         budget.record_rejection()
         budget.spend()
         for _ in range(int(answers)):
-            budget.answered()
+            budget.record_answer()
         assert (budget.tokens > before) is keeps_level
