--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,7 +23,7 @@
     Send,
     Settings,
 )
-from garnethaven.limits.budgets import Descriptors
+from garnethaven.limits.budgets import DescriptorBudget
 from garnethaven.limits.lists import Evidence, ListFreshness
 from garnethaven.limits.overload import Overload
 from garnethaven.limits.places import ClientConnectionLimit, ConnectionHistory
@@ -96,7 +96,7 @@
 
 def share_descriptors() -> Callable[[], object]:
     """Both sides' limits."""
-    budget = Descriptors(384)
+    budget = DescriptorBudget(384)
     return lambda: (budget.clients(100), budget.endpoints(100))
 
 
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -10,7 +10,7 @@
 from garnethaven.app.registry import make_feature, table_type
 from garnethaven.config import Config
 from garnethaven.engine.engine import Engine, S
-from garnethaven.limits.budgets import Descriptors
+from garnethaven.limits.budgets import DescriptorBudget
 from garnethaven.limits.view import Figures, LogLine, report
 from garnethaven.membership.discovery import Discovery
 from garnethaven.net.listener import Listener
@@ -33,7 +33,7 @@
     def __init__(self, config: Config, operator: Operator, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
-        self.descriptors = Descriptors(config.sockets)
+        self.descriptors = DescriptorBudget(config.sockets)
         self.engine = Engine(config.name, config.settings, config.seed, loop)
         self.parts = parts = Parts(config, loop, self.engine, Pool, self.report, config.known)
         self.features: dict[str, Feature[Any, Any]] = {
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -38,7 +38,7 @@
 MIN_LIST_BYTES = 2 * MB
 
 
-class Descriptors:
+class DescriptorBudget:
     """Limits of client and endpoint connections; `total` is the descriptor limit of the process."""
 
     def __init__(self, total: int) -> None:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -4,13 +4,20 @@
 
 import pytest
 
-from garnethaven.limits.budgets import LEAST, MAX_PROTECTED_ANSWER_BYTES, MB, SPARE, AnswerMemory, Descriptors
+from garnethaven.limits.budgets import (
+    LEAST,
+    MAX_PROTECTED_ANSWER_BYTES,
+    MB,
+    SPARE,
+    AnswerMemory,
+    DescriptorBudget,
+)
 
 
 @pytest.mark.parametrize("total", [80, 128, 256, 384, 1024, 4096])
 def test_both_sides_together_never_hold_more_than_there_is(total: int) -> None:
     """Clients take connections first, endpoints then up to their limit."""
-    budget = Descriptors(total)
+    budget = DescriptorBudget(total)
     for wanted in range(0, budget.available, 7):
         clients = min(wanted, budget.clients(0))
         endpoints = budget.endpoints(clients)
@@ -20,7 +27,7 @@
 
 
 def test_each_side_is_sure_of_its_part_and_may_have_what_the_other_leaves() -> None:
-    budget = Descriptors(384)
+    budget = DescriptorBudget(384)
     assert budget.clients(320) == budget.endpoints(320) == budget.guaranteed == 112
     assert budget.clients(0) == 208  # the guaranteed share of the other side stays free
     assert budget.clients(150) == 170
@@ -28,7 +35,7 @@
 
 
 def test_a_very_small_process_still_has_some_of_each() -> None:
-    budget = Descriptors(10)
+    budget = DescriptorBudget(10)
     assert budget.clients(0) >= LEAST
     assert budget.endpoints(0) >= LEAST
 
