--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -131,7 +131,7 @@
     # Figures
 
     def _max_clients(self) -> int:
-        return self.descriptors.clients(self.transport.pool.held())
+        return self.descriptors.max_clients(self.transport.pool.held())
 
     def _max_endpoints(self) -> int:
         return self.descriptors.endpoints(self.listener.held())
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -50,7 +50,7 @@
         self.available = max(2 * LEAST, (self.total - SPARE) // processes)
         self.guaranteed = max(LEAST, int(self.available * GUARANTEED_SHARE))
 
-    def clients(self, endpoint_connections: int) -> int:
+    def max_clients(self, endpoint_connections: int) -> int:
         """The largest number of client connections beside so many endpoint connections."""
         return self._limit_beside(endpoint_connections)
 
