--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -97,7 +97,7 @@
 def share_descriptors() -> Callable[[], object]:
     """Both sides' limits."""
     budget = DescriptorBudget(384)
-    return lambda: (budget.max_clients(100), budget.endpoints(100))
+    return lambda: (budget.max_clients(100), budget.max_endpoints(100))
 
 
 PARTS = (answer_on_a_full_front, look_over_full_places, judge_overload, weigh_evidence, share_descriptors)
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -134,7 +134,7 @@
         return self.descriptors.max_clients(self.transport.pool.held())
 
     def _max_endpoints(self) -> int:
-        return self.descriptors.endpoints(self.listener.held())
+        return self.descriptors.max_endpoints(self.listener.held())
 
     def _log_limits(self) -> None:
         self.limits_timer = self.loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -54,7 +54,7 @@
         """The largest number of client connections beside so many endpoint connections."""
         return self._limit_beside(endpoint_connections)
 
-    def endpoints(self, client_connections: int) -> int:
+    def max_endpoints(self, client_connections: int) -> int:
         """The largest number of endpoint connections beside so many client connections."""
         return min(
             max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._limit_beside(client_connections)
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -20,7 +20,7 @@
     budget = DescriptorBudget(total)
     for wanted in range(0, budget.available, 7):
         clients = min(wanted, budget.max_clients(0))
-        endpoints = budget.endpoints(clients)
+        endpoints = budget.max_endpoints(clients)
         assert clients + endpoints <= max(budget.available, 2 * budget.guaranteed)
         assert budget.max_clients(endpoints) >= clients or clients <= budget.guaranteed
     assert budget.available + SPARE <= max(total, 2 * LEAST + SPARE)
@@ -28,16 +28,16 @@
 
 def test_each_side_is_sure_of_its_part_and_may_have_what_the_other_leaves() -> None:
     budget = DescriptorBudget(384)
-    assert budget.max_clients(320) == budget.endpoints(320) == budget.guaranteed == 112
+    assert budget.max_clients(320) == budget.max_endpoints(320) == budget.guaranteed == 112
     assert budget.max_clients(0) == 208  # the guaranteed share of the other side stays free
     assert budget.max_clients(150) == 170
-    assert budget.endpoints(0) == budget.endpoints(150) == 160  # never more than half
+    assert budget.max_endpoints(0) == budget.max_endpoints(150) == 160  # never more than half
 
 
 def test_a_very_small_process_still_has_some_of_each() -> None:
     budget = DescriptorBudget(10)
     assert budget.max_clients(0) >= LEAST
-    assert budget.endpoints(0) >= LEAST
+    assert budget.max_endpoints(0) >= LEAST
 
 
 def test_only_large_answers_break_off_when_memory_is_short() -> None:
