--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -81,7 +81,7 @@
         """Divide the budget among the processes of one sidecar."""
         self.most = int(self.memory_mb * MB * ANSWERS_PART) // processes
 
-    def grows(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         self.held += size
 
     def shrinks(self, size: int) -> None:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -42,9 +42,9 @@
 
 def test_only_large_answers_break_off_when_memory_is_short() -> None:
     memory = AnswerMemory(80)
-    memory.grows(20 * MB)
+    memory.reserve(20 * MB)
     assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
-    memory.grows(1)
+    memory.reserve(1)
     assert memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
     assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES)
     memory.shrinks(MB)
