--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -84,7 +84,7 @@
     def reserve(self, size: int) -> None:
         self.held += size
 
-    def shrinks(self, size: int) -> None:
+    def release(self, size: int) -> None:
         self.held -= size
 
     def full(self) -> bool:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -47,5 +47,5 @@
     memory.reserve(1)
     assert memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
     assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES)
-    memory.shrinks(MB)
+    memory.release(MB)
     assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
