--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -91,6 +91,6 @@
         """Whether the budget is used up, so that long request bodies are refused."""
         return self.held > self.most
 
-    def too_much(self, size: int) -> bool:
+    def must_abort(self, size: int) -> bool:
         """Whether an answer that has grown to `size` bytes must be aborted."""
         return self.held > self.most and size > MAX_PROTECTED_ANSWER_BYTES
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -43,9 +43,9 @@
 def test_only_large_answers_break_off_when_memory_is_short() -> None:
     memory = AnswerMemory(80)
     memory.reserve(20 * MB)
-    assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
+    assert not memory.must_abort(MAX_PROTECTED_ANSWER_BYTES + 1)
     memory.reserve(1)
-    assert memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
-    assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES)
+    assert memory.must_abort(MAX_PROTECTED_ANSWER_BYTES + 1)
+    assert not memory.must_abort(MAX_PROTECTED_ANSWER_BYTES)
     memory.release(MB)
-    assert not memory.too_much(MAX_PROTECTED_ANSWER_BYTES + 1)
+    assert not memory.must_abort(MAX_PROTECTED_ANSWER_BYTES + 1)
