--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -87,7 +87,7 @@
     def release(self, size: int) -> None:
         self.held -= size
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the budget is used up, so that long request bodies are refused."""
         return self.held > self.most
 
