--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -74,7 +74,7 @@
 
     def __init__(self, memory_mb: int) -> None:
         self.memory_mb = memory_mb
-        self.held = 0
+        self.used_bytes = 0
         self.share(1)
 
     def share(self, processes: int) -> None:
@@ -82,15 +82,15 @@
         self.most = int(self.memory_mb * MB * ANSWERS_PART) // processes
 
     def reserve(self, size: int) -> None:
-        self.held += size
+        self.used_bytes += size
 
     def release(self, size: int) -> None:
-        self.held -= size
+        self.used_bytes -= size
 
     def is_full(self) -> bool:
         """Whether the budget is used up, so that long request bodies are refused."""
-        return self.held > self.most
+        return self.used_bytes > self.most
 
     def must_abort(self, size: int) -> bool:
         """Whether an answer that has grown to `size` bytes must be aborted."""
-        return self.held > self.most and size > MAX_PROTECTED_ANSWER_BYTES
+        return self.used_bytes > self.most and size > MAX_PROTECTED_ANSWER_BYTES
