--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -79,7 +79,7 @@
 
     def share(self, processes: int) -> None:
         """Divide the budget among the processes of one sidecar."""
-        self.most = int(self.memory_mb * MB * ANSWERS_PART) // processes
+        self.max_bytes = int(self.memory_mb * MB * ANSWERS_PART) // processes
 
     def reserve(self, size: int) -> None:
         self.used_bytes += size
@@ -89,8 +89,8 @@
 
     def is_full(self) -> bool:
         """Whether the budget is used up, so that long request bodies are refused."""
-        return self.used_bytes > self.most
+        return self.used_bytes > self.max_bytes
 
     def must_abort(self, size: int) -> bool:
         """Whether an answer that has grown to `size` bytes must be aborted."""
-        return self.used_bytes > self.most and size > MAX_PROTECTED_ANSWER_BYTES
+        return self.used_bytes > self.max_bytes and size > MAX_PROTECTED_ANSWER_BYTES
