--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -27,7 +27,7 @@
 
 from __future__ import annotations
 
-SPARE = 64  # descriptors reserved for other uses than client and endpoint connections
+RESERVED_DESCRIPTORS = 64  # descriptors reserved for other uses than client and endpoint connections
 GUARANTEED_SHARE = 0.35  # of the available descriptors, for each side
 MAX_ENDPOINTS_SHARE = 0.5  # of the available descriptors
 LEAST = 8  # connections guaranteed to each side, however few descriptors there are
@@ -47,7 +47,7 @@
 
     def share(self, processes: int) -> None:
         """Divide the budget among the processes of one sidecar."""
-        self.available = max(2 * LEAST, (self.total - SPARE) // processes)
+        self.available = max(2 * LEAST, (self.total - RESERVED_DESCRIPTORS) // processes)
         self.guaranteed = max(LEAST, int(self.available * GUARANTEED_SHARE))
 
     def max_clients(self, endpoint_connections: int) -> int:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -8,7 +8,7 @@
     LEAST,
     MAX_PROTECTED_ANSWER_BYTES,
     MB,
-    SPARE,
+    RESERVED_DESCRIPTORS,
     AnswerMemory,
     DescriptorBudget,
 )
@@ -23,7 +23,7 @@
         endpoints = budget.max_endpoints(clients)
         assert clients + endpoints <= max(budget.available, 2 * budget.guaranteed)
         assert budget.max_clients(endpoints) >= clients or clients <= budget.guaranteed
-    assert budget.available + SPARE <= max(total, 2 * LEAST + SPARE)
+    assert budget.available + RESERVED_DESCRIPTORS <= max(total, 2 * LEAST + RESERVED_DESCRIPTORS)
 
 
 def test_each_side_is_sure_of_its_part_and_may_have_what_the_other_leaves() -> None:
