--- a/garnethaven/config.py
+++ b/garnethaven/config.py
@@ -10,7 +10,7 @@
 
 from garnethaven.addresses import Address, parse_address
 from garnethaven.interface import Settings
-from garnethaven.limits.budgets import LEAST, RESERVED_DESCRIPTORS
+from garnethaven.limits.budgets import MIN_CONNECTIONS_PER_SIDE, RESERVED_DESCRIPTORS
 from garnethaven.settings import Names, SettingsError, read_names, read_settings
 
 MIN_MEMORY_MB = 20  # an idle process uses 14 MB
@@ -68,7 +68,7 @@
         discovery=_address(document, "discovery"),
         seed=_seed(document),
         memory_mb=_limit(limits, "memory_mb", MIN_MEMORY_MB),
-        sockets=_limit(limits, "sockets", RESERVED_DESCRIPTORS + 2 * LEAST),
+        sockets=_limit(limits, "sockets", RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS_PER_SIDE),
         known=_field(document, "known", dict),
         settings=settings,
         names=names,
--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -30,7 +30,7 @@
 RESERVED_DESCRIPTORS = 64  # descriptors reserved for other uses than client and endpoint connections
 GUARANTEED_SHARE = 0.35  # of the available descriptors, for each side
 MAX_ENDPOINTS_SHARE = 0.5  # of the available descriptors
-LEAST = 8  # connections guaranteed to each side, however few descriptors there are
+MIN_CONNECTIONS_PER_SIDE = 8  # connections guaranteed to each side, however few descriptors there are
 ANSWERS_PART = 0.25  # of the memory, for buffered answers
 MAX_PROTECTED_ANSWER_BYTES = 64 * 1024  # a smaller answer is never aborted for lack of memory
 MB = 1024 * 1024
@@ -47,8 +47,8 @@
 
     def share(self, processes: int) -> None:
         """Divide the budget among the processes of one sidecar."""
-        self.available = max(2 * LEAST, (self.total - RESERVED_DESCRIPTORS) // processes)
-        self.guaranteed = max(LEAST, int(self.available * GUARANTEED_SHARE))
+        self.available = max(2 * MIN_CONNECTIONS_PER_SIDE, (self.total - RESERVED_DESCRIPTORS) // processes)
+        self.guaranteed = max(MIN_CONNECTIONS_PER_SIDE, int(self.available * GUARANTEED_SHARE))
 
     def max_clients(self, endpoint_connections: int) -> int:
         """The largest number of client connections beside so many endpoint connections."""
@@ -57,7 +57,8 @@
     def max_endpoints(self, client_connections: int) -> int:
         """The largest number of endpoint connections beside so many client connections."""
         return min(
-            max(LEAST, int(self.available * MAX_ENDPOINTS_SHARE)), self._limit_beside(client_connections)
+            max(MIN_CONNECTIONS_PER_SIDE, int(self.available * MAX_ENDPOINTS_SHARE)),
+            self._limit_beside(client_connections),
         )
 
     def _limit_beside(self, used_by_other_side: int) -> int:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -5,9 +5,9 @@
 import pytest
 
 from garnethaven.limits.budgets import (
-    LEAST,
     MAX_PROTECTED_ANSWER_BYTES,
     MB,
+    MIN_CONNECTIONS_PER_SIDE,
     RESERVED_DESCRIPTORS,
     AnswerMemory,
     DescriptorBudget,
@@ -23,7 +23,9 @@
         endpoints = budget.max_endpoints(clients)
         assert clients + endpoints <= max(budget.available, 2 * budget.guaranteed)
         assert budget.max_clients(endpoints) >= clients or clients <= budget.guaranteed
-    assert budget.available + RESERVED_DESCRIPTORS <= max(total, 2 * LEAST + RESERVED_DESCRIPTORS)
+    assert budget.available + RESERVED_DESCRIPTORS <= max(
+        total, 2 * MIN_CONNECTIONS_PER_SIDE + RESERVED_DESCRIPTORS
+    )
 
 
 def test_each_side_is_sure_of_its_part_and_may_have_what_the_other_leaves() -> None:
@@ -36,8 +38,8 @@
 
 def test_a_very_small_process_still_has_some_of_each() -> None:
     budget = DescriptorBudget(10)
-    assert budget.max_clients(0) >= LEAST
-    assert budget.max_endpoints(0) >= LEAST
+    assert budget.max_clients(0) >= MIN_CONNECTIONS_PER_SIDE
+    assert budget.max_endpoints(0) >= MIN_CONNECTIONS_PER_SIDE
 
 
 def test_only_large_answers_break_off_when_memory_is_short() -> None:
