--- a/garnethaven/limits/budgets.py
+++ b/garnethaven/limits/budgets.py
@@ -31,7 +31,7 @@
 GUARANTEED_SHARE = 0.35  # of the available descriptors, for each side
 MAX_ENDPOINTS_SHARE = 0.5  # of the available descriptors
 MIN_CONNECTIONS_PER_SIDE = 8  # connections guaranteed to each side, however few descriptors there are
-ANSWERS_PART = 0.25  # of the memory, for buffered answers
+ANSWER_MEMORY_SHARE = 0.25  # of the memory, for buffered answers
 MAX_PROTECTED_ANSWER_BYTES = 64 * 1024  # a smaller answer is never aborted for lack of memory
 MB = 1024 * 1024
 LIST_MEMORY_SHARE = 1 / 32  # of the memory, for the JSON text of a server list
@@ -80,7 +80,7 @@
 
     def share(self, processes: int) -> None:
         """Divide the budget among the processes of one sidecar."""
-        self.max_bytes = int(self.memory_mb * MB * ANSWERS_PART) // processes
+        self.max_bytes = int(self.memory_mb * MB * ANSWER_MEMORY_SHARE) // processes
 
     def reserve(self, size: int) -> None:
         self.used_bytes += size
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from garnethaven.limits.budgets import ANSWERS_PART, MB, MIN_LIST_BYTES, max_list_bytes
+from garnethaven.limits.budgets import ANSWER_MEMORY_SHARE, MB, MIN_LIST_BYTES, max_list_bytes
 from garnethaven.membership.catchup import Entry, Tell
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.model import Model
@@ -219,7 +219,7 @@
 def test_the_longest_list_grows_with_the_memory_and_is_never_under_two_megabytes(memory_mb: int) -> None:
     most = max_list_bytes(memory_mb)
     assert most == max(MIN_LIST_BYTES, memory_mb * MB // 32)
-    assert most < memory_mb * MB * ANSWERS_PART  # or the budget for answers would break it off first
+    assert most < memory_mb * MB * ANSWER_MEMORY_SHARE  # or the budget for answers would break it off first
     entry = json.dumps(members_of(15_000, 1, [65_535])[0], indent=2)
     assert most > SERVERS * len(entry) * 2  # half of it left to longer names
 
