--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -11,7 +11,7 @@
 from garnethaven.config import Config
 from garnethaven.engine.engine import Engine, S
 from garnethaven.limits.budgets import DescriptorBudget
-from garnethaven.limits.view import Figures, LogLine, report
+from garnethaven.limits.view import Figures, LimitsLog, report
 from garnethaven.membership.discovery import Discovery
 from garnethaven.net.listener import Listener
 from garnethaven.net.transport import HttpTransport
@@ -57,7 +57,7 @@
             config, self.engine, self.transport, loop, self._max_clients
         )
         self.drain_task: asyncio.Task[None] | None = None
-        self.limits_log = LogLine()
+        self.limits_log = LimitsLog()
         self.limits_timer = loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
 
     def _make_ops(self) -> Ops | None:
--- a/garnethaven/limits/view.py
+++ b/garnethaven/limits/view.py
@@ -70,7 +70,7 @@
     return {"acting": active_limits(figures), "figures": asdict(figures)}
 
 
-class LogLine:
+class LimitsLog:
     """Decides when to log the active limits: on a new one, on the end of the last, and periodically."""
 
     def __init__(self) -> None:
