--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -138,7 +138,7 @@
 
     def _log_limits(self) -> None:
         self.limits_timer = self.loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
-        message = self.limits_log.due(self.figures(), self.loop.time())
+        message = self.limits_log.next_line(self.figures(), self.loop.time())
         if message is not None:
             self.engine.log(message)
 
--- a/garnethaven/limits/view.py
+++ b/garnethaven/limits/view.py
@@ -77,7 +77,7 @@
         self.logged_names: frozenset[str] = frozenset()
         self.logged_at = 0.0
 
-    def due(self, figures: Figures, now: float) -> str | None:
+    def next_line(self, figures: Figures, now: float) -> str | None:
         """The line to log now, if any; `now` is in seconds."""
         active = active_limits(figures)
         names = frozenset(active)
--- a/tests/limits/test_view.py
+++ b/tests/limits/test_view.py
@@ -60,7 +60,9 @@
 
 def test_the_log_tells_the_beginning_and_the_end_and_little_between() -> None:
     log_line, overloaded = LimitsLog(), replace(CALM, refused_share=0.5)
-    lines = [log_line.due(overloaded if 10 <= second < 40 else CALM, float(second)) for second in range(60)]
+    lines = [
+        log_line.next_line(overloaded if 10 <= second < 40 else CALM, float(second)) for second in range(60)
+    ]
     logged_at = [second for second, line in enumerate(lines) if line]
     assert logged_at == [10, 20, 30, 40]
     assert 3 * LOG_INTERVAL_S <= 40 - 10
