--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from garnethaven.interface import Idempotency, Settings
-from garnethaven.settings import Names, numbered
+from garnethaven.settings import Names, index_by_name
 
 
 class Classes:
@@ -11,8 +11,8 @@
 
     def __init__(self, settings: Settings, names: Names) -> None:
         self.settings = settings
-        self.class_indexes = numbered(names.grades)
-        self.tenants = numbered(names.tenants)
+        self.class_indexes = index_by_name(names.grades)
+        self.tenants = index_by_name(names.tenants)
 
     def grade_of(self, name: str, keyed: bool) -> int | None:
         """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -42,7 +42,7 @@
 from garnethaven.net.transport import HttpTransport
 from garnethaven.net.upstream import Pool, Target
 from garnethaven.recovery.start_times import StartTimes
-from garnethaven.settings import numbered
+from garnethaven.settings import index_by_name
 
 DIAL_S = 1.0
 MAX_CONNECTIONS = MAX_OPEN_CALLS + 1  # and one that is being closed
@@ -107,7 +107,7 @@
         # Where it is wrong, or the wall clock is stepped later, `start_times` bounds what follows.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         self.reader = ListReader(
-            numbered(config.names.zones), numbered(config.names.kinds), self.clock_offset
+            index_by_name(config.names.zones), index_by_name(config.names.kinds), self.clock_offset
         )
         self.pool = Pool(
             loop, limit=lambda: MAX_CONNECTIONS, idle_s=0.0, memory=AnswerMemory(config.memory_mb)
--- a/garnethaven/membership/sources.py
+++ b/garnethaven/membership/sources.py
@@ -12,7 +12,7 @@
 from garnethaven.membership.merger import Learn, Merger
 from garnethaven.membership.model import Model
 from garnethaven.membership.table import Membership
-from garnethaven.settings import numbered
+from garnethaven.settings import index_by_name
 
 Names = tuple[Mapping[str, int], Mapping[str, int]]  # the module's numbers of zones and of kinds
 
@@ -56,7 +56,7 @@
     ) -> None:
         self.settings = settings
         self.address = config.listen
-        names = numbered(config.names.zones), numbered(config.names.kinds)
+        names = index_by_name(config.names.zones), index_by_name(config.names.kinds)
         zones = {names[0].get(zone, len(names[0])): order for zone, order in settings.zones.items()}
         model = Model(settings.precedence, [(move.before, move.after) for move in settings.moves], zones)
         self.merger = Merger(model, loop, learn, log)
--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -117,7 +117,7 @@
     )
 
 
-def numbered(names: tuple[str, ...]) -> dict[str, int]:
+def index_by_name(names: tuple[str, ...]) -> dict[str, int]:
     """Return the index of each name."""
     return {name: index for index, name in enumerate(names)}
 
