--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -15,7 +15,7 @@
     RETRY_SHARE,
     Overload,
 )
-from tests.limits.world import MS, Clients, S, World
+from tests.limits.world import MS, Clients, OverloadSimulation, S
 
 TARGET = S
 START = 100 * S
@@ -150,10 +150,10 @@
 # The balancer with 15 simulated servers at three quarters of their capacity
 
 
-def world(seed: int, sidecars: int, rate: float, honours: bool, timeout: int = 3 * S) -> World:
+def world(seed: int, sidecars: int, rate: float, honours: bool, timeout: int = 3 * S) -> OverloadSimulation:
     work = 0.75 * 15 * 4 / (sidecars * rate)
     clients = Clients(rate, tries=3, timeout=timeout, honours_backoff=honours)
-    return World(seed, sidecars, 15, clients, work=work)
+    return OverloadSimulation(seed, sidecars, 15, clients, work=work)
 
 
 @pytest.mark.parametrize("honours", [False, True])
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -135,7 +135,7 @@
     return (host - 1) // 3
 
 
-class World:
+class OverloadSimulation:
     """The simulation. All sidecars start at once, with the full list of hosts."""
 
     def __init__(
--- a/tests/recovery/test_coming_back.py
+++ b/tests/recovery/test_coming_back.py
@@ -4,15 +4,17 @@
 
 import pytest
 
-from tests.limits.world import Clients, S, World
+from tests.limits.world import Clients, OverloadSimulation, S
 
 SIDECARS, SERVERS, RATE = 24, 12, 160.0  # requests per second, half of the servers' capacity
 
 
-def come_back(seed: int, killed: int, down_s: float, tries: int = 3, honours: bool = False) -> World:
+def come_back(
+    seed: int, killed: int, down_s: float, tries: int = 3, honours: bool = False
+) -> OverloadSimulation:
     """Kill sidecars and, if more than one, replace a third of the servers meanwhile; then run for 9 s."""
     clients = Clients(RATE / SIDECARS, tries=tries, honours_backoff=honours)
-    world = World(seed, SIDECARS, SERVERS, clients, cores=2, work=0.08)
+    world = OverloadSimulation(seed, SIDECARS, SERVERS, clients, cores=2, work=0.08)
     world.run(5.0)
     world.kill(world.rng.sample(range(SIDECARS), killed), down_s, 0.5, 2.0)
     world.run(0.2)
@@ -24,7 +26,7 @@
     return world
 
 
-def since_back(world: World, since: float, until: float) -> float:
+def since_back(world: OverloadSimulation, since: float, until: float) -> float:
     last_return = (world.last_restart_at - world.began) / S
     return world.in_time(last_return + since, last_return + until)
 
--- a/tests/test_growing_fleet.py
+++ b/tests/test_growing_fleet.py
@@ -8,7 +8,7 @@
 
 from garnethaven.interface import Endpoint, Outcome
 from tests.helpers import Driver
-from tests.limits.world import SETTINGS, Clients, S, World
+from tests.limits.world import SETTINGS, Clients, OverloadSimulation, S
 
 COLD_SHARE, RAMP_TIME = 0.12, 24 * S  # from the settings: no server is colder or warms up more slowly
 # A cold server crashes after FALL_DURATION ns above this multiple of its capacity.
@@ -17,10 +17,10 @@
 CAPACITY = 40.0  # requests per second of one server
 
 
-def simulated_fleet(seed: int, sidecars: int, load: float, servers: int = 60) -> World:
+def simulated_fleet(seed: int, sidecars: int, load: float, servers: int = 60) -> OverloadSimulation:
     """Return a simulation at `load`, a share of the servers' total capacity."""
     clients = Clients(rate=load * CAPACITY * servers / sidecars, tries=2)
-    return World(seed, sidecars, servers, clients, settings=FLEET_SETTINGS)
+    return OverloadSimulation(seed, sidecars, servers, clients, settings=FLEET_SETTINGS)
 
 
 @pytest.mark.parametrize(("seed", "sidecars"), [(0, 40), (1, 40), (2, 400)])
