--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -169,7 +169,7 @@
     for host in simulation.hosts.values():
         if cause == "slow" or (cause == "slow half" and host.id in affected):
             host.slow = 3.0 if cause == "slow" else 5.0
-    simulation.run(10.0 - (simulation.now - simulation.began) / S)
+    simulation.run(10.0 - (simulation.now - simulation.started_at) / S)
     for host in simulation.hosts.values():
         host.slow = 1.0
     simulation.restore(affected)
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -150,7 +150,7 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.now = 100 * S
-        self.began = self.now
+        self.started_at = self.now
         self.clients = clients
         self.events: list[tuple[int, int, Callable[[], None]]] = []  # heap by time, then in order of creation
         self.ids = count()
@@ -403,7 +403,7 @@
 
     def in_time(self, since: float, until: float) -> float:
         """Share of the requests first sent in a span, in seconds from the start, that were served in time."""
-        low, high = self.began + int(since * S), self.began + int(until * S)
+        low, high = self.started_at + int(since * S), self.started_at + int(until * S)
         results = [result for result in self.results if low <= result.first_at < high]
         good = sum(
             result.served_at > 0 and result.served_at - result.first_at <= CHECK.target for result in results
@@ -412,5 +412,5 @@
 
     def refused(self, since: float, until: float) -> int:
         """Number of refusals in a span, in seconds from the start."""
-        low, high = self.began + int(since * S), self.began + int(until * S)
+        low, high = self.started_at + int(since * S), self.started_at + int(until * S)
         return sum(low <= at < high for at, _ in self.refusals)
--- a/tests/test_growing_fleet.py
+++ b/tests/test_growing_fleet.py
@@ -59,7 +59,7 @@
         world.hosts[host].slow = 2.0  # of the same kind as the others; another program uses half of it
     world.run(12)
     later_counts = [
-        sum(sent_at > world.began + 6 * S for sent_at in world.sent[host]) for host in range(1, 61)
+        sum(sent_at > world.started_at + 6 * S for sent_at in world.sent[host]) for host in range(1, 61)
     ]
     assert sum(later_counts[:15]) / 15 < 0.8 * sum(later_counts[15:]) / 45  # 0.9 by errors and kinds alone
 
