--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -387,7 +387,7 @@
 
     # Results
 
-    def pressure(self, host: int, window: int) -> float:
+    def peak_load(self, host: int, window: int) -> float:
         """The highest load of a host in any window of this length, as a multiple of its capacity then.
 
         Two standard deviations of the number of arrivals are subtracted, because the rule allows for chance.
--- a/tests/test_growing_fleet.py
+++ b/tests/test_growing_fleet.py
@@ -46,7 +46,7 @@
     world.run(2)
     restarted_hosts = world.replace(list(range(1, replaced + 1)), cold=COLD_SHARE, ramp=RAMP_TIME)
     world.run(6)
-    max_pressure = max(world.pressure(host, FALL_DURATION) for host in restarted_hosts)
+    max_pressure = max(world.peak_load(host, FALL_DURATION) for host in restarted_hosts)
     assert max_pressure < FALL_MULTIPLE
 
 
