--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -20,7 +20,7 @@
     return Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
 
 
-class Estate:
+class SidecarEnvironment:
     """A sidecar of a fleet of three, a discovery stand-in that it watches, and check servers in one rack."""
 
     def __init__(self) -> None:
@@ -53,8 +53,8 @@
 
 
 @contextlib.asynccontextmanager
-async def estate(servers: int, wait_s: float = 2.0) -> AsyncIterator[Estate]:
-    env = Estate()
+async def estate(servers: int, wait_s: float = 2.0) -> AsyncIterator[SidecarEnvironment]:
+    env = SidecarEnvironment()
     await env.discovery.start()
     env.discovery.publish(server.member() for server in await env.add(servers))
     env.sidecar = Sidecar([])
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tests.limits.test_on_sockets import Estate, estate
+from tests.limits.test_on_sockets import SidecarEnvironment, estate
 from tests.loopback import run, until
 
 RAMP_S = 10.0
 COLD = 0.2
 
 
-def cold_settings(small: Estate) -> None:
+def cold_settings(small: SidecarEnvironment) -> None:
     """Servers start at `COLD` of their capacity and are warm after `RAMP_S`."""
     balancer = small.sidecar.engine.balancer
     settings = balancer.settings
@@ -22,7 +22,7 @@
     object.__setattr__(settings, "ramp_time", int(RAMP_S * 1e9))
 
 
-async def join(small: Estate, skew_s: float) -> float:
+async def join(small: SidecarEnvironment, skew_s: float) -> float:
     """The warmth of a server that starts now, by a clock that is `skew_s` ahead, once it is known."""
     (server,) = await small.add(1)
     member: dict[str, Any] = server.member()
