--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -53,7 +53,7 @@
 
 
 @contextlib.asynccontextmanager
-async def estate(servers: int, wait_s: float = 2.0) -> AsyncIterator[SidecarEnvironment]:
+async def sidecar_environment(servers: int, wait_s: float = 2.0) -> AsyncIterator[SidecarEnvironment]:
     env = SidecarEnvironment()
     await env.discovery.start()
     env.discovery.publish(server.member() for server in await env.add(servers))
@@ -74,7 +74,7 @@
 
 def test_a_watch_that_discovery_has_forgotten_is_doubled_by_another_call() -> None:
     async def case() -> None:
-        async with estate(2) as env:
+        async with sidecar_environment(2) as env:
             await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
             env.discovery.forget_watches()
             env.discovery.publish(server.member() for server in await env.add(1))
@@ -86,7 +86,7 @@
 
 def test_servers_that_refuse_while_they_are_listed_cause_a_call_at_once() -> None:
     async def case() -> None:
-        async with estate(4, wait_s=60.0) as env:
+        async with sidecar_environment(4, wait_s=60.0) as env:
             await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
             env.discovery.forget_watches()
             env.discovery.publish(server.member() for server in await env.add(2))
@@ -102,7 +102,7 @@
 
 def test_a_list_that_lies_behind_brings_nothing_back() -> None:
     async def case() -> None:
-        async with estate(3) as env:
+        async with sidecar_environment(3) as env:
             await env.discovery.become(Mood.BEHIND)
             env.discovery.frozen = (0, [server.member() for server in env.servers])
             fresh = env.sidecar.discovery.fresh
@@ -118,7 +118,7 @@
 
 def test_an_empty_list_is_obeyed_and_asked_for_again() -> None:
     async def case() -> None:
-        async with estate(2) as env:
+        async with sidecar_environment(2) as env:
             await env.discovery.become(Mood.EMPTY)
             env.sidecar.discovery.ask_for_full_list()
             await until(lambda: env.names() == set())
@@ -132,7 +132,7 @@
 
 def test_an_empty_list_is_asked_for_again_also_after_calls_that_failed() -> None:
     async def case() -> None:
-        async with estate(2) as env:
+        async with sidecar_environment(2) as env:
             stand_in, client = env.discovery, env.sidecar.discovery
             client.fresh.call_time_s = 0.2
             await stand_in.become(Mood.EMPTY)
@@ -152,7 +152,7 @@
 
 def test_a_slow_answer_is_still_taken_in() -> None:
     async def case() -> None:
-        async with estate(1) as env:
+        async with sidecar_environment(1) as env:
             env.discovery.lag_s = 0.4
             await env.discovery.become(Mood.SLOW)
             env.discovery.publish(server.member() for server in await env.add(1))
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.limits.test_on_sockets import SidecarEnvironment, estate
+from tests.limits.test_on_sockets import SidecarEnvironment, sidecar_environment
 from tests.loopback import run, until
 
 RAMP_S = 10.0
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("skew_s", [-3600.0, -10.0, 0.0, 10.0, 3600.0])
 def test_a_server_that_joins_is_cold_whatever_its_clock_says(skew_s: float) -> None:
     async def case() -> None:
-        async with estate(2) as small:
+        async with sidecar_environment(2) as small:
             cold_settings(small)
             assert await join(small, skew_s) == pytest.approx(COLD, abs=0.08)
 
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("skew_s", [10.0, 3600.0])
 def test_a_server_whose_clock_is_ahead_is_warm_after_its_ramp(skew_s: float) -> None:
     async def case() -> None:
-        async with estate(2) as small:
+        async with sidecar_environment(2) as small:
             cold_settings(small)
             await join(small, skew_s)
             server = next(one for one in small.sidecar.engine.balancer.pool if one.started)
