--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,7 +19,7 @@
 from garnethaven.net.listener import Listener
 from garnethaven.net.transport import HttpTransport
 from garnethaven.settings import read_names, read_settings
-from tests.test_benchlink import FACTS
+from tests.test_benchlink import SETTINGS_OBJECT
 
 WAIT_S = 20.0
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
@@ -28,7 +28,7 @@
 
 
 def facts() -> dict[str, Any]:
-    settings = json.loads(json.dumps(FACTS))
+    settings = json.loads(json.dumps(SETTINGS_OBJECT))
     settings["grades"][0]["name"] = "check"
     settings |= {"zones": ["a"], "hostTypes": ["m"], "tenants": []}
     settings["limits"] |= {"dialTimeoutNs": 10**9, "connIdleNs": 15 * 10**9}
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -10,7 +10,7 @@
 
 from garnethaven.benchlink import Adapter, main
 
-FACTS: dict[str, Any] = {
+SETTINGS_OBJECT: dict[str, Any] = {
     "fleetSize": 3,
     "slotNo": 0,
     "zone": 0,
