--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -259,7 +259,7 @@
                 return True
         return False
 
-    def whole(self, call: Call) -> None:
+    def request_complete(self, call: Call) -> None:
         """The last byte of a request that was taken early has arrived: start its time budget."""
         if call.answered or not call.coming:
             return
