--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -283,7 +283,7 @@
             call.deadline = min(call.deadline, self.drain_deadline)
             self.at(call.deadline, self._expire, call)
 
-    def began(self, attempt: Attempt) -> bool:
+    def start_streaming(self, attempt: Attempt) -> bool:
         """Start streaming this attempt's answer to the client and cancel the call's other attempts.
 
         Returns False if the client has its answer already or another attempt is streaming.
