--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -296,7 +296,7 @@
         self._cancel_open(call, keep=attempt)
         return True
 
-    def left(self, call: Call, end: End = End.GONE) -> None:
+    def client_left(self, call: Call, end: End = End.GONE) -> None:
         """The client has disconnected, or its front has closed the call; no answer is needed any more."""
         if call.answered:
             return
