--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -170,9 +170,9 @@
         return (time.monotonic_ns() - oldest.taken_at) / S if oldest is not None else 0.0
 
     def log(self, text: str) -> None:
-        self.says(text)
+        self.try_log(text)
 
-    def says(self, text: str) -> bool:
+    def try_log(self, text: str) -> bool:
         """Write one line unless one was written within `MIN_LOG_INTERVAL`; return whether it was written."""
         now = time.monotonic_ns()
         if now - self.logged_at < MIN_LOG_INTERVAL:
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -333,5 +333,5 @@
         if text == self.last_line and now - self.last_line_at < REPEATED_LINE_S:
             return
         host, port = self.address
-        if self.engine.says(f"discovery: {text[:MAX_LINE_CHARACTERS]} ({host}:{port})"):
+        if self.engine.try_log(f"discovery: {text[:MAX_LINE_CHARACTERS]} ({host}:{port})"):
             self.last_line, self.last_line_at = text, now
