--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -157,7 +157,7 @@
     def _recover(self, event: Event) -> None:
         """Answer the failed event's call, and request the endpoint list again if a change may be lost."""
         if isinstance(event, Membership | TimerFired):
-            self.at(time.monotonic_ns() + S, lambda _: self.watch(), None)
+            self.call_at(time.monotonic_ns() + S, lambda _: self.watch(), None)
         call = self.calls.get(getattr(event, "id", ""))
         if call is not None and not call.answered and not call.open:
             self._answer(call, lambda: call.client.failed(500), End.FAILED)
@@ -182,7 +182,7 @@
 
     # Timers
 
-    def at(self, due: int, callback: Callable[[Any], None], argument: Any) -> None:
+    def call_at(self, due: int, callback: Callable[[Any], None], argument: Any) -> None:
         """Call `callback(argument)` at the monotonic time `due`, in nanoseconds."""
         heappush(self.timers, (due, next(self.timer_sequence), callback, argument))
         if self.timer_handle is None or due < self.timer_handle_due:
@@ -206,7 +206,7 @@
             self._schedule_timers(self.timers[0][0])
 
     def _set_timer(self, action: SetTimer) -> None:
-        self.at(time.monotonic_ns() + action.delay, self._fire, action.token)
+        self.call_at(time.monotonic_ns() + action.delay, self._fire, action.token)
 
     def _fire(self, token: int) -> None:
         self.post(TimerFired(token))
@@ -274,14 +274,14 @@
             span = max(0, min(span, self.drain_deadline - call.taken_at))
             call.budget = min(call.budget, span)
         call.deadline = call.taken_at + span - min(ANSWER_MARGIN, span // ANSWER_MARGIN_DIVISOR)
-        self.at(call.deadline, self._expire, call)
+        self.call_at(call.deadline, self._expire, call)
 
     def end_by(self, seconds: float) -> None:
         """Answer every call within `seconds`, after which this process exits."""
         self.drain_deadline = time.monotonic_ns() + int(seconds * S)
         for call in self.calls.values():
             call.deadline = min(call.deadline, self.drain_deadline)
-            self.at(call.deadline, self._expire, call)
+            self.call_at(call.deadline, self._expire, call)
 
     def start_streaming(self, attempt: Attempt) -> bool:
         """Start streaming this attempt's answer to the client and cancel the call's other attempts.
@@ -388,7 +388,7 @@
             # All open attempts time out: an earlier one could still start after this one has ended.
             for open_attempt in call.attempts:
                 if open_attempt is not None and not open_attempt.over:
-                    self.at(now + limit, self._time_out, open_attempt)
+                    self.call_at(now + limit, self._time_out, open_attempt)
         attempt.start()
 
     def _may_send_another(self, call: Call) -> bool:
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -238,7 +238,7 @@
             probe.over = True
             probe.broken(written=False)
             return
-        self.engine.at(probe.sent_at + PROBE_TIMEOUT, self._probe_time_out, probe)
+        self.engine.call_at(probe.sent_at + PROBE_TIMEOUT, self._probe_time_out, probe)
         target.start(probe, self.dial_timeout)
 
     def _probe_time_out(self, probe: ProbeCall) -> None:
