--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -110,7 +110,7 @@
         self.admission: Admission | None = None
         self.spending: Spending | None = None
         self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `contradicts`
-        self.contradicts: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
+        self.report_outcome: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
         self.logged_at = 0
         # Monotonic time by which a draining process must have answered every call; 0: no such time is set.
         self.drain_deadline = 0
@@ -433,7 +433,7 @@
         if call.dedup_key and outcome in NEVER_RAN and self.keyed is not None:
             self.keyed.never_ran(call)
         if outcome is not Outcome.CONNECT_FAILED or attempt.refused:
-            self.contradicts(attempt.endpoint, outcome)
+            self.report_outcome(attempt.endpoint, outcome)
         if say is not None:
             self._answer(call, say, End.SERVED if outcome is Outcome.DONE else End.FAILED)
         if call.answered and not call.open:
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -137,7 +137,7 @@
         self.calls_made = 0
         self.extra_calls = 0  # of these, calls that may not wait for news
         engine.watch = self.watch
-        engine.contradicts = self.contradicts
+        engine.report_outcome = self.contradicts
 
     def start(self, known: dict[str, Any]) -> None:
         """Give the module the list of an earlier life, and have it confirmed."""
