--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -106,7 +106,7 @@
         self.timer_handle: asyncio.TimerHandle | None = None
         self.timer_handle_due = 0
         self.prober: Prober | None = None
-        self.keyed: KeyedSends | None = None
+        self.keyed_sends: KeyedSends | None = None
         self.admission: Admission | None = None
         self.spending: Spending | None = None
         self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `contradicts`
@@ -229,8 +229,8 @@
         else:
             self.account.take(call.grade)
             self._set_deadline(call, call.budget)
-        if call.dedup_key and call.prior is None and self.keyed is not None:
-            call.prior = self.keyed.prior(call)
+        if call.dedup_key and call.prior is None and self.keyed_sends is not None:
+            call.prior = self.keyed_sends.prior(call)
         if call.prior is not None:
             call.attempts.append(None)  # the module counts the prior attempt as the first one
         # A call with a prior attempt is not checked: it was admitted before and may have run already.
@@ -379,8 +379,8 @@
             call.attempts.append(None)
             self.post(AttemptEnded(call.id, number, action.endpoint, Outcome.SKIPPED, final=call.answered))
             return
-        if call.dedup_key and self.keyed is not None:
-            self.keyed.sends(call, action.endpoint)
+        if call.dedup_key and self.keyed_sends is not None:
+            self.keyed_sends.sends(call, action.endpoint)
         attempt = call.transport.attempt(call, action, limit, now)
         call.attempts.append(attempt)
         call.open += 1
@@ -430,8 +430,8 @@
         """Report an attempt's outcome to the module; `say`, if set, first sends the answer to the client."""
         call = attempt.call
         call.open -= 1
-        if call.dedup_key and outcome in NEVER_RAN and self.keyed is not None:
-            self.keyed.never_ran(call)
+        if call.dedup_key and outcome in NEVER_RAN and self.keyed_sends is not None:
+            self.keyed_sends.never_ran(call)
         if outcome is not Outcome.CONNECT_FAILED or attempt.refused:
             self.report_outcome(attempt.endpoint, outcome)
         if say is not None:
