--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -425,7 +425,7 @@
         attempt: Attempt,
         outcome: Outcome,
         report: tuple[float, ...] = (),
-        say: Callable[[], None] | None = None,
+        send_answer: Callable[[], None] | None = None,
     ) -> None:
         """Report an attempt's outcome to the module; `say`, if set, first sends the answer to the client."""
         call = attempt.call
@@ -434,8 +434,8 @@
             self.keyed_sends.never_ran(call)
         if outcome is not Outcome.CONNECT_FAILED or attempt.refused:
             self.report_outcome(attempt.endpoint, outcome)
-        if say is not None:
-            self._answer(call, say, End.SERVED if outcome is Outcome.DONE else End.FAILED)
+        if send_answer is not None:
+            self._answer(call, send_answer, End.SERVED if outcome is Outcome.DONE else End.FAILED)
         if call.answered and not call.open:
             self._forget(call)
         duration = time.monotonic_ns() - attempt.sent_at
