--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -276,7 +276,7 @@
         call.deadline = call.taken_at + span - min(ANSWER_MARGIN, span // ANSWER_MARGIN_DIVISOR)
         self.call_at(call.deadline, self._expire, call)
 
-    def end_by(self, seconds: float) -> None:
+    def set_drain_deadline(self, seconds: float) -> None:
         """Answer every call within `seconds`, after which this process exits."""
         self.drain_deadline = time.monotonic_ns() + int(seconds * S)
         for call in self.calls.values():
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -356,7 +356,7 @@
         killed_at = now + min(patience_s, MAX_DRAIN_DEADLINE_S) + KILL_S
         self.linger_deadline = killed_at - LINGER_LAST_S
         self.last_answer_at = killed_at - LAST_ANSWER_S
-        self.engine.end_by(self.last_answer_at - now)
+        self.engine.set_drain_deadline(self.last_answer_at - now)
         last_arrival = max(now + DRAIN_IDLE_S, self.last_answer_at - FIRST_REQUEST_GRACE_S)
         self.loop.call_at(now + DRAIN_IDLE_S, self._close_idle)
         listen_until = min(now + DRAIN_LISTEN_MOST_S, last_arrival)
