--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -175,5 +175,5 @@
             refused_share=round(overload.refused_share, 3),
             ease=round(overload.smoothed_latency_fraction, 3),
             under_way=len(self.engine.open_ids),
-            oldest_s=round(self.engine.oldest_s(), 3),
+            oldest_s=round(self.engine.oldest_age_s(), 3),
         )
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -164,7 +164,7 @@
             if not isinstance(event, ClientLeft):
                 self.post(ClientLeft(call.id))
 
-    def oldest_s(self) -> float:
+    def oldest_age_s(self) -> float:
         """Age of the oldest unanswered request, in seconds; 0 if there is none."""
         oldest = next((call for call in self.calls.values() if not call.answered), None)
         return (time.monotonic_ns() - oldest.taken_at) / S if oldest is not None else 0.0
