--- a/garnethaven/engine/calls.py
+++ b/garnethaven/engine/calls.py
@@ -70,7 +70,7 @@
         "id",
         "is_retry",
         "key",
-        "open",
+        "open_attempts",
         "prior",
         "request",
         "streaming_attempt",
@@ -92,7 +92,7 @@
         self.budget = self.deadline = self.taken_at = 0
         self.id = ""
         self.attempts: list[Attempt | None] = []  # None: not sent by this process
-        self.open = 0  # attempts that have not ended
+        self.open_attempts = 0  # attempts that have not ended
         self.answered = False
         self.body_incomplete = False  # the last byte of the request has not arrived
         self.streaming_attempt: Attempt | None = None  # the attempt whose answer is streaming to the client
