--- a/garnethaven/engine/account.py
+++ b/garnethaven/engine/account.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class End(Enum):
+class CallResult(Enum):
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
@@ -24,7 +24,7 @@
 
     def __init__(self, classes: int) -> None:
         self.classes = max(1, classes)
-        self.ended: dict[End, list[int]] = {end: [0] * self.classes for end in End}
+        self.ended: dict[CallResult, list[int]] = {end: [0] * self.classes for end in CallResult}
         self.taken = [0] * self.classes
         self.in_flight = 0
         self.attempts = 0  # requests fully written to endpoints
@@ -33,11 +33,11 @@
         self.taken[grade % self.classes] += 1
         self.in_flight += 1
 
-    def end(self, grade: int, end: End) -> None:
+    def end(self, grade: int, end: CallResult) -> None:
         self.ended[end][grade % self.classes] += 1
         self.in_flight -= 1
 
-    def at_once(self, grade: int, end: End) -> None:
+    def at_once(self, grade: int, end: CallResult) -> None:
         """Count a request that is answered without becoming a pending call."""
         self.take(grade)
         self.end(grade, end)
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -25,7 +25,7 @@
 from typing import Any, Protocol
 
 from garnethaven.brain import Balancer
-from garnethaven.engine.account import Account, End
+from garnethaven.engine.account import Account, CallResult
 from garnethaven.engine.calls import Attempt, Call
 from garnethaven.engine.log import write_line
 from garnethaven.engine.spending import Spend, Spending
@@ -160,7 +160,7 @@
             self.call_at(time.monotonic_ns() + S, lambda _: self.watch(), None)
         call = self.calls.get(getattr(event, "id", ""))
         if call is not None and not call.answered and not call.open:
-            self._answer(call, lambda: call.client.failed(500), End.FAILED)
+            self._answer(call, lambda: call.client.failed(500), CallResult.FAILED)
             if not isinstance(event, ClientLeft):
                 self.post(ClientLeft(call.id))
 
@@ -248,14 +248,14 @@
         if self.admission is not None:
             wait = self.admission.turns_away(call)
             if wait is not None:
-                self._answer(call, lambda: call.client.refused(wait, True), End.REFUSED)
+                self._answer(call, lambda: call.client.refused(wait, True), CallResult.REFUSED)
                 return True
         if self.spending is not None:
             if not call.repeat:
                 self.spending.first_try()
             elif not self.spending.may_spend(Spend.RETRY):
                 max_wait = self.settings.max_retry_after
-                self._answer(call, lambda: call.client.refused(max_wait, False), End.REFUSED)
+                self._answer(call, lambda: call.client.refused(max_wait, False), CallResult.REFUSED)
                 return True
         return False
 
@@ -296,7 +296,7 @@
         self._cancel_open(call, keep=attempt)
         return True
 
-    def client_left(self, call: Call, end: End = End.GONE) -> None:
+    def client_left(self, call: Call, end: CallResult = CallResult.GONE) -> None:
         """The client has disconnected, or its front has closed the call; no answer is needed any more."""
         if call.answered:
             return
@@ -306,7 +306,7 @@
         self.post(ClientLeft(call.id))
         self._cancel_unsent(call)
 
-    def _answer(self, call: Call, send_answer: Callable[[], None], end: End) -> None:
+    def _answer(self, call: Call, send_answer: Callable[[], None], end: CallResult) -> None:
         """Record and send the final answer; nothing else may answer a client."""
         if call.answered:
             return
@@ -343,14 +343,14 @@
         call = self.calls.get(action.id)
         if call is not None:
             send_refusal = lambda: call.client.refused(action.retry_after, action.over_share)  # noqa: E731
-            self._answer(call, send_refusal, End.REFUSED)
+            self._answer(call, send_refusal, CallResult.REFUSED)
             self._cancel_unsent(call)
 
     def _fail(self, action: Fail) -> None:
         call = self.calls.get(action.id)
         if call is not None:
             late = time.monotonic_ns() >= call.deadline
-            self._answer(call, lambda: call.client.failed(504 if late else 502), End.FAILED)
+            self._answer(call, lambda: call.client.failed(504 if late else 502), CallResult.FAILED)
             self._cancel_unsent(call)
 
     def _expire(self, call: Call) -> None:
@@ -361,7 +361,7 @@
                 self._time_out(attempt)
         if not call.answered:
             # Pending without open attempts: no attempt has reported an end to the module.
-            self._answer(call, lambda: call.client.failed(504), End.FAILED)
+            self._answer(call, lambda: call.client.failed(504), CallResult.FAILED)
             self.post(ClientLeft(call.id))
 
     # Attempts
@@ -435,7 +435,9 @@
         if outcome is not Outcome.CONNECT_FAILED or attempt.refused:
             self.report_outcome(attempt.endpoint, outcome)
         if send_answer is not None:
-            self._answer(call, send_answer, End.SERVED if outcome is Outcome.DONE else End.FAILED)
+            self._answer(
+                call, send_answer, CallResult.SERVED if outcome is Outcome.DONE else CallResult.FAILED
+            )
         if call.answered and not call.open:
             self._forget(call)
         duration = time.monotonic_ns() - attempt.sent_at
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -9,7 +9,7 @@
 import socket
 from typing import cast
 
-from garnethaven.engine.account import End
+from garnethaven.engine.account import CallResult
 from garnethaven.engine.calls import Call
 from garnethaven.limits.places import FIRST_REQUEST_GRACE_S, ConnectionHistory
 from garnethaven.net.body_memory import BodyReservation
@@ -185,7 +185,7 @@
         """Fail the call whose request will not be received completely."""
         call, self.call = self.call, None
         if call is not None:
-            self.engine.left(call, End.FAILED)
+            self.engine.left(call, CallResult.FAILED)
 
     # Complete requests
 
@@ -226,13 +226,13 @@
 
     def _begin_call(self, incoming: IncomingRequest, head: RequestHead) -> None:
         if self.over_limit or (self.streamed_request is not None and not self.body_memory.is_available()):
-            self.engine.account.at_once(head.request_class, End.REFUSED)
+            self.engine.account.at_once(head.request_class, CallResult.REFUSED)
             self._answer_status(503)
             return
         self.call = make_call(self, incoming, head, self.owner.transport, self.engine.settings)
         if not self.engine.take(self.call):
             self.call = None
-            self.engine.account.at_once(head.request_class, End.FAILED)
+            self.engine.account.at_once(head.request_class, CallResult.FAILED)
             self._answer_with_penalty(409)
 
     # Answers: callbacks of the engine (engine/calls.py) and of the transport (net/transport.py)
@@ -356,7 +356,7 @@
             return
         request_class = self.owner.classes.grades.get(self.incoming.class_name())
         if request_class is not None:
-            self.engine.account.at_once(request_class, End.FAILED)
+            self.engine.account.at_once(request_class, CallResult.FAILED)
 
     def _close_lingering(self, max_s: float) -> None:
         """Close once the client has closed its side, or after `max_s` seconds (lingering_close.py)."""
--- a/garnethaven/ops/figures.py
+++ b/garnethaven/ops/figures.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnethaven.engine.account import Account, End
+from garnethaven.engine.account import Account, CallResult
 
 METRIC_PREFIX = "edge_node_"
-COUNTED_ENDS = (End.SERVED, End.REFUSED, End.FAILED)
+COUNTED_ENDS = (CallResult.SERVED, CallResult.REFUSED, CallResult.FAILED)
 HELP = {
     "served": "Requests answered with an endpoint's answer, since the process began.",
     "refused": "Requests refused: trying again is harmless.",
--- a/tests/ops/test_account.py
+++ b/tests/ops/test_account.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnethaven.engine.account import End
+from garnethaven.engine.account import CallResult
 from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, until
 
 REJECTION = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -57,13 +57,13 @@
             account = sidecar.engine.account
             assert account.in_flight == 0
             assert account.taken[0] == sum(counts[0] for counts in account.ended.values())
-            gone = account.ended[End.GONE][0]
+            gone = account.ended[CallResult.GONE][0]
             assert gone <= statuses[0]  # some clients were answered before they disconnected
             uncertain = statuses[0] - gone
-            for end, count in ((End.SERVED, statuses[200]), (End.REFUSED, statuses[503])):
+            for end, count in ((CallResult.SERVED, statuses[200]), (CallResult.REFUSED, statuses[503])):
                 assert count <= account.ended[end][0] <= count + uncertain
             failed = statuses[502] + statuses[504] + statuses[409]
-            assert failed <= account.ended[End.FAILED][0] <= failed + uncertain
+            assert failed <= account.ended[CallResult.FAILED][0] <= failed + uncertain
             assert account.attempts >= sum(len(peer.requests) for peer in peers)
             assert account.attempts <= sum(len(peer.requests) for peer in peers) + account.attempts // 20
 
--- a/tests/ops/test_figures.py
+++ b/tests/ops/test_figures.py
@@ -4,7 +4,7 @@
 
 import random
 
-from garnethaven.engine.account import Account, End
+from garnethaven.engine.account import Account, CallResult
 from garnethaven.ops.figures import EndpointCounts, render
 
 
@@ -17,7 +17,7 @@
             account.take(request_class)
             open_classes.append(request_class)
         elif open_classes:
-            account.end(open_classes.pop(rng.randrange(len(open_classes))), rng.choice(list(End)))
+            account.end(open_classes.pop(rng.randrange(len(open_classes))), rng.choice(list(CallResult)))
         for request_class in range(2):
             ended = sum(counts[request_class] for counts in account.ended.values())
             assert account.taken[request_class] == ended + sum(
@@ -29,7 +29,7 @@
 def test_the_text_has_the_names_of_the_page() -> None:
     account = Account(2)
     account.take(0)
-    account.at_once(3, End.REFUSED)
+    account.at_once(3, CallResult.REFUSED)
     account.attempts = 5
     lines = render(account, ("check", 'a"b\\c\nd'), EndpointCounts(7, 2)).splitlines()
     assert 'edge_node_served{class="check"} 0' in lines
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from garnethaven.engine.account import End
+from garnethaven.engine.account import CallResult
 from garnethaven.net import request_deadlines
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES, REPLAY_BUFFER_BYTES, STREAM_MEMORY_BYTES
 from tests.loopback import ANSWER, Sidecar, request, run, running, says, until
@@ -137,7 +137,7 @@
         writer.write(request(X_Call_Id="behind"))  # the connection stays open
         assert await read_answer(reader) == (200, b"hello")
         account = sidecar.engine.account
-        assert (account.attempts, account.ended[End.SERVED], account.in_flight) == (2, [2], 0)
+        assert (account.attempts, account.ended[CallResult.SERVED], account.in_flight) == (2, [2], 0)
 
     run(case())
 
@@ -181,7 +181,7 @@
         else:
             assert (await read_answer(reader))[0] == 502  # both servers cut it off
             assert sum(len(server.heads) for server in servers) > 1
-        assert sidecar.engine.account.ended[End.FAILED] == [1]
+        assert sidecar.engine.account.ended[CallResult.FAILED] == [1]
         await until(lambda: not sidecar.engine.calls)
 
     run(case())
@@ -239,7 +239,7 @@
         writer.write(upload(len(BODY)) + BODY)
         assert (await read_answer(reader))[0] == 503  # its last byte was never written, so it has not run
         assert sum(len(server.heads) for server in servers) == 1
-        assert sidecar.engine.account.ended[End.REFUSED] == [1]
+        assert sidecar.engine.account.ended[CallResult.REFUSED] == [1]
 
     run(case())
 
@@ -328,7 +328,7 @@
         task = asyncio.create_task(trickle())
         assert (await read_answer(reader))[0] == 408
         task.cancel()
-        assert sidecar.engine.account.ended[End.FAILED] == [1] and not sidecar.engine.calls
+        assert sidecar.engine.account.ended[CallResult.FAILED] == [1] and not sidecar.engine.calls
         assert server.bodies == [] and sidecar.transport.pool.held() == 0
 
     run(case())
@@ -363,7 +363,7 @@
         await reader.readexactly(100_000)
         writer.transport.abort()
         await until(lambda: not sidecar.engine.calls and not sidecar.transport.pool.held())
-        assert sidecar.engine.account.ended[End.GONE] == [2]
+        assert sidecar.engine.account.ended[CallResult.GONE] == [2]
 
     run(case())
 
