--- a/garnethaven/engine/account.py
+++ b/garnethaven/engine/account.py
@@ -37,7 +37,7 @@
         self.ended[end][grade % self.classes] += 1
         self.in_flight -= 1
 
-    def at_once(self, grade: int, end: CallResult) -> None:
+    def record_immediate(self, grade: int, end: CallResult) -> None:
         """Count a request that is answered without becoming a pending call."""
         self.take(grade)
         self.end(grade, end)
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -313,7 +313,7 @@
         call.answered = True
         call.request = None
         if call.coming:
-            self.account.at_once(call.grade, end)
+            self.account.record_immediate(call.grade, end)
         else:
             self.account.end(call.grade, end)
         self.open_ids.discard(call.call_id)
--- a/tests/ops/test_figures.py
+++ b/tests/ops/test_figures.py
@@ -29,7 +29,7 @@
 def test_the_text_has_the_names_of_the_page() -> None:
     account = Account(2)
     account.take(0)
-    account.at_once(3, CallResult.REFUSED)
+    account.record_immediate(3, CallResult.REFUSED)
     account.attempts = 5
     lines = render(account, ("check", 'a"b\\c\nd'), EndpointCounts(7, 2)).splitlines()
     assert 'edge_node_served{class="check"} 0' in lines
