--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -26,7 +26,7 @@
         return self.tenants.get(name, -1)
 
 
-def key_of(query: bytes) -> str:
+def affinity_key(query: bytes) -> str:
     """Affinity key: the `user` query parameter, as sent (percent-encoded) so that all fronts agree."""
     for part in query.split(b"&"):
         if part.startswith(b"user="):
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from garnethaven.engine.classes import Classes, key_of
+from garnethaven.engine.classes import Classes, affinity_key
 from garnethaven.engine.outcomes import outcome_of as status_outcome
 from garnethaven.extproc.table import Route
 from garnethaven.interface import Outcome
@@ -59,7 +59,7 @@
         grade=grade,
         tenant=classes.tenant_of(headers.get("x-caller", "")),
         caller=headers.get("x-caller", ""),
-        key=key_of(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
+        key=affinity_key(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
         budget=budget_of(headers, classes.settings.grades[grade].deadline),
         repeat=headers.get("x-again") == "1",
         token=token,
--- a/garnethaven/net/requests.py
+++ b/garnethaven/net/requests.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnethaven.engine.classes import Classes, key_of
+from garnethaven.engine.classes import Classes, affinity_key
 from garnethaven.net.exchange import Header
 from garnethaven.net.flow import MAX_BODY_BYTES, StreamedBody
 
@@ -134,7 +134,7 @@
         int(budget),
         classes.tenant_of(tenant),
         tenant,
-        key_of(incoming.url.partition(b"?")[2]),
+        affinity_key(incoming.url.partition(b"?")[2]),
         idempotency,
         is_retry,
         (b"".join(forwarded), b"\r\n\r\n"),
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -6,7 +6,7 @@
 from envoy.config.core.v3.base_pb2 import HeaderMap, HeaderValue
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 
-from garnethaven.engine.classes import Classes, key_of
+from garnethaven.engine.classes import Classes, affinity_key
 from garnethaven.engine.engine import with_unsafe_twins
 from garnethaven.extproc.answers import headers_of, option, send_to, template
 from garnethaven.extproc.mapping import MappingError, Route, map_request, outcome_of
@@ -122,5 +122,5 @@
 
 
 def test_both_fronts_place_a_key_alike() -> None:
-    assert key_of(b"a=1&user=k%201&user=2") == "k%201"
-    assert key_of(b"users=1") == key_of(b"") == ""
+    assert affinity_key(b"a=1&user=k%201&user=2") == "k%201"
+    assert affinity_key(b"users=1") == affinity_key(b"") == ""
