--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -14,7 +14,7 @@
         self.class_indexes = index_by_name(names.grades)
         self.tenants = index_by_name(names.tenants)
 
-    def grade_of(self, name: str, keyed: bool) -> int | None:
+    def class_index(self, name: str, keyed: bool) -> int | None:
         """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
         index = self.class_indexes.get(name)
         if index is not None and self.settings.grades[index].effect is Idempotency.DEDUP and not keyed:
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -50,7 +50,7 @@
         raise MappingError("x-call-id and x-request-id are missing or too long")
     keyed = bool(headers.get("idempotency-key"))
     name = headers.get("x-call-class") or route_of(headers, routes)
-    grade = classes.grade_of(name, keyed) if name else None
+    grade = classes.class_index(name, keyed) if name else None
     if grade is None:
         raise MappingError(f"x-call-class {name[:64]!r} is no class, and no route fits")
     token = headers.get(TOKEN, "")
