--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -21,7 +21,7 @@
             index += len(self.class_indexes)
         return index
 
-    def tenant_of(self, name: str) -> int:
+    def tenant_index(self, name: str) -> int:
         """The tenant's index, or -1 if the settings do not name it."""
         return self.tenants.get(name, -1)
 
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -57,7 +57,7 @@
     return Mapped(
         call_id=call_id.encode("latin-1", "replace"),
         grade=grade,
-        tenant=classes.tenant_of(headers.get("x-caller", "")),
+        tenant=classes.tenant_index(headers.get("x-caller", "")),
         caller=headers.get("x-caller", ""),
         key=affinity_key(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
         budget=budget_of(headers, classes.settings.grades[grade].deadline),
