--- a/garnethaven/budgets/table.py
+++ b/garnethaven/budgets/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, said
+from garnethaven.tables import Table, bounded, field_meta
 
 PER_S_MOST = 100_000
 
@@ -38,7 +38,7 @@
             waits=True,
         ),
     ] = 0
-    earns: Annotated[bool, said("whether this member is one of them", waits=True)] = True
+    earns: Annotated[bool, field_meta("whether this member is one of them", waits=True)] = True
 
 
 TABLE = Budgets
--- a/garnethaven/connections/table.py
+++ b/garnethaven/connections/table.py
@@ -4,13 +4,13 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, said
+from garnethaven.tables import Table, bounded, field_meta
 
 
 class Connections(Table, frozen=True):
     """How connections to servers are planned; on where `plan` is true."""
 
-    plan: Annotated[bool, said("switches it on", waits=True)] = False
+    plan: Annotated[bool, field_meta("switches it on", waits=True)] = False
     opens_per_s: Annotated[
         float,
         bounded(
@@ -35,7 +35,7 @@
     requests_most: Annotated[
         int, bounded(1, 1_000_000_000, "so are those that carried so many", "requests")
     ] = 10_000
-    ahead: Annotated[bool, said("opens connections before they are needed")] = True
+    ahead: Annotated[bool, field_meta("opens connections before they are needed")] = True
 
 
 TABLE = Connections
--- a/garnethaven/extproc/table.py
+++ b/garnethaven/extproc/table.py
@@ -6,15 +6,15 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Secret, Table, bounded, said
+from garnethaven.tables import At, Secret, Table, bounded, field_meta
 
 
 class Route(Table, frozen=True):
     """One rule of the operator's: requests that fit are of this class."""
 
-    class_name: Annotated[str, said("the class of what fits", "class")] = field(name="class")
-    path: Annotated[str, said("what the path begins with")] = "/"
-    method: Annotated[str, said("any where it is left out")] = ""
+    class_name: Annotated[str, field_meta("the class of what fits", "class")] = field(name="class")
+    path: Annotated[str, field_meta("what the path begins with")] = "/"
+    method: Annotated[str, field_meta("any where it is left out")] = ""
 
 
 class ExternalProcessor(Table, frozen=True):
@@ -22,11 +22,13 @@
 
     listen: Annotated[
         At | None,
-        said("where proxies call `envoy.service.ext_proc.v3.ExternalProcessor`", "address:port", waits=True),
+        field_meta(
+            "where proxies call `envoy.service.ext_proc.v3.ExternalProcessor`", "address:port", waits=True
+        ),
     ] = None
     keys: Annotated[
         tuple[Secret, ...],
-        said("secrets for tokens, 16 bytes or more each, the signing one first", "hexadecimal"),
+        field_meta("secrets for tokens, 16 bytes or more each, the signing one first", "hexadecimal"),
     ] = ()
     # Below the grace of drains.
     valid_ms: Annotated[
@@ -39,7 +41,8 @@
         10_000
     )
     routes: Annotated[
-        tuple[Route, ...], said("the class of requests that name none; the first that fits counts", "tables")
+        tuple[Route, ...],
+        field_meta("the class of requests that name none; the first that fits counts", "tables"),
     ] = ()
 
 
--- a/garnethaven/grpcs/table.py
+++ b/garnethaven/grpcs/table.py
@@ -6,16 +6,16 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Table, WrongFieldError, bounded, said
+from garnethaven.tables import At, Table, WrongFieldError, bounded, field_meta
 
 
 class GrpcRoute(Table, frozen=True):
     """One rule of the operator's for gRPC methods."""
 
-    path: Annotated[str, said("a service (`/pkg.Service/`) or a method; the longest that fits counts")]
-    class_name: Annotated[str, said("the class of its calls", "class")] = field(name="class")
-    streams: Annotated[bool, said("its answers are passed on as they come")] = False
-    keyed: Annotated[bool, said("its servers drop repeats by the call id")] = False
+    path: Annotated[str, field_meta("a service (`/pkg.Service/`) or a method; the longest that fits counts")]
+    class_name: Annotated[str, field_meta("the class of its calls", "class")] = field(name="class")
+    streams: Annotated[bool, field_meta("its answers are passed on as they come")] = False
+    keyed: Annotated[bool, field_meta("its servers drop repeats by the call id")] = False
 
     def __post_init__(self) -> None:
         if self.path and not self.path.startswith("/"):
@@ -27,29 +27,33 @@
 
     listen: Annotated[
         At | None,
-        said("where clients connect: HTTP/2 with prior knowledge, or TLS", "address:port", waits=True),
+        field_meta("where clients connect: HTTP/2 with prior knowledge, or TLS", "address:port", waits=True),
     ] = None
     port_offset: Annotated[
         int,
         bounded(-20_000, 20_000, "added to a server's listed port for its gRPC port", "ports", waits=True),
     ] = 0
-    default: Annotated[str, said("of methods that no route names; without it `UNIMPLEMENTED`", "class")] = ""
+    default: Annotated[
+        str, field_meta("of methods that no route names; without it `UNIMPLEMENTED`", "class")
+    ] = ""
     stream_most_s: Annotated[
         int, bounded(1, 86_400, "the longest that a call of a streaming route may last", "seconds")
     ] = 3_600
-    cert: Annotated[str, said("with it clients must use TLS, with ALPN `h2`", "PEM file")] = ""
-    key: Annotated[str, said("the key of `cert`", "PEM file")] = ""
-    client_ca: Annotated[str, said("clients need a certificate of these authorities", "PEM file")] = ""
+    cert: Annotated[str, field_meta("with it clients must use TLS, with ALPN `h2`", "PEM file")] = ""
+    key: Annotated[str, field_meta("the key of `cert`", "PEM file")] = ""
+    client_ca: Annotated[str, field_meta("clients need a certificate of these authorities", "PEM file")] = ""
     peers: Annotated[
         tuple[str, ...],
-        said("clients need one of these names; `*.` for one label", "names"),
+        field_meta("clients need one of these names; `*.` for one label", "names"),
     ] = ()
-    revoked: Annotated[str, said("a revocation list; clients on it are refused", "PEM file")] = ""
+    revoked: Annotated[str, field_meta("a revocation list; clients on it are refused", "PEM file")] = ""
     server_ca: Annotated[
         str,
-        said("servers are asked over TLS; their certificates carry their addresses", "PEM file", waits=True),
+        field_meta(
+            "servers are asked over TLS; their certificates carry their addresses", "PEM file", waits=True
+        ),
     ] = ""
-    routes: Annotated[tuple[GrpcRoute, ...], said("the classes of methods", "tables")] = ()
+    routes: Annotated[tuple[GrpcRoute, ...], field_meta("the classes of methods", "tables")] = ()
 
     def __post_init__(self) -> None:
         for name, needed in (
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -6,13 +6,15 @@
 
 from garnethaven.limits.lists import MAX_WATCH_WAIT_S
 from garnethaven.limits.places import UNPRESSURED_WAIT_S
-from garnethaven.tables import At, Table, bounded, said
+from garnethaven.tables import At, Table, bounded, field_meta
 
 
 class Limits(Table, frozen=True):
     """Limits of client connections and of watches."""
 
-    view: Annotated[At | None, said("where `GET /-/limits` is answered", "address:port", waits=True)] = None
+    view: Annotated[
+        At | None, field_meta("where `GET /-/limits` is answered", "address:port", waits=True)
+    ] = None
     client_places: Annotated[
         int,
         bounded(
--- a/garnethaven/membership/table.py
+++ b/garnethaven/membership/table.py
@@ -9,7 +9,7 @@
 from msgspec import field
 
 from garnethaven.membership.payloads import MAPPED, Rules
-from garnethaven.tables import At, Table, WrongFieldError, bounded, said
+from garnethaven.tables import At, Table, WrongFieldError, bounded, field_meta
 
 DISCOVERY, ZOOKEEPER, ETCD, CONSUL = "discovery", "zookeeper", "etcd", "consul"
 REGISTRIES = (ZOOKEEPER, ETCD, CONSUL)
@@ -37,10 +37,12 @@
 class Tls(Table, frozen=True):
     """Files in PEM."""
 
-    ca: Annotated[str, said("without it the machine's authorities are trusted", "PEM file")] = ""
-    cert: Annotated[str, said("ours, where hosts ask for one", "PEM file")] = ""
-    key: Annotated[str, said("the key of `cert`", "PEM file")] = ""
-    name: Annotated[str, said("the name in the hosts' certificates, where it is not their address")] = ""
+    ca: Annotated[str, field_meta("without it the machine's authorities are trusted", "PEM file")] = ""
+    cert: Annotated[str, field_meta("ours, where hosts ask for one", "PEM file")] = ""
+    key: Annotated[str, field_meta("the key of `cert`", "PEM file")] = ""
+    name: Annotated[str, field_meta("the name in the hosts' certificates, where it is not their address")] = (
+        ""
+    )
 
     def __post_init__(self) -> None:
         try:
@@ -59,23 +61,25 @@
 class Places(Table, frozen=True):
     """Where facts stand in a server's entry, as `payload.rack`."""
 
-    zone: Annotated[str, said("the path of the zone's name")] = ""
-    kind: Annotated[str, said("of the kind's name")] = ""
-    cell: Annotated[str, said("of the rack's number")] = ""
-    size: Annotated[str, said("of the size")] = ""
-    drain: Annotated[str, said("of a mark that the server drains")] = ""
+    zone: Annotated[str, field_meta("the path of the zone's name")] = ""
+    kind: Annotated[str, field_meta("of the kind's name")] = ""
+    cell: Annotated[str, field_meta("of the rack's number")] = ""
+    size: Annotated[str, field_meta("of the size")] = ""
+    drain: Annotated[str, field_meta("of a mark that the server drains")] = ""
 
 
 class Registration(Table, frozen=True):
     """This program's own node."""
 
-    path: Annotated[str, said("the node; its parent must be there", "path", wanted="a path", pattern=PATH)]
-    form: Annotated[Form, said("what it holds")] = "own"
-    address: Annotated[At | None, said("what it tells; where the program listens if left out")] = None
+    path: Annotated[
+        str, field_meta("the node; its parent must be there", "path", wanted="a path", pattern=PATH)
+    ]
+    form: Annotated[Form, field_meta("what it holds")] = "own"
+    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
     withdraw_ms: Annotated[
         int, bounded(0, 5_000, "how long a drain waits for the node's end", "milliseconds")
     ] = 500
-    facts: Annotated[dict[str, Any], said("further fields of it")] = field(default_factory=dict)
+    facts: Annotated[dict[str, Any], field_meta("further fields of it")] = field(default_factory=dict)
 
 
 class ZooKeeper(Table, frozen=True):
@@ -83,24 +87,24 @@
 
     hosts: Annotated[
         tuple[ZooKeeperHost, ...],
-        said("the ensemble's hosts, in any order; port 2181 if left out", "address:port"),
+        field_meta("the ensemble's hosts, in any order; port 2181 if left out", "address:port"),
     ]
     root: Annotated[
         str,
-        said(
+        field_meta(
             "the directory whose children are servers; a chroot is a part of it",
             "path",
             wanted="a path of a node",
             pattern=PATH,
         ),
     ]
-    form: Annotated[Form, said("what nodes hold")] = "own"
-    endpoint: Annotated[str, said("`serverset`: use this additional endpoint")] = ""
-    secure: Annotated[bool, said("`curator`: use `sslPort`")] = False
+    form: Annotated[Form, field_meta("what nodes hold")] = "own"
+    endpoint: Annotated[str, field_meta("`serverset`: use this additional endpoint")] = ""
+    secure: Annotated[bool, field_meta("`curator`: use `sslPort`")] = False
     allowed: Annotated[
-        tuple[Range, ...], said("servers elsewhere are not used; any unicast address if left out")
+        tuple[Range, ...], field_meta("servers elsewhere are not used; any unicast address if left out")
     ] = ()
-    map: Annotated[Places, said("where facts stand in a node")] = Places()
+    map: Annotated[Places, field_meta("where facts stand in a node")] = Places()
     session_timeout_ms: Annotated[
         int,
         bounded(
@@ -114,13 +118,15 @@
         int, bounded(0, 5_000, "over which clients that lose a host come back", "milliseconds")
     ] = 500
     digest: Annotated[
-        str, said("proves who we are", "user:password", wanted="'user:password'", pattern="^[^:]+:.+$")
+        str, field_meta("proves who we are", "user:password", wanted="'user:password'", pattern="^[^:]+:.+$")
     ] = ""
-    tls: Annotated[Tls | None, said("hosts are asked over TLS")] = None
-    read_only: Annotated[bool, said("take a read-only host")] = False
-    persistent: Annotated[bool, said("use nodes that are not ephemeral")] = False
-    cache: Annotated[str, said("keeps the last list for a start while the registry is down", "path")] = ""
-    register: Annotated[Registration | None, said("announces this program")] = None
+    tls: Annotated[Tls | None, field_meta("hosts are asked over TLS")] = None
+    read_only: Annotated[bool, field_meta("take a read-only host")] = False
+    persistent: Annotated[bool, field_meta("use nodes that are not ephemeral")] = False
+    cache: Annotated[
+        str, field_meta("keeps the last list for a start while the registry is down", "path")
+    ] = ""
+    register: Annotated[Registration | None, field_meta("announces this program")] = None
 
     def __post_init__(self) -> None:
         if not self.hosts:
@@ -138,14 +144,14 @@
 class EtcdRegistration(Table, frozen=True):
     """This program's own key, on a lease."""
 
-    key: Annotated[str, said("the key", wanted="a key", pattern="^.+$")]
-    form: Annotated[Form, said("what it holds")] = "own"
-    address: Annotated[At | None, said("what it tells; where the program listens if left out")] = None
+    key: Annotated[str, field_meta("the key", wanted="a key", pattern="^.+$")]
+    form: Annotated[Form, field_meta("what it holds")] = "own"
+    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
     ttl_s: Annotated[int, bounded(2, 600, "the lease's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
         int, bounded(0, 5_000, "how long a drain waits for the key's end", "milliseconds")
     ] = 500
-    facts: Annotated[dict[str, Any], said("further fields of it")] = field(default_factory=dict)
+    facts: Annotated[dict[str, Any], field_meta("further fields of it")] = field(default_factory=dict)
 
 
 class Etcd(Table, frozen=True):
@@ -153,18 +159,20 @@
 
     hosts: Annotated[
         tuple[EtcdHost, ...],
-        said("the cluster's members, in any order; port 2379 if left out", "address:port"),
+        field_meta("the cluster's members, in any order; port 2379 if left out", "address:port"),
+    ]
+    prefix: Annotated[
+        str, field_meta("keys that begin with it are servers", wanted="a prefix", pattern="^.+$")
     ]
-    prefix: Annotated[str, said("keys that begin with it are servers", wanted="a prefix", pattern="^.+$")]
-    form: Annotated[Form, said("what values hold")] = "own"
+    form: Annotated[Form, field_meta("what values hold")] = "own"
     allowed: Annotated[
-        tuple[Range, ...], said("servers elsewhere are not used; any unicast address if left out")
+        tuple[Range, ...], field_meta("servers elsewhere are not used; any unicast address if left out")
     ] = ()
-    map: Annotated[Places, said("where facts stand in a value")] = Places()
+    map: Annotated[Places, field_meta("where facts stand in a value")] = Places()
     user: Annotated[
-        str, said("proves who we are", "user:password", wanted="'user:password'", pattern="^[^:]+:.+$")
+        str, field_meta("proves who we are", "user:password", wanted="'user:password'", pattern="^[^:]+:.+$")
     ] = ""
-    tls: Annotated[Tls | None, said("members are asked over TLS")] = None
+    tls: Annotated[Tls | None, field_meta("members are asked over TLS")] = None
     quiet_ms: Annotated[
         int,
         bounded(
@@ -177,8 +185,10 @@
     spread_ms: Annotated[
         int, bounded(0, 5_000, "over which clients that lose a member come back", "milliseconds")
     ] = 200
-    cache: Annotated[str, said("keeps the last list for a start while the registry is down", "path")] = ""
-    register: Annotated[EtcdRegistration | None, said("announces this program")] = None
+    cache: Annotated[
+        str, field_meta("keeps the last list for a start while the registry is down", "path")
+    ] = ""
+    register: Annotated[EtcdRegistration | None, field_meta("announces this program")] = None
 
     def __post_init__(self) -> None:
         if not self.hosts:
@@ -196,47 +206,50 @@
 class ConsulRegistration(Table, frozen=True):
     """This program's own service, with a check that it keeps alive."""
 
-    name: Annotated[str, said("the service's name", wanted="a name", pattern="^[^/?#]+$")]
-    id: Annotated[str, said("the instance's; the name and the address if left out")] = ""
-    address: Annotated[At | None, said("what it tells; where the program listens if left out")] = None
+    name: Annotated[str, field_meta("the service's name", wanted="a name", pattern="^[^/?#]+$")]
+    id: Annotated[str, field_meta("the instance's; the name and the address if left out")] = ""
+    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
     ttl_s: Annotated[int, bounded(2, 600, "the check's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
         int, bounded(0, 5_000, "how long a drain waits for the service's end", "milliseconds")
     ] = 500
-    facts: Annotated[dict[str, Any], said("the service's `Meta`")] = field(default_factory=dict)
+    facts: Annotated[dict[str, Any], field_meta("the service's `Meta`")] = field(default_factory=dict)
 
 
 class Consul(Table, frozen=True):
     """A Consul catalog or key-value store, read by blocking queries."""
 
     hosts: Annotated[
-        tuple[ConsulHost, ...], said("agents, in any order; port 8500 if left out", "address:port")
+        tuple[ConsulHost, ...], field_meta("agents, in any order; port 8500 if left out", "address:port")
     ]
-    service: Annotated[str, said("the instances of this service are servers")] = ""
-    prefix: Annotated[str, said("in place of `service`: keys that begin with it are servers")] = ""
-    form: Annotated[Form, said("what values under `prefix` hold")] = "own"
+    service: Annotated[str, field_meta("the instances of this service are servers")] = ""
+    prefix: Annotated[str, field_meta("in place of `service`: keys that begin with it are servers")] = ""
+    form: Annotated[Form, field_meta("what values under `prefix` hold")] = "own"
     allowed: Annotated[
-        tuple[Range, ...], said("servers elsewhere are not used; any unicast address if left out")
+        tuple[Range, ...], field_meta("servers elsewhere are not used; any unicast address if left out")
     ] = ()
-    map: Annotated[Places, said("where facts stand in a value, or in a service's `Meta`")] = Places()
-    token: Annotated[str, said("the ACL token", "text")] = ""
+    map: Annotated[Places, field_meta("where facts stand in a value, or in a service's `Meta`")] = Places()
+    token: Annotated[str, field_meta("the ACL token", "text")] = ""
     mode: Annotated[
-        Literal["default", "stale", "consistent"], said("whose answers will do; in doubt the leader is asked")
+        Literal["default", "stale", "consistent"],
+        field_meta("whose answers will do; in doubt the leader is asked"),
     ] = "default"
     stale_most_ms: Annotated[
         int,
         bounded(0, 60_000, "`stale`: longer without its leader and an agent is not believed", "milliseconds"),
     ] = 1_000
-    warning: Annotated[bool, said("use servers whose checks warn")] = True
+    warning: Annotated[bool, field_meta("use servers whose checks warn")] = True
     wait_ms: Annotated[int, bounded(100, 600_000, "how long a query may wait for news", "milliseconds")] = (
         5_000
     )
     spread_ms: Annotated[
         int, bounded(0, 5_000, "over which clients that lose an agent come back", "milliseconds")
     ] = 200
-    tls: Annotated[Tls | None, said("agents are asked over TLS")] = None
-    cache: Annotated[str, said("keeps the last list for a start while the registry is down", "path")] = ""
-    register: Annotated[ConsulRegistration | None, said("announces this program")] = None
+    tls: Annotated[Tls | None, field_meta("agents are asked over TLS")] = None
+    cache: Annotated[
+        str, field_meta("keeps the last list for a start while the registry is down", "path")
+    ] = ""
+    register: Annotated[ConsulRegistration | None, field_meta("announces this program")] = None
 
     def __post_init__(self) -> None:
         if not self.hosts:
@@ -252,8 +265,8 @@
 class Move(Table, frozen=True):
     """Servers move from one source to another: an end there is none here."""
 
-    before: Annotated[str, said("the source that they leave")] = field(name="from")
-    after: Annotated[str, said("the source that they come to")] = field(name="to")
+    before: Annotated[str, field_meta("the source that they leave")] = field(name="from")
+    after: Annotated[str, field_meta("the source that they come to")] = field(name="to")
 
 
 class Membership(Table, frozen=True):
@@ -261,16 +274,18 @@
 
     precedence: Annotated[
         tuple[str, ...],
-        said("who owns a server that several tell of, first one first; as they stand here", waits=True),
+        field_meta("who owns a server that several tell of, first one first; as they stand here", waits=True),
     ] = (*REGISTRIES, DISCOVERY)
-    moves: Annotated[tuple[Move, ...], said("sources that servers move between", "tables", waits=True)] = ()
+    moves: Annotated[
+        tuple[Move, ...], field_meta("sources that servers move between", "tables", waits=True)
+    ] = ()
     zones: Annotated[
         dict[str, tuple[str, ...]],
-        said("another precedence for the servers of a zone, by its name", waits=True),
+        field_meta("another precedence for the servers of a zone, by its name", waits=True),
     ] = field(default_factory=dict)
-    zookeeper: Annotated[ZooKeeper | None, said("a registry of ephemeral nodes")] = None
-    etcd: Annotated[Etcd | None, said("a key-value registry that is read by watches")] = None
-    consul: Annotated[Consul | None, said("a catalog that is read by blocking queries")] = None
+    zookeeper: Annotated[ZooKeeper | None, field_meta("a registry of ephemeral nodes")] = None
+    etcd: Annotated[Etcd | None, field_meta("a key-value registry that is read by watches")] = None
+    consul: Annotated[Consul | None, field_meta("a catalog that is read by blocking queries")] = None
 
     def __post_init__(self) -> None:
         known = {*REGISTRIES, DISCOVERY}
--- a/garnethaven/peers/table.py
+++ b/garnethaven/peers/table.py
@@ -6,7 +6,7 @@
 
 from garnethaven.addresses import Address, parse_address
 from garnethaven.gossip.rows import NAME_MOST
-from garnethaven.tables import At, Secret, Table, WrongFieldError, bounded, said
+from garnethaven.tables import At, Secret, Table, WrongFieldError, bounded, field_meta
 
 
 class Listed(str):
@@ -32,17 +32,18 @@
     """Which sidecars know of one another, and how often they ask."""
 
     listen: Annotated[
-        At | None, said("where this member takes datagrams; off if left out", "address:port", waits=True)
+        At | None,
+        field_meta("where this member takes datagrams; off if left out", "address:port", waits=True),
     ] = None
     key: Annotated[
         Secret | None,
-        said("seals the datagrams; the same at all members", "hexadecimal", waits=True),
+        field_meta("seals the datagrams; the same at all members", "hexadecimal", waits=True),
     ] = None
     name: Annotated[
-        str, said("this member's name; the platform's if left out", max_length=NAME_MOST, waits=True)
+        str, field_meta("this member's name; the platform's if left out", max_length=NAME_MOST, waits=True)
     ] = ""
     members: Annotated[
-        tuple[Listed, ...], said("members to begin with, itself among them or not", "name=address:port")
+        tuple[Listed, ...], field_meta("members to begin with, itself among them or not", "name=address:port")
     ] = ()
     period_s: Annotated[
         float, bounded(0.05, 10, "the time between two rounds of questions, for 32 members", "seconds", True)
--- a/garnethaven/state/table.py
+++ b/garnethaven/state/table.py
@@ -4,15 +4,16 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, said
+from garnethaven.tables import Table, bounded, field_meta
 
 
 class State(Table, frozen=True):
     """Which state is kept across restarts, and where."""
 
-    keep: Annotated[bool, said("whether anything is kept", waits=True)] = False
+    keep: Annotated[bool, field_meta("whether anything is kept", waits=True)] = False
     folder: Annotated[
-        str, said("where it is kept; $TMPDIR if left out, and nothing without either", "path", waits=True)
+        str,
+        field_meta("where it is kept; $TMPDIR if left out, and nothing without either", "path", waits=True),
     ] = ""
     every_s: Annotated[float, bounded(0.2, 60, "the time between two snapshots", "seconds")] = 2.0
     bytes_most: Annotated[
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -43,7 +43,7 @@
     problem: str
 
 
-def said(meaning: str, unit: str = "", waits: bool = False, wanted: str = "", **bounds: Any) -> Meta:
+def field_meta(meaning: str, unit: str = "", waits: bool = False, wanted: str = "", **bounds: Any) -> Meta:
     """Field metadata; `waits`: a change needs a restart; `wanted`: the valid values, for error messages."""
     extra = {"unit": unit, "waits": waits, "wanted": wanted}
     return Meta(description=meaning, extra=extra, **bounds)
@@ -51,7 +51,7 @@
 
 def bounded(low: float, high: float, meaning: str, unit: str = "", waits: bool = False) -> Meta:
     """Metadata of a numeric field with inclusive bounds."""
-    return said(meaning, unit, waits, ge=low, le=high)
+    return field_meta(meaning, unit, waits, ge=low, le=high)
 
 
 # Types that TOML does not have
--- a/garnethaven/tenants/table.py
+++ b/garnethaven/tenants/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, WrongFieldError, bounded, said
+from garnethaven.tables import Table, WrongFieldError, bounded, field_meta
 
 PER_S_MOST = 1_000_000
 NAME_MOST = 128
@@ -13,7 +13,7 @@
 class Allowed(Table, frozen=True):
     """One tenant's allowance, over the whole fleet."""
 
-    name: Annotated[str, said("as `X-Caller` has it", min_length=1, max_length=NAME_MOST)]
+    name: Annotated[str, field_meta("as `X-Caller` has it", min_length=1, max_length=NAME_MOST)]
     per_s: Annotated[float, bounded(0.01, PER_S_MOST, "what it may ask for", "requests a second")]
     burst: Annotated[
         float,
@@ -24,7 +24,7 @@
 class Tenants(Table, frozen=True):
     """What tenants may ask of the whole fleet; beyond it they are refused at once."""
 
-    allowances: Annotated[tuple[Allowed, ...], said("tenants with an allowance of their own")] = ()
+    allowances: Annotated[tuple[Allowed, ...], field_meta("tenants with an allowance of their own")] = ()
     others_per_s: Annotated[
         float,
         bounded(0, PER_S_MOST, "for each name beside those; 0: these are not bounded", "requests a second"),
