--- a/garnethaven/budgets/table.py
+++ b/garnethaven/budgets/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, field_meta
+from garnethaven.tables import Table, field_meta, number_range
 
 PER_S_MOST = 100_000
 
@@ -13,25 +13,29 @@
     """What the whole fleet may do again, ahead or out of turn. 0: not bounded over the fleet."""
 
     retries_share: Annotated[
-        float, bounded(0, 1, "clients' marked retries and repeats, for each first try of the fleet")
+        float, number_range(0, 1, "clients' marked retries and repeats, for each first try of the fleet")
     ] = 0.0
-    retries_per_s: Annotated[float, bounded(0, PER_S_MOST, "the same, beside that share", "a second")] = 0.0
-    copies_share: Annotated[float, bounded(0, 1, "second copies, for each first try of the fleet")] = 0.0
-    copies_per_s: Annotated[float, bounded(0, PER_S_MOST, "the same, beside that share", "a second")] = 0.0
-    probes_per_s: Annotated[float, bounded(0, PER_S_MOST, "probes of one server", "a second")] = 0.0
+    retries_per_s: Annotated[
+        float, number_range(0, PER_S_MOST, "the same, beside that share", "a second")
+    ] = 0.0
+    copies_share: Annotated[float, number_range(0, 1, "second copies, for each first try of the fleet")] = 0.0
+    copies_per_s: Annotated[float, number_range(0, PER_S_MOST, "the same, beside that share", "a second")] = (
+        0.0
+    )
+    probes_per_s: Annotated[float, number_range(0, PER_S_MOST, "probes of one server", "a second")] = 0.0
     cold_dials_per_s: Annotated[
-        float, bounded(0, PER_S_MOST, "connections to one server that has just started", "a second")
+        float, number_range(0, PER_S_MOST, "connections to one server that has just started", "a second")
     ] = 0.0
     discovery_per_s: Annotated[
-        float, bounded(0, PER_S_MOST, "calls to discovery out of turn", "a second")
+        float, number_range(0, PER_S_MOST, "calls to discovery out of turn", "a second")
     ] = 0.0
     lasts_s: Annotated[
         float,
-        bounded(0.5, 60, "how long a right lasts: the burst is the rate times that", "seconds"),
+        number_range(0.5, 60, "how long a right lasts: the burst is the rate times that", "seconds"),
     ] = 5.0
     homes: Annotated[
         int,
-        bounded(
+        number_range(
             0,
             4096,
             "members that earn, the same at all; 0: those of [peers] members and this one",
--- a/garnethaven/connections/table.py
+++ b/garnethaven/connections/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, field_meta
+from garnethaven.tables import Table, field_meta, number_range
 
 
 class Connections(Table, frozen=True):
@@ -13,7 +13,7 @@
     plan: Annotated[bool, field_meta("switches it on", waits=True)] = False
     opens_per_s: Annotated[
         float,
-        bounded(
+        number_range(
             1,
             10_000,
             "what the whole fleet opens to one warm server; a cold one gets its warmth's part",
@@ -22,7 +22,7 @@
     ] = 40.0
     accepts: Annotated[
         int,
-        bounded(
+        number_range(
             1,
             100_000,
             "what a server accepts from the whole fleet; six tenths of it are used",
@@ -30,10 +30,10 @@
         ),
     ] = 370
     age_s: Annotated[
-        float, bounded(1, 86_400, "older connections are closed when they are free", "seconds")
+        float, number_range(1, 86_400, "older connections are closed when they are free", "seconds")
     ] = 600.0
     requests_most: Annotated[
-        int, bounded(1, 1_000_000_000, "so are those that carried so many", "requests")
+        int, number_range(1, 1_000_000_000, "so are those that carried so many", "requests")
     ] = 10_000
     ahead: Annotated[bool, field_meta("opens connections before they are needed")] = True
 
--- a/garnethaven/extproc/table.py
+++ b/garnethaven/extproc/table.py
@@ -6,7 +6,7 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Secret, Table, bounded, field_meta
+from garnethaven.tables import At, Secret, Table, field_meta, number_range
 
 
 class Route(Table, frozen=True):
@@ -32,14 +32,14 @@
     ] = ()
     # Below the grace of drains.
     valid_ms: Annotated[
-        int, bounded(20, 400, "how long a decision may wait at the proxy", "milliseconds")
+        int, number_range(20, 400, "how long a decision may wait at the proxy", "milliseconds")
     ] = 200
     message_timeout_ms: Annotated[
-        int, bounded(10, 10_000, "the proxy's own message time-out", "milliseconds")
+        int, number_range(10, 10_000, "the proxy's own message time-out", "milliseconds")
     ] = 200
-    streams_most: Annotated[int, bounded(1, 100_000, "beyond it requests are refused at once", "streams")] = (
-        10_000
-    )
+    streams_most: Annotated[
+        int, number_range(1, 100_000, "beyond it requests are refused at once", "streams")
+    ] = 10_000
     routes: Annotated[
         tuple[Route, ...],
         field_meta("the class of requests that name none; the first that fits counts", "tables"),
--- a/garnethaven/grpcs/table.py
+++ b/garnethaven/grpcs/table.py
@@ -6,7 +6,7 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Table, WrongFieldError, bounded, field_meta
+from garnethaven.tables import At, Table, WrongFieldError, field_meta, number_range
 
 
 class GrpcRoute(Table, frozen=True):
@@ -31,13 +31,15 @@
     ] = None
     port_offset: Annotated[
         int,
-        bounded(-20_000, 20_000, "added to a server's listed port for its gRPC port", "ports", waits=True),
+        number_range(
+            -20_000, 20_000, "added to a server's listed port for its gRPC port", "ports", waits=True
+        ),
     ] = 0
     default: Annotated[
         str, field_meta("of methods that no route names; without it `UNIMPLEMENTED`", "class")
     ] = ""
     stream_most_s: Annotated[
-        int, bounded(1, 86_400, "the longest that a call of a streaming route may last", "seconds")
+        int, number_range(1, 86_400, "the longest that a call of a streaming route may last", "seconds")
     ] = 3_600
     cert: Annotated[str, field_meta("with it clients must use TLS, with ALPN `h2`", "PEM file")] = ""
     key: Annotated[str, field_meta("the key of `cert`", "PEM file")] = ""
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -6,7 +6,7 @@
 
 from garnethaven.limits.lists import MAX_WATCH_WAIT_S
 from garnethaven.limits.places import UNPRESSURED_WAIT_S
-from garnethaven.tables import At, Table, bounded, field_meta
+from garnethaven.tables import At, Table, field_meta, number_range
 
 
 class Limits(Table, frozen=True):
@@ -17,7 +17,7 @@
     ] = None
     client_places: Annotated[
         int,
-        bounded(
+        number_range(
             1,
             1_000_000,
             "what clients hold on their own side; a third of the descriptors if left out",
@@ -25,10 +25,11 @@
         ),
     ] = 0
     calm_idle_s: Annotated[
-        float, bounded(0.5, 3600, "how long an idle connection is kept while places are plenty", "seconds")
+        float,
+        number_range(0.5, 3600, "how long an idle connection is kept while places are plenty", "seconds"),
     ] = UNPRESSURED_WAIT_S
     watch_most_s: Annotated[
-        float, bounded(2, 60, "the longest that a watch of discovery may wait", "seconds")
+        float, number_range(2, 60, "the longest that a watch of discovery may wait", "seconds")
     ] = MAX_WATCH_WAIT_S
 
 
--- a/garnethaven/membership/table.py
+++ b/garnethaven/membership/table.py
@@ -9,7 +9,7 @@
 from msgspec import field
 
 from garnethaven.membership.payloads import MAPPED, Rules
-from garnethaven.tables import At, Table, WrongFieldError, bounded, field_meta
+from garnethaven.tables import At, Table, WrongFieldError, field_meta, number_range
 
 DISCOVERY, ZOOKEEPER, ETCD, CONSUL = "discovery", "zookeeper", "etcd", "consul"
 REGISTRIES = (ZOOKEEPER, ETCD, CONSUL)
@@ -77,7 +77,7 @@
     form: Annotated[Form, field_meta("what it holds")] = "own"
     address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
     withdraw_ms: Annotated[
-        int, bounded(0, 5_000, "how long a drain waits for the node's end", "milliseconds")
+        int, number_range(0, 5_000, "how long a drain waits for the node's end", "milliseconds")
     ] = 500
     facts: Annotated[dict[str, Any], field_meta("further fields of it")] = field(default_factory=dict)
 
@@ -107,7 +107,7 @@
     map: Annotated[Places, field_meta("where facts stand in a node")] = Places()
     session_timeout_ms: Annotated[
         int,
-        bounded(
+        number_range(
             400,
             40_000,
             "wished for; a host that says nothing for two thirds of it is left",
@@ -115,7 +115,7 @@
         ),
     ] = 6_000
     spread_ms: Annotated[
-        int, bounded(0, 5_000, "over which clients that lose a host come back", "milliseconds")
+        int, number_range(0, 5_000, "over which clients that lose a host come back", "milliseconds")
     ] = 500
     digest: Annotated[
         str, field_meta("proves who we are", "user:password", wanted="'user:password'", pattern="^[^:]+:.+$")
@@ -147,9 +147,9 @@
     key: Annotated[str, field_meta("the key", wanted="a key", pattern="^.+$")]
     form: Annotated[Form, field_meta("what it holds")] = "own"
     address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
-    ttl_s: Annotated[int, bounded(2, 600, "the lease's life without a sign of ours", "seconds")] = 10
+    ttl_s: Annotated[int, number_range(2, 600, "the lease's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
-        int, bounded(0, 5_000, "how long a drain waits for the key's end", "milliseconds")
+        int, number_range(0, 5_000, "how long a drain waits for the key's end", "milliseconds")
     ] = 500
     facts: Annotated[dict[str, Any], field_meta("further fields of it")] = field(default_factory=dict)
 
@@ -175,7 +175,7 @@
     tls: Annotated[Tls | None, field_meta("members are asked over TLS")] = None
     quiet_ms: Annotated[
         int,
-        bounded(
+        number_range(
             100,
             60_000,
             "a watch that tells nothing is asked for a sign this often; after three it is dead",
@@ -183,7 +183,7 @@
         ),
     ] = 1_000
     spread_ms: Annotated[
-        int, bounded(0, 5_000, "over which clients that lose a member come back", "milliseconds")
+        int, number_range(0, 5_000, "over which clients that lose a member come back", "milliseconds")
     ] = 200
     cache: Annotated[
         str, field_meta("keeps the last list for a start while the registry is down", "path")
@@ -209,9 +209,9 @@
     name: Annotated[str, field_meta("the service's name", wanted="a name", pattern="^[^/?#]+$")]
     id: Annotated[str, field_meta("the instance's; the name and the address if left out")] = ""
     address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
-    ttl_s: Annotated[int, bounded(2, 600, "the check's life without a sign of ours", "seconds")] = 10
+    ttl_s: Annotated[int, number_range(2, 600, "the check's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
-        int, bounded(0, 5_000, "how long a drain waits for the service's end", "milliseconds")
+        int, number_range(0, 5_000, "how long a drain waits for the service's end", "milliseconds")
     ] = 500
     facts: Annotated[dict[str, Any], field_meta("the service's `Meta`")] = field(default_factory=dict)
 
@@ -236,14 +236,16 @@
     ] = "default"
     stale_most_ms: Annotated[
         int,
-        bounded(0, 60_000, "`stale`: longer without its leader and an agent is not believed", "milliseconds"),
+        number_range(
+            0, 60_000, "`stale`: longer without its leader and an agent is not believed", "milliseconds"
+        ),
     ] = 1_000
     warning: Annotated[bool, field_meta("use servers whose checks warn")] = True
-    wait_ms: Annotated[int, bounded(100, 600_000, "how long a query may wait for news", "milliseconds")] = (
-        5_000
-    )
+    wait_ms: Annotated[
+        int, number_range(100, 600_000, "how long a query may wait for news", "milliseconds")
+    ] = 5_000
     spread_ms: Annotated[
-        int, bounded(0, 5_000, "over which clients that lose an agent come back", "milliseconds")
+        int, number_range(0, 5_000, "over which clients that lose an agent come back", "milliseconds")
     ] = 200
     tls: Annotated[Tls | None, field_meta("agents are asked over TLS")] = None
     cache: Annotated[
--- a/garnethaven/peers/table.py
+++ b/garnethaven/peers/table.py
@@ -6,7 +6,7 @@
 
 from garnethaven.addresses import Address, parse_address
 from garnethaven.gossip.rows import NAME_MOST
-from garnethaven.tables import At, Secret, Table, WrongFieldError, bounded, field_meta
+from garnethaven.tables import At, Secret, Table, WrongFieldError, field_meta, number_range
 
 
 class Listed(str):
@@ -46,20 +46,26 @@
         tuple[Listed, ...], field_meta("members to begin with, itself among them or not", "name=address:port")
     ] = ()
     period_s: Annotated[
-        float, bounded(0.05, 10, "the time between two rounds of questions, for 32 members", "seconds", True)
+        float,
+        number_range(0.05, 10, "the time between two rounds of questions, for 32 members", "seconds", True),
     ] = 0.2
-    asks: Annotated[int, bounded(1, 8, "members that are asked in a round", waits=True)] = 3
+    asks: Annotated[int, number_range(1, 8, "members that are asked in a round", waits=True)] = 3
     loss_most: Annotated[
-        float, bounded(0, 0.5, "the loss of datagrams for which news still reaches all in time", waits=True)
+        float,
+        number_range(0, 0.5, "the loss of datagrams for which news still reaches all in time", waits=True),
     ] = 0.1
-    delay_most_s: Annotated[float, bounded(0, 5, "the delay for which it does", "seconds", waits=True)] = 0.05
+    delay_most_s: Annotated[
+        float, number_range(0, 5, "the delay for which it does", "seconds", waits=True)
+    ] = 0.05
     forget_s: Annotated[
         float,
-        bounded(
+        number_range(
             10, 86_400, "a silent member counts for so long, and a cut stays within the bounds", "seconds"
         ),
     ] = 600.0
-    members_most: Annotated[int, bounded(2, 4096, "members that are known at one time", waits=True)] = 2048
+    members_most: Annotated[int, number_range(2, 4096, "members that are known at one time", waits=True)] = (
+        2048
+    )
 
     def __post_init__(self) -> None:
         if self.listen is not None and self.key is None:
--- a/garnethaven/state/table.py
+++ b/garnethaven/state/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, bounded, field_meta
+from garnethaven.tables import Table, field_meta, number_range
 
 
 class State(Table, frozen=True):
@@ -15,13 +15,16 @@
         str,
         field_meta("where it is kept; $TMPDIR if left out, and nothing without either", "path", waits=True),
     ] = ""
-    every_s: Annotated[float, bounded(0.2, 60, "the time between two snapshots", "seconds")] = 2.0
+    every_s: Annotated[float, number_range(0.2, 60, "the time between two snapshots", "seconds")] = 2.0
     bytes_most: Annotated[
-        int, bounded(4096, 64 * 1024 * 1024, "the size of a snapshot; what is over it is left out", "bytes")
+        int,
+        number_range(4096, 64 * 1024 * 1024, "the size of a snapshot; what is over it is left out", "bytes"),
     ] = 4 * 1024 * 1024
     keyed_most: Annotated[
         int,
-        bounded(0, 65_536, "keyed requests whose rack is remembered; 0: none is", "requests", waits=True),
+        number_range(
+            0, 65_536, "keyed requests whose rack is remembered; 0: none is", "requests", waits=True
+        ),
     ] = 4096
 
 
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -49,7 +49,7 @@
     return Meta(description=meaning, extra=extra, **bounds)
 
 
-def bounded(low: float, high: float, meaning: str, unit: str = "", waits: bool = False) -> Meta:
+def number_range(low: float, high: float, meaning: str, unit: str = "", waits: bool = False) -> Meta:
     """Metadata of a numeric field with inclusive bounds."""
     return field_meta(meaning, unit, waits, ge=low, le=high)
 
--- a/garnethaven/tenants/table.py
+++ b/garnethaven/tenants/table.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from garnethaven.tables import Table, WrongFieldError, bounded, field_meta
+from garnethaven.tables import Table, WrongFieldError, field_meta, number_range
 
 PER_S_MOST = 1_000_000
 NAME_MOST = 128
@@ -14,10 +14,10 @@
     """One tenant's allowance, over the whole fleet."""
 
     name: Annotated[str, field_meta("as `X-Caller` has it", min_length=1, max_length=NAME_MOST)]
-    per_s: Annotated[float, bounded(0.01, PER_S_MOST, "what it may ask for", "requests a second")]
+    per_s: Annotated[float, number_range(0.01, PER_S_MOST, "what it may ask for", "requests a second")]
     burst: Annotated[
         float,
-        bounded(1, PER_S_MOST, "what all members' buckets hold, beside one for each", "requests"),
+        number_range(1, PER_S_MOST, "what all members' buckets hold, beside one for each", "requests"),
     ] = 1.0
 
 
@@ -27,11 +27,13 @@
     allowances: Annotated[tuple[Allowed, ...], field_meta("tenants with an allowance of their own")] = ()
     others_per_s: Annotated[
         float,
-        bounded(0, PER_S_MOST, "for each name beside those; 0: these are not bounded", "requests a second"),
+        number_range(
+            0, PER_S_MOST, "for each name beside those; 0: these are not bounded", "requests a second"
+        ),
     ] = 0.0
-    others_burst: Annotated[float, bounded(1, PER_S_MOST, "for each of them", "requests")] = 1.0
+    others_burst: Annotated[float, number_range(1, PER_S_MOST, "for each of them", "requests")] = 1.0
     slots: Annotated[
-        int, bounded(1, 65_536, "other names that are told apart; two in one slot share an allowance")
+        int, number_range(1, 65_536, "other names that are told apart; two in one slot share an allowance")
     ] = 1024
 
     def __post_init__(self) -> None:
