--- a/garnethaven/feature.py
+++ b/garnethaven/feature.py
@@ -17,7 +17,7 @@
 
 from typing import Any, ClassVar, Generic, TypeVar
 
-from garnethaven.tables import Table, taken_over
+from garnethaven.tables import Table, merge_reloaded
 
 T = TypeVar("T", bound=Table)
 P = TypeVar("P")  # the parts (parts.py) that the feature uses
@@ -40,7 +40,7 @@
 
     def renew(self, wanted: T) -> list[str]:
         """Apply a reloaded table; return the qualified names of fields whose change needs a restart."""
-        self.table, needing_restart = taken_over(self.table, wanted)
+        self.table, needing_restart = merge_reloaded(self.table, wanted)
         self.renewed()
         return [f"{self.name}.{field}" for field in needing_restart]
 
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -225,7 +225,7 @@
     return bool(meta is not None and meta.extra and meta.extra["waits"])
 
 
-def taken_over(current: T, reloaded: T) -> tuple[T, list[str]]:
+def merge_reloaded(current: T, reloaded: T) -> tuple[T, list[str]]:
     """The table in force after a reload, and the fields whose change needs a restart."""
     deferred = [
         field
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 from garnethaven.app.operator import OperatorError, operator_path, read_operator
 from garnethaven.app.registry import PACKAGES, table_type
 from garnethaven.limits.table import Limits
-from garnethaven.tables import At, Secret, taken_over
+from garnethaven.tables import At, Secret, merge_reloaded
 from tests.rigs.test_rigs import imported_at_start
 
 ROOT = Path(__file__).parent.parent
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("name", list(PACKAGES))
 def test_the_defaults_of_every_table_mean_off(name: str) -> None:
     """A reload treats a removed table as one with all defaults."""
-    assert taken_over(table_type(name)(), table_type(name)()) == (table_type(name)(), [])
+    assert merge_reloaded(table_type(name)(), table_type(name)()) == (table_type(name)(), [])
 
 
 def test_a_table_that_is_not_there_cannot_be_shown(capsys: pytest.CaptureFixture[str]) -> None:
