--- a/garnethaven/extproc/table.py
+++ b/garnethaven/extproc/table.py
@@ -6,7 +6,7 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Secret, Table, field_meta, number_range
+from garnethaven.tables import Secret, SocketAddress, Table, field_meta, number_range
 
 
 class Route(Table, frozen=True):
@@ -21,7 +21,7 @@
     """Where proxies call once a request; on where `listen` is set."""
 
     listen: Annotated[
-        At | None,
+        SocketAddress | None,
         field_meta(
             "where proxies call `envoy.service.ext_proc.v3.ExternalProcessor`", "address:port", waits=True
         ),
--- a/garnethaven/grpcs/table.py
+++ b/garnethaven/grpcs/table.py
@@ -6,7 +6,7 @@
 
 from msgspec import field
 
-from garnethaven.tables import At, Table, WrongFieldError, field_meta, number_range
+from garnethaven.tables import SocketAddress, Table, WrongFieldError, field_meta, number_range
 
 
 class GrpcRoute(Table, frozen=True):
@@ -26,7 +26,7 @@
     """gRPC beside HTTP/1.1; on where `listen` is set."""
 
     listen: Annotated[
-        At | None,
+        SocketAddress | None,
         field_meta("where clients connect: HTTP/2 with prior knowledge, or TLS", "address:port", waits=True),
     ] = None
     port_offset: Annotated[
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -6,14 +6,14 @@
 
 from garnethaven.limits.lists import MAX_WATCH_WAIT_S
 from garnethaven.limits.places import UNPRESSURED_WAIT_S
-from garnethaven.tables import At, Table, field_meta, number_range
+from garnethaven.tables import SocketAddress, Table, field_meta, number_range
 
 
 class Limits(Table, frozen=True):
     """Limits of client connections and of watches."""
 
     view: Annotated[
-        At | None, field_meta("where `GET /-/limits` is answered", "address:port", waits=True)
+        SocketAddress | None, field_meta("where `GET /-/limits` is answered", "address:port", waits=True)
     ] = None
     client_places: Annotated[
         int,
--- a/garnethaven/membership/table.py
+++ b/garnethaven/membership/table.py
@@ -9,7 +9,7 @@
 from msgspec import field
 
 from garnethaven.membership.payloads import MAPPED, Rules
-from garnethaven.tables import At, Table, WrongFieldError, field_meta, number_range
+from garnethaven.tables import SocketAddress, Table, WrongFieldError, field_meta, number_range
 
 DISCOVERY, ZOOKEEPER, ETCD, CONSUL = "discovery", "zookeeper", "etcd", "consul"
 REGISTRIES = (ZOOKEEPER, ETCD, CONSUL)
@@ -17,7 +17,7 @@
 PATH = r"^/([^/\x00]+(/[^/\x00]+)*)?$"
 
 
-class ZooKeeperHost(At):
+class ZooKeeperHost(SocketAddress):
     default_port: ClassVar[int] = 2181
 
 
@@ -75,7 +75,9 @@
         str, field_meta("the node; its parent must be there", "path", wanted="a path", pattern=PATH)
     ]
     form: Annotated[Form, field_meta("what it holds")] = "own"
-    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
+    address: Annotated[
+        SocketAddress | None, field_meta("what it tells; where the program listens if left out")
+    ] = None
     withdraw_ms: Annotated[
         int, number_range(0, 5_000, "how long a drain waits for the node's end", "milliseconds")
     ] = 500
@@ -137,7 +139,7 @@
         return rules_of(self.form, self.map, self.allowed, self.endpoint, self.secure)
 
 
-class EtcdHost(At):
+class EtcdHost(SocketAddress):
     default_port: ClassVar[int] = 2379
 
 
@@ -146,7 +148,9 @@
 
     key: Annotated[str, field_meta("the key", wanted="a key", pattern="^.+$")]
     form: Annotated[Form, field_meta("what it holds")] = "own"
-    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
+    address: Annotated[
+        SocketAddress | None, field_meta("what it tells; where the program listens if left out")
+    ] = None
     ttl_s: Annotated[int, number_range(2, 600, "the lease's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
         int, number_range(0, 5_000, "how long a drain waits for the key's end", "milliseconds")
@@ -199,7 +203,7 @@
         return rules_of(self.form, self.map, self.allowed)
 
 
-class ConsulHost(At):
+class ConsulHost(SocketAddress):
     default_port: ClassVar[int] = 8500
 
 
@@ -208,7 +212,9 @@
 
     name: Annotated[str, field_meta("the service's name", wanted="a name", pattern="^[^/?#]+$")]
     id: Annotated[str, field_meta("the instance's; the name and the address if left out")] = ""
-    address: Annotated[At | None, field_meta("what it tells; where the program listens if left out")] = None
+    address: Annotated[
+        SocketAddress | None, field_meta("what it tells; where the program listens if left out")
+    ] = None
     ttl_s: Annotated[int, number_range(2, 600, "the check's life without a sign of ours", "seconds")] = 10
     withdraw_ms: Annotated[
         int, number_range(0, 5_000, "how long a drain waits for the service's end", "milliseconds")
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -21,7 +21,7 @@
 from garnethaven.membership.zookeeper.records import RecordError
 from garnethaven.membership.zookeeper.registration import Register
 from garnethaven.membership.zookeeper.session import Event, Session
-from garnethaven.tables import At
+from garnethaven.tables import SocketAddress
 
 RETRY_S = 1.0  # before a directory that could not be followed is tried again
 
@@ -82,7 +82,7 @@
             self.register = None
             return
         if wanted.address is None:
-            wanted = replace(wanted, address=At(address))
+            wanted = replace(wanted, address=SocketAddress(address))
         self.register = Register(wanted, self.settings.digest or None, self.client, self.telling.log)
         if self.client.up_at:
             self.register.up()
--- a/garnethaven/peers/table.py
+++ b/garnethaven/peers/table.py
@@ -6,7 +6,7 @@
 
 from garnethaven.addresses import Address, parse_address
 from garnethaven.gossip.rows import NAME_MOST
-from garnethaven.tables import At, Secret, Table, WrongFieldError, field_meta, number_range
+from garnethaven.tables import Secret, SocketAddress, Table, WrongFieldError, field_meta, number_range
 
 
 class Listed(str):
@@ -32,7 +32,7 @@
     """Which sidecars know of one another, and how often they ask."""
 
     listen: Annotated[
-        At | None,
+        SocketAddress | None,
         field_meta("where this member takes datagrams; off if left out", "address:port", waits=True),
     ] = None
     key: Annotated[
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -57,14 +57,14 @@
 # Types that TOML does not have
 
 
-class At(tuple[str, int]):
+class SocketAddress(tuple[str, int]):
     """An IPv4 address with a port."""
 
     default_port: ClassVar[int] = 0
     wanted: ClassVar[str] = "an address with a port"
 
     @classmethod
-    def told(cls, value: object) -> At:
+    def told(cls, value: object) -> SocketAddress:
         if cls.default_port and isinstance(value, str) and ":" not in value:
             value = f"{value}:{cls.default_port}"
         address = parse_address(value)
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -15,7 +15,7 @@
 from garnethaven.extproc.mapping import TOKEN
 from garnethaven.extproc.table import ExternalProcessor, Route
 from garnethaven.interface import Refuse, Request
-from garnethaven.tables import At, Secret
+from garnethaven.tables import Secret, SocketAddress
 from standins.ledger import Ledger
 from standins.ports import PORTS
 from standins.proxy import ATTEMPTS, CHECKED, Proxy, Ways, headers_message
@@ -98,7 +98,11 @@
         )
         config = program.read_config({"NODE_CONFIG": str(tmp_path / "config")})
         file = tmp_path / "operator.toml"
-        operator = {"external_processor": ExternalProcessor(listen=At(("127.0.0.1", 0)), keys=(Secret(KEY),))}
+        operator = {
+            "external_processor": ExternalProcessor(
+                listen=SocketAddress(("127.0.0.1", 0)), keys=(Secret(KEY),)
+            )
+        }
         sidecar = Sidecar(config, operator, asyncio.get_running_loop())
         await sidecar.start()
         front = sidecar.features["external_processor"].front  # type: ignore[attr-defined]
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -18,7 +18,7 @@
 from garnethaven.grpcs.front import Front
 from garnethaven.grpcs.table import Grpc, GrpcRoute
 from garnethaven.grpcs.transport import GrpcTransport
-from garnethaven.tables import At, merge_reloaded
+from garnethaven.tables import SocketAddress, merge_reloaded
 from tests.grpcs.raw import PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of, ok, stage
 from tests.loopback import ANSWER, run, running, says
@@ -73,7 +73,7 @@
             assert (await made.unary())[1] == grpc.StatusCode.UNIMPLEMENTED
             made.front.renew(replace(before, routes=(), default="check"))
             assert (await made.unary())[1] == grpc.StatusCode.OK
-            wanted = replace(before, port_offset=5, listen=At(("127.0.0.1", 9)), stream_most_s=7)
+            wanted = replace(before, port_offset=5, listen=SocketAddress(("127.0.0.1", 9)), stream_most_s=7)
             kept, waiting = merge_reloaded(before, wanted)
             assert (kept, waiting) == (replace(before, stream_most_s=7), ["listen", "port_offset"])
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 from garnethaven.app.operator import OperatorError, operator_path, read_operator
 from garnethaven.app.registry import PACKAGES, table_type
 from garnethaven.limits.table import Limits
-from garnethaven.tables import At, Secret, merge_reloaded
+from garnethaven.tables import Secret, SocketAddress, merge_reloaded
 from tests.rigs.test_rigs import imported_at_start
 
 ROOT = Path(__file__).parent.parent
@@ -30,7 +30,7 @@
 def test_a_whole_file_is_read(tmp_path: Path) -> None:
     text = '[limits]\nview = "127.0.0.1:9901"\nclient_places = 100\ncalm_idle_s = 4\nwatch_most_s = 7.5\n'
     limits = read_operator(write_operator_file(tmp_path, text))["limits"]
-    assert limits == Limits(At(("127.0.0.1", 9901)), 100, 4, 7.5)
+    assert limits == Limits(SocketAddress(("127.0.0.1", 9901)), 100, 4, 7.5)
 
 
 def test_the_example_is_good() -> None:
