--- a/garnethaven/extproc/tokens.py
+++ b/garnethaven/extproc/tokens.py
@@ -62,8 +62,8 @@
 
     def __init__(self, keys: tuple[bytes, ...], valid_ms: int) -> None:
         for key in keys:
-            if len(key) < Secret.LEAST:
-                raise ValueError(f"a key has at least {Secret.LEAST} bytes")
+            if len(key) < Secret.MIN_BYTES:
+                raise ValueError(f"a key has at least {Secret.MIN_BYTES} bytes")
         self.keys = keys
         self.valid_ms = valid_ms
 
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -76,7 +76,7 @@
 class Secret(bytes):
     """A secret, written in hexadecimal; `repr` does not reveal it."""
 
-    LEAST = 16
+    MIN_BYTES = 16
 
     @classmethod
     def told(cls, value: object) -> Secret:
@@ -84,8 +84,8 @@
             secret = bytes.fromhex(value) if isinstance(value, str) else b""
         except ValueError:
             secret = b""
-        if len(secret) < cls.LEAST:
-            raise ValueError(f"is not {cls.LEAST} bytes or more in hexadecimal")
+        if len(secret) < cls.MIN_BYTES:
+            raise ValueError(f"is not {cls.MIN_BYTES} bytes or more in hexadecimal")
         return cls(secret)
 
     def __repr__(self) -> str:
