--- a/garnethaven/__main__.py
+++ b/garnethaven/__main__.py
@@ -39,7 +39,7 @@
 def reload(sidecar: Sidecar, path: str | None) -> None:
     """Read both files again and apply the changes; if either is invalid, nothing changes."""
     try:
-        config = read_config(os.environ, anew=True)
+        config = read_config(os.environ, reload=True)
         operator = read_operator(path)
     except (ConfigError, OperatorError) as problem:
         sidecar.engine.log(f"the old configuration is kept: {problem}")
--- a/garnethaven/config.py
+++ b/garnethaven/config.py
@@ -34,7 +34,7 @@
     ops: Address | None = None  # listening address for operators; None: not opened
 
 
-def read_config(environment: Mapping[str, str], anew: bool = False) -> Config:
+def read_config(environment: Mapping[str, str], reload: bool = False) -> Config:
     """Read the file that NODE_CONFIG names; the other NODE_ variables take precedence over its fields.
 
     With `anew` (a reload) the file takes precedence: the variables date from the start and are older.
@@ -52,7 +52,7 @@
     for name in ("name", "listen", "discovery", "ops"):
         from_environment = environment.get(f"NODE_{name.upper()}")
         document[name] = (
-            (document.get(name) or from_environment) if anew else (from_environment or document.get(name))
+            (document.get(name) or from_environment) if reload else (from_environment or document.get(name))
         )
     limits = _field(document, "limits", dict)
     raw_settings = _field(document, "settings", dict)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -376,10 +376,10 @@
     path = config_file(tmp_path / "c.json")
     environment = {"NODE_CONFIG": str(path), "NODE_DISCOVERY": "127.0.0.1:3"}
     assert read_config(environment).discovery == ("127.0.0.1", 3)
-    assert read_config(environment, anew=True).discovery == ("127.0.0.1", 2)
+    assert read_config(environment, reload=True).discovery == ("127.0.0.1", 2)
     path.write_text("{")
     with pytest.raises(ConfigError):
-        read_config(environment, anew=True)
+        read_config(environment, reload=True)
 
 
 def test_the_program_outlives_new_configurations_and_ends_cleanly(tmp_path: Path) -> None:
