--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -69,7 +69,7 @@
     sock.setsockopt(socket.SOL_SOCKET, option, program)
 
 
-def waiting(sock: socket.socket) -> int:
+def backlog_length(sock: socket.socket) -> int:
     """The number of connections waiting to be accepted; 0 if the system does not report it."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, struct.calcsize(TCP_INFO_FORMAT))
@@ -87,7 +87,7 @@
     empty_checks = 0  # consecutive checks: a handshake may complete between two of them
     while empty_checks < 2 and time.monotonic() < deadline:
         await asyncio.sleep(LOOK_S)
-        empty_checks = 0 if any(map(waiting, socks)) else empty_checks + 1
+        empty_checks = 0 if any(map(backlog_length, socks)) else empty_checks + 1
 
 
 async def taken_in(duplicates: list[socket.socket]) -> None:
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from garnethaven.addresses import Address
-from garnethaven.backlog import LOOK_S, lead_to_the_next, stop_arrivals, waiting
+from garnethaven.backlog import LOOK_S, backlog_length, lead_to_the_next, stop_arrivals
 from garnethaven.config import Config
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
@@ -387,7 +387,7 @@
         """Close the socket once the backlog is empty, or at `latest`: connections left there are reset."""
         now = self.loop.time()
         accepted = self._accept()
-        left = waiting(self.sock)
+        left = backlog_length(self.sock)
         if now < latest and (accepted or left):
             self.loop.call_later(LOOK_S, self._drain_backlog, latest)
             return
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -14,12 +14,12 @@
 import pytest
 
 from garnethaven.backlog import (
+    backlog_length,
     duplicate,
     lead_to_the_next,
     listening_at,
     stop_arrivals,
     wait_until_empty,
-    waiting,
 )
 from garnethaven.engine.engine import Engine
 from garnethaven.net import listener as listening
@@ -62,21 +62,21 @@
     with listener() as sock:
         port = sock.getsockname()[1]
         clients = [connected(port, b"x") for _ in range(5)]
-        assert waiting(sock) == 5
+        assert backlog_length(sock) == 5
         stop_arrivals(sock)
         refused = socket.socket()
         refused.settimeout(0.2)
         with pytest.raises(OSError):
             refused.connect(("127.0.0.1", port))
         refused.close()
-        assert waiting(sock) == 5
+        assert backlog_length(sock) == 5
         for client in clients:
             accepted, _ = sock.accept()
             accepted.settimeout(WAIT_S)
             assert accepted.recv(1) == b"x"
             accepted.close()
             client.close()
-        assert waiting(sock) == 0
+        assert backlog_length(sock) == 0
 
 
 def test_waiting_for_an_empty_backlog_ends_with_the_last_accept_and_never_hangs() -> None:
@@ -93,7 +93,7 @@
                 client.close()
         with listener() as sock, connected(sock.getsockname()[1], b"x"):
             await wait_until_empty([sock])  # no connection is accepted: it returns at its time limit
-            assert waiting(sock) == 1
+            assert backlog_length(sock) == 1
 
     run(case())
 
@@ -217,7 +217,7 @@
         port = alone.getsockname()[1]
         assert lead_to_the_next(alone)
         with contextlib.closing(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S)):
-            assert waiting(alone) == 1
+            assert backlog_length(alone) == 1
     old = listen()
     port = old.getsockname()[1]
     new = listen(port)
@@ -227,11 +227,11 @@
         assert lead_to_the_next(old)
         for _ in range(40):
             stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
-        assert (waiting(old), waiting(new)) == (0, 40)
+        assert (backlog_length(old), backlog_length(new)) == (0, 40)
         old.close()
         third = stack.enter_context(listen(port))  # the filter program stays attached to the group
         stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
-        assert (waiting(new), waiting(third)) == (40, 1)
+        assert (backlog_length(new), backlog_length(third)) == (40, 1)
         third.close()
         stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
-        assert waiting(new) == 41
+        assert backlog_length(new) == 41
