--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -48,7 +48,7 @@
         sock.listen(0)
 
 
-def lead_to_the_next(sock: socket.socket) -> bool:
+def prefer_newer_listener(sock: socket.socket) -> bool:
     """Direct new connections to the process that started to listen at this address after this one.
 
     Without such a process the kernel selects sockets as before. Returns False if the system does not support
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from garnethaven.addresses import Address
-from garnethaven.backlog import LOOK_S, backlog_length, lead_to_the_next, stop_arrivals
+from garnethaven.backlog import LOOK_S, backlog_length, prefer_newer_listener, stop_arrivals
 from garnethaven.config import Config
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
@@ -350,7 +350,7 @@
             return
         self.draining = True
         now = self.loop.time()
-        lead_to_the_next(self.sock)
+        prefer_newer_listener(self.sock)
         self.accepted_at = max(self.accepted_at, now)
         patience_s = max(grade.deadline for grade in self.engine.settings.grades) / S
         killed_at = now + min(patience_s, MAX_DRAIN_DEADLINE_S) + KILL_S
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -16,8 +16,8 @@
 from garnethaven.backlog import (
     backlog_length,
     duplicate,
-    lead_to_the_next,
     listening_at,
+    prefer_newer_listener,
     stop_arrivals,
     wait_until_empty,
 )
@@ -215,7 +215,7 @@
 def test_new_connections_go_to_whoever_listened_next_and_to_oneself_when_alone() -> None:
     with listen() as alone:
         port = alone.getsockname()[1]
-        assert lead_to_the_next(alone)
+        assert prefer_newer_listener(alone)
         with contextlib.closing(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S)):
             assert backlog_length(alone) == 1
     old = listen()
@@ -224,7 +224,7 @@
     with contextlib.ExitStack() as stack:
         stack.enter_context(old)
         stack.enter_context(new)
-        assert lead_to_the_next(old)
+        assert prefer_newer_listener(old)
         for _ in range(40):
             stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=WAIT_S))
         assert (backlog_length(old), backlog_length(new)) == (0, 40)
