--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -90,7 +90,7 @@
         empty_checks = 0 if any(map(backlog_length, socks)) else empty_checks + 1
 
 
-async def taken_in(duplicates: list[socket.socket]) -> None:
+async def drain_duplicates(duplicates: list[socket.socket]) -> None:
     """`wait_until_empty` for duplicated sockets, which are then closed; the original sockets stay open."""
     await wait_until_empty(duplicates)
     for sock in duplicates:
--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -37,7 +37,7 @@
 from h2.settings import SettingCodes
 
 from garnethaven.addresses import Address
-from garnethaven.backlog import duplicate, taken_in
+from garnethaven.backlog import drain_duplicates, duplicate
 from garnethaven.engine.calls import Call
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import MS, Engine
@@ -583,7 +583,7 @@
     async def _end_listening(self, server: asyncio.Server, at_once: bool) -> None:
         """Take what has arrived, so that each learns that it must go elsewhere, then close."""
         if not at_once:
-            await taken_in([duplicate(sock.fileno()) for sock in server.sockets])
+            await drain_duplicates([duplicate(sock.fileno()) for sock in server.sockets])
         server.close()
 
     def look(self) -> None:
