--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -102,7 +102,7 @@
     return socket.socket(fileno=os.dup(descriptor))
 
 
-def listening_at(port: int) -> list[socket.socket]:
+def duplicate_listening_sockets(port: int) -> list[socket.socket]:
     """Duplicates of this process's listening sockets at a port, found through /proc; empty without /proc.
 
     For servers of a library that does not expose its sockets.
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -22,7 +22,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 
 from garnethaven.addresses import Address
-from garnethaven.backlog import drain_duplicates, listening_at
+from garnethaven.backlog import drain_duplicates, duplicate_listening_sockets
 from garnethaven.engine.calls import Call
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import MS, Engine, S
@@ -243,7 +243,7 @@
 
     async def _take_arrived(self) -> None:
         """The library closes its sockets on whoever waits there, and drops who has not said hello."""
-        await drain_duplicates(listening_at(self.port))
+        await drain_duplicates(duplicate_listening_sockets(self.port))
         await asyncio.sleep(DRAIN_S)
 
     def _look(self) -> None:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -16,7 +16,7 @@
 from garnethaven.backlog import (
     backlog_length,
     duplicate,
-    listening_at,
+    duplicate_listening_sockets,
     prefer_newer_listener,
     stop_arrivals,
     wait_until_empty,
@@ -100,7 +100,7 @@
 
 def test_the_own_listening_sockets_are_found_by_their_port() -> None:
     with listener() as sock, listener() as other:
-        (found,) = listening_at(sock.getsockname()[1])
+        (found,) = duplicate_listening_sockets(sock.getsockname()[1])
         with found, duplicate(other.fileno()) as twin:
             assert found.getsockname() == sock.getsockname()
             assert twin.getsockname() == other.getsockname()
