--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -36,7 +36,7 @@
 )
 # Sockets that listen at one address are indexed from 0, in the order in which they started to listen.
 SELECT_SECOND_SOCKET = ((0x06, 0, 0, 1),)
-LOOK_S = 0.005  # between two checks of a backlog; also time for pending handshakes to complete
+POLL_INTERVAL_S = 0.005  # between two checks of a backlog; also time for pending handshakes to complete
 MAX_EMPTYING_S = 1.0  # limit for a server that no longer accepts connections
 
 
@@ -86,7 +86,7 @@
     deadline = time.monotonic() + MAX_EMPTYING_S
     empty_checks = 0  # consecutive checks: a handshake may complete between two of them
     while empty_checks < 2 and time.monotonic() < deadline:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         empty_checks = 0 if any(map(backlog_length, socks)) else empty_checks + 1
 
 
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from garnethaven.addresses import Address
-from garnethaven.backlog import LOOK_S, backlog_length, prefer_newer_listener, stop_arrivals
+from garnethaven.backlog import POLL_INTERVAL_S, backlog_length, prefer_newer_listener, stop_arrivals
 from garnethaven.config import Config
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
@@ -381,7 +381,9 @@
             self.loop.call_later(0.02, self._stop_listening, latest)
             return
         stop_arrivals(self.sock)
-        self.loop.call_later(LOOK_S, self._drain_backlog, min(now + DRAIN_BACKLOG_S, self.last_answer_at))
+        self.loop.call_later(
+            POLL_INTERVAL_S, self._drain_backlog, min(now + DRAIN_BACKLOG_S, self.last_answer_at)
+        )
 
     def _drain_backlog(self, latest: float) -> None:
         """Close the socket once the backlog is empty, or at `latest`: connections left there are reset."""
@@ -389,7 +391,7 @@
         accepted = self._accept()
         left = backlog_length(self.sock)
         if now < latest and (accepted or left):
-            self.loop.call_later(LOOK_S, self._drain_backlog, latest)
+            self.loop.call_later(POLL_INTERVAL_S, self._drain_backlog, latest)
             return
         if left:
             self.engine.log(f"the listening socket is closed on {left} that found no place")
