--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -65,7 +65,7 @@
     figures: Callable[[], dict[str, object]]
     known: dict[str, Any] = field(default_factory=dict)  # the initial endpoint list, in discovery's format
     peers: PeerGroup | None = None  # set by the feature `[peers]`
-    keepers: dict[str, Keeper] = field(default_factory=dict)  # by section of the persisted state
+    state_sections: dict[str, Keeper] = field(default_factory=dict)  # by section of the persisted state
     transport: HttpTransport = field(init=False)
     learn: Learn = field(init=False)
     discovery: Discovery = field(init=False)
