--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -31,7 +31,7 @@
     clock_offset: int
 
 
-class Keeper(Protocol):
+class StateSection(Protocol):
     """Owns one section of the persisted state, in its own format (state/)."""
 
     def keep(self) -> bytes:
@@ -65,7 +65,7 @@
     figures: Callable[[], dict[str, object]]
     known: dict[str, Any] = field(default_factory=dict)  # the initial endpoint list, in discovery's format
     peers: PeerGroup | None = None  # set by the feature `[peers]`
-    state_sections: dict[str, Keeper] = field(default_factory=dict)  # by section of the persisted state
+    state_sections: dict[str, StateSection] = field(default_factory=dict)  # by section of the persisted state
     transport: HttpTransport = field(init=False)
     learn: Learn = field(init=False)
     discovery: Discovery = field(init=False)
