--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -25,7 +25,7 @@
 import uvloop
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 
-from garnethaven.__main__ import spare_collections
+from garnethaven.__main__ import tune_garbage_collector
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine
 from garnethaven.extproc.answers import go_on
@@ -87,7 +87,7 @@
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.set_result, None)
-    spare_collections()  # as the program does, for both kinds
+    tune_garbage_collector()  # as the program does, for both kinds
     await (serve_processor if kind == "processor" else serve_floor)(ended)
 
 
--- a/garnethaven/__main__.py
+++ b/garnethaven/__main__.py
@@ -25,11 +25,11 @@
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar, path)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, sidecar.drain)
-    spare_collections()
+    tune_garbage_collector()
     await sidecar.finished()
 
 
-def spare_collections() -> None:
+def tune_garbage_collector() -> None:
     """Make garbage collections rare and short: reference counts free nearly all objects of this process."""
     gc.collect()
     gc.freeze()  # objects that exist now stay: exclude them from collections
