--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -17,8 +17,8 @@
 from standins.ports import PORTS
 from tests.loopback import (
     ANSWER,
-    Lists,
     Peer,
+    ScriptedDiscovery,
     config_file,
     facts,
     read_message,
@@ -74,7 +74,7 @@
             preexec_fn=limit_descriptors,
             stderr=asyncio.subprocess.DEVNULL,
         )
-        lists = Lists([added_peer.member("s1")])
+        lists = ScriptedDiscovery([added_peer.member("s1")])
         idle_writers = []
         try:
             await ready(port)
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -11,7 +11,7 @@
 
 from garnethaven.limits.lists import MAX_CHANGE_DELAY_S, MAX_QUEUE_WAIT_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
-from tests.loopback import ANSWER, Lists, Peer, Sidecar, run, running, says, silent, until
+from tests.loopback import ANSWER, Peer, ScriptedDiscovery, Sidecar, run, running, says, silent, until
 
 GRACE_S = 0.5
 
@@ -99,7 +99,7 @@
 
     async def case() -> None:
         peer = await Peer(says(ANSWER)).start()
-        lists = await Lists([peer.member("s0") | {"phase": "DRAINING"}]).start()
+        lists = await ScriptedDiscovery([peer.member("s0") | {"phase": "DRAINING"}]).start()
         started_at = time.monotonic()
         sidecar = Sidecar(
             [peer.member("s0")],
@@ -122,7 +122,7 @@
 
     async def case() -> None:
         peer = await Peer(says(ANSWER)).start()
-        lists = await Lists([peer.member("s0")]).start()
+        lists = await ScriptedDiscovery([peer.member("s0")]).start()
         sidecar = Sidecar([peer.member("s0")], discovery=lists.port, membershipMode="ask", fleetSize=214)
         await until(lambda: any(b"wait_ms=20000" in head for head in lists.requests))
         lists.members = [peer.member("s0") | {"phase": "DRAINING"}]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -192,7 +192,7 @@
         await asyncio.sleep(0.01)
 
 
-class Lists(Peer):
+class ScriptedDiscovery(Peer):
     """A scripted discovery server: sends one list and then leaves watches unanswered."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -14,7 +14,17 @@
 from garnethaven.app.sidecar import Sidecar
 from standins.ports import PORTS
 from standins.zookeeper.ensemble import Ensemble
-from tests.loopback import ANSWER, Lists, Peer, config_file, read_message, request, run, says, until
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    ScriptedDiscovery,
+    config_file,
+    read_message,
+    request,
+    run,
+    says,
+    until,
+)
 from tests.rigs.test_rigs import play
 
 
@@ -38,7 +48,7 @@
         for number, (peer, session) in enumerate(zip(peers, self.sessions, strict=True)):
             data = json.dumps(peer.member(f"p{number}")).encode()
             self.ensemble.make(f"/checks/p{number}", data, session)
-        self.discovery = await Lists([peer.member("d") for peer in listed]).start()
+        self.discovery = await ScriptedDiscovery([peer.member("d") for peer in listed]).start()
         self.write("/checks")
         told = config_file(
             self.folder / "config",
--- a/tests/ops/test_upgrade.py
+++ b/tests/ops/test_upgrade.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from standins.ports import PORTS
-from tests.loopback import ANSWER, Lists, Peer, config_file, read_message, request, run, says
+from tests.loopback import ANSWER, Peer, ScriptedDiscovery, config_file, read_message, request, run, says
 from tests.ops.test_front import attach, call, detach, operator_request
 
 ROOT = Path(__file__).parents[2]
@@ -30,7 +30,9 @@
 
     async def begin(self) -> Deployment:
         self.peers = [await Peer(says(ANSWER)).start() for _ in range(2)]
-        self.lists = await Lists([peer.member(f"s{n}") for n, peer in enumerate(self.peers)]).start()
+        self.lists = await ScriptedDiscovery(
+            [peer.member(f"s{n}") for n, peer in enumerate(self.peers)]
+        ).start()
         return self
 
     async def start(self, wait: bool = True, **changes: object) -> tuple[asyncio.subprocess.Process, int]:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,7 @@
 
 from standins.platform import Program, settings
 from standins.ports import PORTS
-from tests.loopback import Lists, run
+from tests.loopback import ScriptedDiscovery, run
 from tests.test_flow import Server, body_parts, read_head
 
 MB = 1024 * 1024
@@ -84,7 +84,7 @@
             {"id": f"s{n}", "host_port": f"127.0.0.1:{server.port}", "phase": "SERVING", "cell": 0}
             for n in range(CONCURRENT_PAIRS)
         ]
-        lists = await Lists(members).start()
+        lists = await ScriptedDiscovery(members).start()
         facts = settings()
         facts["grades"][0]["deadlineNs"] = facts["grades"][0]["aimNs"] = 20 * 10**9  # the machine may be busy
         initial_list = {"revision": 1, "complete": True, "members": members}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,8 +25,8 @@
 from tests.loopback import (
     ANSWER,
     WAIT_S,
-    Lists,
     Peer,
+    ScriptedDiscovery,
     config_file,
     opened,
     read_message,
@@ -358,7 +358,10 @@
 def test_discovery_moves_at_once_and_leaves_the_old_address() -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
-            old, new = await Lists([peer.member("s0")]).start(), await Lists([peer.member("s9")]).start()
+            old, new = (
+                await ScriptedDiscovery([peer.member("s0")]).start(),
+                await ScriptedDiscovery([peer.member("s9")]).start(),
+            )
             sidecar.discovery.move(("127.0.0.1", old.port))
             await until(lambda: len(old.requests) == 2)
             sidecar.discovery.move(("127.0.0.1", new.port))
@@ -385,7 +388,10 @@
 def test_the_program_outlives_new_configurations_and_ends_cleanly(tmp_path: Path) -> None:
     async def case() -> None:
         peer = await Peer(says(ANSWER)).start()
-        old, new = await Lists([peer.member("s0")]).start(), await Lists([peer.member("s0")]).start()
+        old, new = (
+            await ScriptedDiscovery([peer.member("s0")]).start(),
+            await ScriptedDiscovery([peer.member("s0")]).start(),
+        )
         with contextlib.closing(await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)) as unused:
             port = unused.sockets[0].getsockname()[1]
         listen = f"127.0.0.1:{port}"
@@ -427,7 +433,7 @@
 def test_a_failed_first_list_after_a_move_is_asked_for_again() -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
-            lists = Lists([peer.member("s9")])
+            lists = ScriptedDiscovery([peer.member("s9")])
             answer_request = lists._tell
 
             async def fails_at_first(
@@ -531,7 +537,7 @@
 def test_the_operators_file_is_taken_over_while_it_runs_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     async def case() -> None:
         peer, view_port = await Peer(says(ANSWER)).start(), PORTS.take()
-        lists = await Lists([peer.member("s0")]).start()
+        lists = await ScriptedDiscovery([peer.member("s0")]).start()
         port = PORTS.take()
         path = config_file(
             tmp_path / "c.json", listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{lists.port}"
