--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -19,13 +19,13 @@
     ANSWER,
     Peer,
     ScriptedDiscovery,
+    answers_with,
     config_file,
     facts,
     read_message,
     ready,
     request,
     run,
-    says,
     until,
 )
 
@@ -55,7 +55,7 @@
     tmp_path: Path,
 ) -> None:
     async def case() -> None:
-        peer, added_peer = await Peer(says(ANSWER)).start(), await Peer(says(ANSWER)).start()
+        peer, added_peer = await Peer(answers_with(ANSWER)).start(), await Peer(answers_with(ANSWER)).start()
         port, discovery_port = PORTS.take(), PORTS.take()
         settings = facts() | {"membershipMode": "ask", "fleetSize": 3}
         settings["rules"] = settings["rules"] | {"askWithinNs": 4 * 10**9}
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -16,7 +16,7 @@
 from garnethaven.interface import DedupScope, Idempotency
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
-from tests.loopback import ANSWER, Peer, Sidecar, read_message, request, run, running, says, until
+from tests.loopback import ANSWER, Peer, Sidecar, answers_with, read_message, request, run, running, until
 
 
 class DelayedDials:
@@ -60,7 +60,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             set_effect(sidecar, Idempotency.RETRYABLE, cancel=cancel)
             dials = DelayedDials(monkeypatch)
             _, writer = await sidecar.connect()
@@ -82,8 +82,8 @@
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def case() -> None:
-        other_peer = await Peer(says(ANSWER)).start()
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        other_peer = await Peer(answers_with(ANSWER)).start()
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
             await until(lambda: dials.dial_count == 1)
@@ -157,7 +157,7 @@
 
 def test_a_dial_that_outlasts_the_request_ends_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             assert (await sidecar.ask(request(X_Budget_Ms="150")))[0] in (502, 503, 504)
             dials.permits.release()
@@ -173,7 +173,7 @@
     """Time that passes between the decision to send and the writing is deducted from the server's budget."""
 
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="2000")))
             await until(lambda: dials.dial_count == 1)
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, Peer, Script, read_message, request, run, running, says, until
+from tests.loopback import ANSWER, Peer, Script, answers_with, read_message, request, run, running, until
 
 
 def resets_after(may_reset: asyncio.Event) -> Script:
@@ -31,7 +31,7 @@
     """While the process is blocked, its client disconnects, or half-closes and still waits for its answer."""
 
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             sock = socket.socket()
             sock.connect(("127.0.0.1", sidecar.port))
             await until(lambda: len(sidecar.listener.connections) == 1)
@@ -111,7 +111,7 @@
             await until(lambda: request_count(peers) == 1)
             for peer in peers:
                 if not peer.requests:
-                    peer.script = says(ANSWER)
+                    peer.script = answers_with(ANSWER)
             may_reset.set()
             assert (await read_message(reader))[1] == b"hello"
             writer.close()
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -26,7 +26,7 @@
     MIN_REST_S,
     ReusePolicy,
 )
-from tests.loopback import WAIT_S, Sidecar, request, run, running, says, until
+from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running, until
 
 SECOND_REQUEST_S = 0.003  # after the answer to the first request
 WORK_S = 0.04  # longer than the latest duplicate answer
@@ -122,7 +122,7 @@
 
 def test_a_second_answer_right_behind_a_good_one_is_noted() -> None:
     async def case() -> None:
-        async with running(says(answer_to(request()) * 2)) as (sidecar, _):
+        async with running(answers_with(answer_to(request()) * 2)) as (sidecar, _):
             assert (await sidecar.ask(request())) == (200, b"c1")
             assert sidecar.transport.pool.reuse.unasked_at is not None
 
@@ -131,7 +131,7 @@
 
 def test_a_connection_that_is_opened_adds_to_the_allowance() -> None:
     async def case() -> None:
-        async with running(says(answer_to(request()))) as (sidecar, _):
+        async with running(answers_with(answer_to(request()))) as (sidecar, _):
             assert (await sidecar.ask(request()))[0] == 200
             allowance = sidecar.transport.pool.reuse.allowance
             assert allowance == pytest.approx(INITIAL_ALLOWANCE + ALLOWANCE_SHARE)
@@ -141,7 +141,7 @@
 
 def test_a_server_whose_connections_have_not_rested_needs_a_new_one() -> None:
     async def case() -> None:
-        async with running(says(answer_to(request()))) as (sidecar, _):
+        async with running(answers_with(answer_to(request()))) as (sidecar, _):
             assert (await sidecar.ask(request()))[0] == 200
             (target,) = sidecar.transport.targets.values()
             sidecar.transport.pool.settle_s = WAIT_S
@@ -156,7 +156,10 @@
 def test_no_connection_is_opened_beyond_need_where(reason: str) -> None:
     async def case() -> None:
         full = reason == "the pool is full"
-        async with running(says(answer_to(request())), connections=1 if full else 32) as (sidecar, (peer,)):
+        async with running(answers_with(answer_to(request())), connections=1 if full else 32) as (
+            sidecar,
+            (peer,),
+        ):
             if not full:
                 sidecar.tell([peer.member("s0") | {"up_since_ms": int(time.time() * 1000)}])
             sidecar.transport.pool.reuse.full_rest_s = WAIT_S
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -13,7 +13,7 @@
 from garnethaven.net.listener import KILL_S
 from rigs.stage import Stage
 from standins.platform import NS, settings
-from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, says, silent, until
+from tests.loopback import ANSWER, Sidecar, answers_with, read_message, request, run, running, silent, until
 
 
 def set_deadlines(sidecar: Sidecar, deadline_ms: int) -> float:
@@ -81,7 +81,7 @@
 
 def test_a_request_on_a_connection_that_is_being_shut_is_not_sent_on() -> None:
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             reader, writer = await sidecar.connect()
             writer.write(request())
             assert (await read_message(reader))[1] == b"hello"
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -11,7 +11,7 @@
 
 from garnethaven.limits.lists import MAX_CHANGE_DELAY_S, MAX_QUEUE_WAIT_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
-from tests.loopback import ANSWER, Peer, ScriptedDiscovery, Sidecar, run, running, says, silent, until
+from tests.loopback import ANSWER, Peer, ScriptedDiscovery, Sidecar, answers_with, run, running, silent, until
 
 GRACE_S = 0.5
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("fails", ["silent", "turns away", "resets"])
 def test_what_an_agent_has_at_its_return_is_known_within_a_drains_grace(fails: str) -> None:
     async def case() -> None:
-        async with running(says(ANSWER)) as (sidecar, (peer,)):
+        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             agent = await Agent([peer.member("s0") | {"phase": "DRAINING"}], fails).start()
             # As after a successful move to another address.
             sidecar.discovery.address = ("127.0.0.1", agent.port)
@@ -98,7 +98,7 @@
     """The zone was down for 5 s and a server left meanwhile: the change is due 2 s after the start."""
 
     async def case() -> None:
-        peer = await Peer(says(ANSWER)).start()
+        peer = await Peer(answers_with(ANSWER)).start()
         lists = await ScriptedDiscovery([peer.member("s0") | {"phase": "DRAINING"}]).start()
         started_at = time.monotonic()
         sidecar = Sidecar(
@@ -121,7 +121,7 @@
     """In a fleet of 214 the watch waits for 20 s; here it reports nothing because it has fallen silent."""
 
     async def case() -> None:
-        peer = await Peer(says(ANSWER)).start()
+        peer = await Peer(answers_with(ANSWER)).start()
         lists = await ScriptedDiscovery([peer.member("s0")]).start()
         sidecar = Sidecar([peer.member("s0")], discovery=lists.port, membershipMode="ask", fleetSize=214)
         await until(lambda: any(b"wait_ms=20000" in head for head in lists.requests))
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -21,7 +21,7 @@
 from garnethaven.interface import ListKind
 from standins.ledger import Ledger
 from standins.proxy import ATTEMPTS, TOKEN, UNUSED, VALID, Asked, Proxy, Ways, headers_message
-from tests.loopback import ANSWER, Peer, Sidecar, read_message, request, run, running, says, until
+from tests.loopback import ANSWER, Peer, Sidecar, answers_with, read_message, request, run, running, until
 
 KEY = b"k" * 16
 
@@ -52,7 +52,7 @@
 
 @contextlib.asynccontextmanager
 async def stage(servers: int = 4, **settings: Any) -> AsyncIterator[Stage]:
-    async with running(*[says(ANSWER)] * servers) as (sidecar, peers):
+    async with running(*[answers_with(ANSWER)] * servers) as (sidecar, peers):
         operator = ExternalProcessor(listen=("127.0.0.1", 0), **({"keys": (KEY,)} | settings))
         front = Front(operator, sidecar.engine, sidecar.transport, sidecar.listener.classes)
         await front.start(("127.0.0.1", 0))
@@ -169,7 +169,7 @@
         async with stage() as made:
             go_on = asyncio.Event()
             for peer in made.peers:
-                peer.script = says(ANSWER, go_on)
+                peer.script = answers_with(ANSWER, go_on)
             asking = asyncio.create_task(made.sidecar.ask(request(X_Call_Id="c1")))
             await until(lambda: not made.quiet())
             assert (await made.decide(made.proxy.ask())).status == 409
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -95,7 +95,7 @@
         return {"id": name, "host_port": f"127.0.0.1:{self.port}", "phase": "SERVING", "cell": 0}
 
 
-def says(answer: bytes, go_on: asyncio.Event | None = None) -> Script:
+def answers_with(answer: bytes, go_on: asyncio.Event | None = None) -> Script:
     """A script that always sends `answer`, after `go_on` is set if it is given."""
 
     async def script(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -23,6 +23,7 @@
     ANSWER,
     Peer,
     Sidecar,
+    answers_with,
     config_file,
     facts,
     read_message,
@@ -30,7 +31,6 @@
     request,
     run,
     running,
-    says,
     silent,
     until,
 )
@@ -215,7 +215,7 @@
 
 @contextlib.asynccontextmanager
 async def watched(bad: bytes, ends: bool = False) -> AsyncIterator[Watched]:
-    async with running(says(ANSWER), says(ANSWER)) as (sidecar, servers):
+    async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, servers):
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
         discovery = await BadDiscovery(members, bad, ends).start()
         made = Watched(sidecar, discovery, servers)
@@ -369,7 +369,7 @@
     bad, ends, line = NOT_LISTS[kind]
 
     async def case() -> None:
-        servers = [await Peer(says(ANSWER)).start() for _ in range(2)]
+        servers = [await Peer(answers_with(ANSWER)).start() for _ in range(2)]
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
         discovery = await BadDiscovery(members, bad, ends).start()
         settings = facts() | {"membershipMode": "ask"}
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -18,11 +18,11 @@
     ANSWER,
     Peer,
     ScriptedDiscovery,
+    answers_with,
     config_file,
     read_message,
     request,
     run,
-    says,
     until,
 )
 from tests.rigs.test_rigs import play
@@ -88,7 +88,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def case() -> None:
-        peers = [await Peer(says(ANSWER)).start() for _ in range(2)]
+        peers = [await Peer(answers_with(ANSWER)).start() for _ in range(2)]
         stage = Stage(tmp_path)
         await stage.start(peers, [])
         monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config"))
@@ -124,7 +124,7 @@
 
 def test_with_nobody_left_requests_are_refused_at_once_and_served_without_a_restart(tmp_path: Path) -> None:
     async def case() -> None:
-        peer = await Peer(says(ANSWER)).start()
+        peer = await Peer(answers_with(ANSWER)).start()
         stage = Stage(tmp_path)
         await stage.start([peer], [])
         targets = stage.sidecar.transport.targets
@@ -145,7 +145,7 @@
 
 def test_discovery_and_the_registry_serve_together(tmp_path: Path) -> None:
     async def case() -> None:
-        peers = [await Peer(says(ANSWER)).start() for _ in range(2)]
+        peers = [await Peer(answers_with(ANSWER)).start() for _ in range(2)]
         stage = Stage(tmp_path)
         await stage.start(peers[:1], peers)  # the first is told by both
         targets = stage.sidecar.transport.targets
@@ -163,7 +163,7 @@
 def test_the_program_takes_its_own_node_back_before_it_drains(tmp_path: Path) -> None:
     async def case() -> None:
         stage = Stage(tmp_path)
-        peer = await Peer(says(ANSWER)).start()
+        peer = await Peer(answers_with(ANSWER)).start()
         await stage.start([peer], [])
         nodes = stage.ensemble.tree.nodes
         await until(lambda: "/me" in nodes)
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -24,13 +24,13 @@
 from tests.loopback import (
     ANSWER,
     Peer,
+    answers_with,
     config_file,
     facts,
     read_message,
     ready,
     request,
     run,
-    says,
     silent,
     until,
 )
@@ -165,7 +165,7 @@
     limits = {"memory_mb": 32, "sockets": 256}
 
     async def case() -> None:
-        servers = [await Peer(says(ANSWER)).start() for _ in range(LISTENERS)]
+        servers = [await Peer(answers_with(ANSWER)).start() for _ in range(LISTENERS)]
         ports = [server.port for server in servers]
         discovery = await WholeLists(ports, SERVERS, CHANGES, indent).start()
         known = {"revision": 90, "complete": True, "members": members_of(0, SERVERS, ports)}
@@ -197,7 +197,7 @@
     limits = {"memory_mb": 192, "sockets": 256}
 
     async def case() -> None:
-        servers = [await Peer(says(ANSWER)).start() for _ in range(LISTENERS)]
+        servers = [await Peer(answers_with(ANSWER)).start() for _ in range(LISTENERS)]
         discovery = await WholeLists([server.port for server in servers], 15_000, 2, None).start()
         async with program(tmp_path / "c.json", discovery, limits, settings=settings_of(SERVERS)) as made:
             await until(lambda: len(discovery.requests) == 3)  # both were taken: the next watch is out
--- a/tests/ops/test_upgrade.py
+++ b/tests/ops/test_upgrade.py
@@ -11,7 +11,16 @@
 from pathlib import Path
 
 from standins.ports import PORTS
-from tests.loopback import ANSWER, Peer, ScriptedDiscovery, config_file, read_message, request, run, says
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    ScriptedDiscovery,
+    answers_with,
+    config_file,
+    read_message,
+    request,
+    run,
+)
 from tests.ops.test_front import attach, call, detach, operator_request
 
 ROOT = Path(__file__).parents[2]
@@ -29,7 +38,7 @@
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def begin(self) -> Deployment:
-        self.peers = [await Peer(says(ANSWER)).start() for _ in range(2)]
+        self.peers = [await Peer(answers_with(ANSWER)).start() for _ in range(2)]
         self.lists = await ScriptedDiscovery(
             [peer.member(f"s{n}") for n, peer in enumerate(self.peers)]
         ).start()
