--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -9,7 +9,7 @@
 
 from garnethaven.net import client
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, answers_with, request, run, running, silent, until
+from tests.loopback import ANSWER, answers_with, never_answers, request, run, running, until
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
@@ -165,7 +165,7 @@
             sidecar.transport.pool.settle_s = 0.0
             assert (await sidecar.ask(request())) == (200, b"hello")
             (connection,) = sidecar.transport.pool.connections
-            peer.script = silent
+            peer.script = never_answers
             writers = peer.writers
             writers[0].write(b"HTTP/1.1 2")
             await until(lambda: connection.transport.is_closing() or connection._unread())
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -13,7 +13,17 @@
 from garnethaven.net.listener import KILL_S
 from rigs.stage import Stage
 from standins.platform import NS, settings
-from tests.loopback import ANSWER, Sidecar, answers_with, read_message, request, run, running, silent, until
+from tests.loopback import (
+    ANSWER,
+    Sidecar,
+    answers_with,
+    never_answers,
+    read_message,
+    request,
+    run,
+    running,
+    until,
+)
 
 
 def set_deadlines(sidecar: Sidecar, deadline_ms: int) -> float:
@@ -32,7 +42,7 @@
     """Endpoints hang, clients connect for another 0.4 s, one client is idle and one sends half a request."""
 
     async def case() -> None:
-        async with running(silent) as (sidecar, _):
+        async with running(never_answers) as (sidecar, _):
             killed_after_s = set_deadlines(sidecar, deadline_ms)
             loop = asyncio.get_running_loop()
             idle_reader, _ = await sidecar.connect()
@@ -58,7 +68,7 @@
 
 def test_a_request_that_comes_late_has_no_longer_than_the_process() -> None:
     async def case() -> None:
-        async with running(silent) as (sidecar, (peer,)):
+        async with running(never_answers) as (sidecar, (peer,)):
             killed_after_s = set_deadlines(sidecar, 900)
             loop = asyncio.get_running_loop()
             sidecar.listener.drain()
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -11,7 +11,17 @@
 
 from garnethaven.limits.lists import MAX_CHANGE_DELAY_S, MAX_QUEUE_WAIT_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
-from tests.loopback import ANSWER, Peer, ScriptedDiscovery, Sidecar, answers_with, run, running, silent, until
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    ScriptedDiscovery,
+    Sidecar,
+    answers_with,
+    never_answers,
+    run,
+    running,
+    until,
+)
 
 GRACE_S = 0.5
 
@@ -28,7 +38,7 @@
     async def _answer(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if not self.is_back:
             if self.fails == "silent":
-                await silent(head, reader, writer)
+                await never_answers(head, reader, writer)
             elif self.fails == "turns away":
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 return
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -106,7 +106,7 @@
     return script
 
 
-async def silent(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_answers(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()  # until the other side closes the connection
     raise ConnectionError
 
@@ -201,7 +201,7 @@
 
     async def _tell(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if b"wait_ms" in head and len(self.requests) > 1:
-            await silent(head, reader, writer)
+            await never_answers(head, reader, writer)
         body = json.dumps({"revision": 7, "complete": True, "members": self.members}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -26,12 +26,12 @@
     answers_with,
     config_file,
     facts,
+    never_answers,
     read_message,
     ready,
     request,
     run,
     running,
-    silent,
     until,
 )
 
@@ -175,7 +175,7 @@
             writer.write(answer(list_of(self.members)))
         elif self.mended:
             if self.told_last:
-                await silent(head, reader, writer)
+                await never_answers(head, reader, writer)
             self.told_last = True
             drains = [self.members[0] | {"phase": "DRAINING"}, *self.members[1:]]
             writer.write(answer(list_of(drains, 20)))
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -27,11 +27,11 @@
     answers_with,
     config_file,
     facts,
+    never_answers,
     read_message,
     ready,
     request,
     run,
-    silent,
     until,
 )
 
@@ -75,7 +75,7 @@
 
     async def _tell(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.revision - 100 >= self.changes:
-            await silent(head, reader, writer)
+            await never_answers(head, reader, writer)
         first = REPLACED * (self.revision - 100)
         self.revision += 1
         told = {
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -27,7 +27,7 @@
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ok
 from tests.grpcs.test_on_sockets import stage as grpc_stage
-from tests.loopback import ANSWER, WAIT_S, answers_with, request, run, running, silent, until
+from tests.loopback import ANSWER, WAIT_S, answers_with, never_answers, request, run, running, until
 
 MANY = 60
 
@@ -150,7 +150,7 @@
     monkeypatch.setattr(Engine, "log", lambda self, text: logged.append(text))
 
     async def case() -> None:
-        async with running(silent, connections=4) as (sidecar, _):
+        async with running(never_answers, connections=4) as (sidecar, _):
             clients = [
                 connected(sidecar.port, request(X_Call_Id=f"b{n}", X_Budget_Ms="300")) for n in range(MANY)
             ]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -29,13 +29,13 @@
     ScriptedDiscovery,
     answers_with,
     config_file,
+    never_answers,
     opened,
     read_message,
     ready,
     request,
     run,
     running,
-    silent,
     until,
 )
 
@@ -84,7 +84,7 @@
 
 def test_an_id_that_is_under_way_is_not_taken_again() -> None:
     async def case() -> None:
-        async with running(silent) as (sidecar, (peer,)):
+        async with running(never_answers) as (sidecar, (peer,)):
             _, first = await sidecar.connect()
             first.write(request())
             await until(lambda: len(peer.requests) == 1)
@@ -325,7 +325,7 @@
 
 def test_dials_count_against_the_limit_before_they_begin() -> None:
     async def case() -> None:
-        async with running(silent) as (sidecar, (peer,)):
+        async with running(never_answers) as (sidecar, (peer,)):
             sidecar.transport.pool.limit = lambda: 2
             clients = [await sidecar.connect() for _ in range(6)]
             for n, (_, writer) in enumerate(clients):
