--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -138,12 +138,12 @@
         self.transport = HttpTransport(self.engine, parsed_settings, loop, lambda: connections, 64)
         self.discovery = Discovery(self.config, self.engine, self.transport, loop)
         self.engine.start()
-        self.tell(members)
+        self.set_members(members)
         self.listener = Listener(self.config, self.engine, self.transport, loop, lambda: connections)
         self.listener.set_limits(client_places)
         self.port = self.listener.sock.getsockname()[1]
 
-    def tell(self, members: list[dict[str, Any]]) -> None:
+    def set_members(self, members: list[dict[str, Any]]) -> None:
         self.discovery.start({"revision": 1, "complete": True, "members": members})
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -213,7 +213,7 @@
             "cell": 0,
         }
         closed.close()
-        sidecar.tell(
+        sidecar.set_members(
             [
                 unreachable,
                 {"id": "s1", "host_port": f"127.0.0.1:{servers[1].port}", "phase": "SERVING", "cell": 0},
