--- a/tests/budgets/test_engine.py
+++ b/tests/budgets/test_engine.py
@@ -10,7 +10,7 @@
 from garnethaven.app.operator import OperatorError, read_operator
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from tests.loopback import ANSWER, answers_with, request, run, running, until
+from tests.loopback import ANSWER, answers_with, request, run, running, wait_until
 from tests.rigs.test_rigs import imported_at_start
 
 ROOT = Path(__file__).parent.parent.parent
@@ -100,7 +100,7 @@
             sidecar.engine.spending = Room(RETRY=1)
             assert (await sidecar.ask(request(X_Call_Id="c2")))[0] == 503
             assert sum(len(peer.requests) for peer in peers) == 3
-            await until(lambda: not sidecar.engine.calls)
+            await wait_until(lambda: not sidecar.engine.calls)
 
     run(case())
 
--- a/tests/connections/test_pool.py
+++ b/tests/connections/test_pool.py
@@ -13,7 +13,7 @@
 from garnethaven.connections.pool import PlannedPool, PlannedTarget
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.exchange import Answer, Exchange
-from tests.loopback import ANSWER, read_message, run, until
+from tests.loopback import ANSWER, read_message, run, wait_until
 
 REQUEST = b"POST /api HTTP/1.1\r\nHost: t\r\nContent-Length: 2\r\n\r\nhi"
 
@@ -104,7 +104,7 @@
         return asked
 
     async def settled(self) -> None:
-        await until(lambda: not self.target.busy and not self.target.dials)
+        await wait_until(lambda: not self.target.busy and not self.target.dials)
         await asyncio.sleep(0.01)  # a connection is used again a moment after its answer
 
 
@@ -255,7 +255,7 @@
             assert (await made.ask()).status == 200
             await made.settled()
             made.target.idle[0].idle_since -= 1.8
-            await until(lambda: not made.target.idle)
+            await wait_until(lambda: not made.target.idle)
 
     run(case())
 
@@ -265,7 +265,7 @@
         async with stage() as made:
             made.far.slow_s = 0.3
             first = made.begin()
-            await until(lambda: made.target.busy == 1)
+            await wait_until(lambda: made.target.busy == 1)
             made.far.close_at_once = True
             others = [made.begin() for _ in range(10)]
             await asyncio.gather(*(one.done.wait() for one in others), first.done.wait())
@@ -284,7 +284,7 @@
             made.target.abandon_waiting()
             await asyncio.gather(*(one.done.wait() for one in asked))
             assert all(one.lost is False for one in asked)
-            await until(lambda: not made.target.dials and not made.pool.dials)
+            await wait_until(lambda: not made.target.dials and not made.pool.dials)
             assert not made.target.idle
             assert (await made.ask()).skipped  # nothing new while it drains
             other = await Far().start()
@@ -316,7 +316,7 @@
             asked = [made.begin() for _ in range(6)]
             await asyncio.gather(*(one.done.wait() for one in asked))
             made.target.close_idle()
-            await until(lambda: len(made.target.idle) >= 4)
+            await wait_until(lambda: len(made.target.idle) >= 4)
             opened = made.far.opened
             again = [made.begin() for _ in range(4)]
             await asyncio.gather(*(one.done.wait() for one in again))
@@ -361,8 +361,8 @@
                 target.move(None)
                 target.close_idle()
                 target.abandon_waiting()
-            await until(lambda: not made.pool.connections and not made.pool.dials)
-            await until(lambda: len(made.pool.active) <= 1 or not any(t.idle for t in made.pool.active))
+            await wait_until(lambda: not made.pool.connections and not made.pool.dials)
+            await wait_until(lambda: len(made.pool.active) <= 1 or not any(t.idle for t in made.pool.active))
 
     run(case())
 
@@ -383,7 +383,7 @@
             monkeypatch.setattr(PlannedTarget, "_connect", held)
             late = one.begin()
             late.may_begin = lambda: False  # type: ignore[method-assign]
-            await until(lambda: one.far.opened == 1)
+            await wait_until(lambda: one.far.opened == 1)
             may_end.set()
             await late.done.wait()
             assert late.lost is False and late.skipped and one.far.requests == 0
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -9,7 +9,7 @@
 
 from garnethaven.net import client
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, answers_with, never_answers, request, run, running, until
+from tests.loopback import ANSWER, answers_with, never_answers, request, run, running, wait_until
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
@@ -24,15 +24,15 @@
     async def case() -> None:
         async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (connection,) = sidecar.listener.connections
             connection.stop_reading()
             await loop.sock_sendall(sock, request())
             assert await read_to_end(sock) == b""
-            await until(lambda: connection.lingering_close.swallowed == len(request()))
+            await wait_until(lambda: connection.lingering_close.swallowed == len(request()))
             assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset
             sock.close()
-            await until(lambda: not sidecar.listener.connections)
+            await wait_until(lambda: not sidecar.listener.connections)
             assert not peer.requests
 
     run(case())
@@ -44,11 +44,11 @@
         async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
-            await until(lambda: len(peer.requests) == 1)
+            await wait_until(lambda: len(peer.requests) == 1)
             # More than the read buffer holds.
             body_sender = asyncio.create_task(loop.sock_sendall(sock, b"x" * 500_000))
             (connection,) = sidecar.listener.connections
-            await until(lambda: len(connection.unread) > 64 * 1024)
+            await wait_until(lambda: len(connection.unread) > 64 * 1024)
             sidecar.listener.draining = True  # the answer ends the connection
             may_answer.set()
             await body_sender
@@ -64,10 +64,10 @@
     async def case() -> None:
         async with running(answers_with(ANSWER)) as (sidecar, _):
             sock = await sidecar.plain()
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (connection,) = sidecar.listener.connections
             connection.stop_reading()
-            await until(lambda: not sidecar.listener.connections)
+            await wait_until(lambda: not sidecar.listener.connections)
             sock.close()
 
     run(case())
@@ -77,7 +77,7 @@
     async def case() -> None:
         async with running(answers_with(ANSWER)) as (sidecar, _):
             idle = [await sidecar.plain() for _ in range(2)]
-            await until(lambda: len(sidecar.listener.connections) == 2)
+            await wait_until(lambda: len(sidecar.listener.connections) == 2)
             for connection in list(sidecar.listener.connections):
                 connection.stop_reading()
             sidecar.listener.limit = lambda: 2
@@ -98,7 +98,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await loop.sock_connect(sock, ("127.0.0.1", sidecar.port))
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (connection,) = sidecar.listener.connections
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await loop.sock_sendall(sock, request())
@@ -168,7 +168,7 @@
             peer.script = never_answers
             writers = peer.writers
             writers[0].write(b"HTTP/1.1 2")
-            await until(lambda: connection.transport.is_closing() or connection._unread())
+            await wait_until(lambda: connection.transport.is_closing() or connection._unread())
             peer.script = answers_with(ANSWER)
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"hello")
             assert peer.connections == 2
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -26,7 +26,7 @@
     ready,
     request,
     run,
-    until,
+    wait_until,
 )
 
 SOCKETS = 128
@@ -86,7 +86,7 @@
                     await reader.read()
 
             idle_tasks = [asyncio.create_task(idle_client()) for _ in range(IDLE_CLIENTS)]
-            await until(lambda: len(idle_writers) == IDLE_CLIENTS)
+            await wait_until(lambda: len(idle_writers) == IDLE_CLIENTS)
             for number in range(8):
                 await ask(port, f"a{number}")
             lists.server = await asyncio.start_server(lists._serve, "127.0.0.1", discovery_port)
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -16,7 +16,17 @@
 from garnethaven.interface import DedupScope, Idempotency
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
-from tests.loopback import ANSWER, Peer, Sidecar, answers_with, read_message, request, run, running, until
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    Sidecar,
+    answers_with,
+    read_message,
+    request,
+    run,
+    running,
+    wait_until,
+)
 
 
 class DelayedDials:
@@ -65,11 +75,11 @@
             dials = DelayedDials(monkeypatch)
             _, writer = await sidecar.connect()
             writer.write(request())
-            await until(lambda: dials.dial_count == 1)
+            await wait_until(lambda: dials.dial_count == 1)
             writer.transport.abort()
-            await until(lambda: not sidecar.engine.open_ids)
+            await wait_until(lambda: not sidecar.engine.open_ids)
             dials.permits.release()
-            await until(lambda: not sidecar.transport.pool.dials)
+            await wait_until(lambda: not sidecar.transport.pool.dials)
             dials.permits.release()
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"hello")
             assert len(peer.requests) == 1 and b"X-Call-Id: c2" in peer.requests[0]
@@ -86,7 +96,7 @@
         async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
-            await until(lambda: dials.dial_count == 1)
+            await wait_until(lambda: dials.dial_count == 1)
             if change == "drains":
                 sidecar.tell([peer.member("s0") | {"phase": "DRAINING"}, other_peer.member("s1")])
             elif change == "moves":
@@ -117,14 +127,14 @@
             set_effect(sidecar, Idempotency.DEDUP, dedup_window)
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
-            await until(lambda: dials.dial_count == 1)
+            await wait_until(lambda: dials.dial_count == 1)
             dials.permits.release()
-            await until(lambda: dials.dial_count == 2)  # the retry's dial
+            await wait_until(lambda: dials.dial_count == 2)  # the retry's dial
             window_end = time.monotonic() + dedup_window / S
-            await until(lambda: time.monotonic() > window_end)
+            await wait_until(lambda: time.monotonic() > window_end)
             dials.permits.release()
             assert (await answer_task)[0] == 503  # safe to retry: all servers deduplicate it
-            await until(lambda: not sidecar.transport.pool.dials)
+            await wait_until(lambda: not sidecar.transport.pool.dials)
             assert sum(len(peer.requests) for peer in peers) == 1
 
     run(case())
@@ -146,9 +156,9 @@
             reader, writer = await sidecar.connect()
             writer.write(request())
             started_at = time.monotonic()
-            await until(lambda: all(len(peer.requests) == 1 for peer in peers))
+            await wait_until(lambda: all(len(peer.requests) == 1 for peer in peers))
             assert b" 503 " in (await read_message(reader))[0]  # safe to retry: all servers deduplicate it
-            await until(lambda: not any(peer.open for peer in peers))
+            await wait_until(lambda: not any(peer.open for peer in peers))
             assert time.monotonic() - started_at < 1.5  # half of the client's timeout
             writer.close()
 
@@ -161,7 +171,7 @@
             dials = DelayedDials(monkeypatch)
             assert (await sidecar.ask(request(X_Budget_Ms="150")))[0] in (502, 503, 504)
             dials.permits.release()
-            await until(lambda: not sidecar.transport.pool.dials)
+            await wait_until(lambda: not sidecar.transport.pool.dials)
             assert not peer.requests
 
     run(case())
@@ -176,7 +186,7 @@
         async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="2000")))
-            await until(lambda: dials.dial_count == 1)
+            await wait_until(lambda: dials.dial_count == 1)
             started_at = time.monotonic()
             await asyncio.sleep(0.5)
             dials.permits.release()
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, Peer, Script, answers_with, read_message, request, run, running, until
+from tests.loopback import ANSWER, Peer, Script, answers_with, read_message, request, run, running, wait_until
 
 
 def resets_after(may_reset: asyncio.Event) -> Script:
@@ -34,7 +34,7 @@
         async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
             sock = socket.socket()
             sock.connect(("127.0.0.1", sidecar.port))
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             sock.sendall(request())
             if stays:
                 sock.shutdown(socket.SHUT_WR)
@@ -49,7 +49,7 @@
                 assert received.startswith(b"HTTP/1.1 200 OK\r\n") and len(peer.requests) == 1
                 sock.close()
             else:
-                await until(lambda: not sidecar.listener.connections)
+                await wait_until(lambda: not sidecar.listener.connections)
                 assert not peer.requests
 
     run(case())
@@ -62,7 +62,7 @@
         async with running(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
-            await until(lambda: request_count(peers) == 1)
+            await wait_until(lambda: request_count(peers) == 1)
             (connection,) = sidecar.listener.connections
             while len(connection.unread) <= 64 * 1024:  # beyond this, reading is paused
                 await loop.sock_sendall(sock, b"x" * 16_384)
@@ -73,7 +73,7 @@
             sock.close()
             await asyncio.sleep(0.02)
             may_reset.set()
-            await until(lambda: not sidecar.engine.open_ids)
+            await wait_until(lambda: not sidecar.engine.open_ids)
             assert request_count(peers) == 1
 
     run(case())
@@ -85,17 +85,17 @@
         async with running(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
-            await until(lambda: request_count(peers) == 1)
+            await wait_until(lambda: request_count(peers) == 1)
             (connection,) = sidecar.listener.connections
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: connection.half_closed)
+            await wait_until(lambda: connection.half_closed)
             assert await loop.sock_recv(sock, 100) == b"HTTP/1.1 "
             await asyncio.sleep(0.05)  # the check that the client is present has succeeded
             reset_at_close(sock)
             sock.close()
             await asyncio.sleep(0.02)
             may_reset.set()
-            await until(lambda: not sidecar.engine.open_ids)
+            await wait_until(lambda: not sidecar.engine.open_ids)
             assert request_count(peers) == 1
 
     run(case())
@@ -108,7 +108,7 @@
             reader, writer = await sidecar.connect()
             writer.write(request())
             writer.write_eof()
-            await until(lambda: request_count(peers) == 1)
+            await wait_until(lambda: request_count(peers) == 1)
             for peer in peers:
                 if not peer.requests:
                     peer.script = answers_with(ANSWER)
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -26,7 +26,7 @@
     MIN_REST_S,
     ReusePolicy,
 )
-from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running, until
+from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running, wait_until
 
 SECOND_REQUEST_S = 0.003  # after the answer to the first request
 WORK_S = 0.04  # longer than the latest duplicate answer
@@ -93,7 +93,7 @@
             reuse.full_rest_s = WAIT_S  # even on a slow machine
             assert (await sidecar.ask(request()))[0] == 200
             assert reuse.required_rest_s(asyncio.get_running_loop().time()) == MIN_REST_S
-            await until(lambda: not sidecar.transport.pool.connections)
+            await wait_until(lambda: not sidecar.transport.pool.connections)
             now = asyncio.get_running_loop().time()
             assert reuse.latest_arrival_s > 0.1
             assert reuse.required_rest_s(now) >= 2.0 * reuse.latest_arrival_s
@@ -179,7 +179,7 @@
             (connection,) = pool.connections
             connection.transport.pause_reading()  # as if the event loop were late
             peer.writers[0].write(answer_to(request()))
-            await until(connection._unread)
+            await wait_until(connection._unread)
             pool.reuse.full_rest_s = WAIT_S
             pool.settle_s = 0.0
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"c2")
@@ -197,7 +197,7 @@
             (connection,) = pool.connections
             connection.transport.pause_reading()
             peer.writers[0].close()
-            await until(connection._unread)
+            await wait_until(connection._unread)
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"c2")
             assert pool.reuse.unasked_at is None
 
@@ -263,7 +263,7 @@
             await answer_task
             (connection,) = pool.connections
             second_task = asyncio.create_task(sidecar.ask(request(X_Call_Id="second")))
-            await until(lambda: connection.exchange is not None and connection.flushed)
+            await wait_until(lambda: connection.exchange is not None and connection.flushed)
             later_task = asyncio.create_task(endpoint.answer_later())
             assert endpoint.first_connection is not None
             endpoint.first_connection.send(answer_to(b"X-Call-Id: first"))
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -22,7 +22,7 @@
     request,
     run,
     running,
-    until,
+    wait_until,
 )
 
 
@@ -48,7 +48,7 @@
             idle_reader, _ = await sidecar.connect()
             partial_reader, writer = await sidecar.connect()
             writer.write(request()[:-1])
-            await until(lambda: any(connection.incoming for connection in sidecar.listener.connections))
+            await wait_until(lambda: any(connection.incoming for connection in sidecar.listener.connections))
             sidecar.listener.drain()
             started_at = loop.time()
             answer_tasks = []
@@ -79,7 +79,7 @@
             writer.write(request_bytes[:-1])
             await asyncio.sleep(0.45)
             writer.write(request_bytes[-1:])
-            await until(lambda: len(peer.requests) == 1)
+            await wait_until(lambda: len(peer.requests) == 1)
             head, _ = await read_message(reader)
             assert b" 50" in head and b"Connection: close" in head
             writer.close()
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -20,7 +20,7 @@
     never_answers,
     run,
     running,
-    until,
+    wait_until,
 )
 
 GRACE_S = 0.5
@@ -57,11 +57,11 @@
             # As after a successful move to another address.
             sidecar.discovery.address = ("127.0.0.1", agent.port)
             sidecar.discovery.target.move(sidecar.discovery.address)
-            await until(lambda: len(agent.requests) >= 3)
+            await wait_until(lambda: len(agent.requests) >= 3)
             assert sidecar.engine.balancer.pool
             agent.is_back = True
             returned_at = time.monotonic()
-            await until(lambda: not sidecar.engine.balancer.pool)
+            await wait_until(lambda: not sidecar.engine.balancer.pool)
             assert time.monotonic() - returned_at < GRACE_S
             agent.server.close()
 
@@ -119,7 +119,7 @@
             slotNo=slot,
         )
         assert sidecar.engine.balancer.pool
-        await until(lambda: not sidecar.engine.balancer.pool)
+        await wait_until(lambda: not sidecar.engine.balancer.pool)
         assert time.monotonic() - started_at < 1.5
         lists.server.close()
         peer.server.close()
@@ -134,16 +134,16 @@
         peer = await Peer(answers_with(ANSWER)).start()
         lists = await ScriptedDiscovery([peer.member("s0")]).start()
         sidecar = Sidecar([peer.member("s0")], discovery=lists.port, membershipMode="ask", fleetSize=214)
-        await until(lambda: any(b"wait_ms=20000" in head for head in lists.requests))
+        await wait_until(lambda: any(b"wait_ms=20000" in head for head in lists.requests))
         lists.members = [peer.member("s0") | {"phase": "DRAINING"}]
         answering_script, lists.script = lists.script, reject
         request_count = len(lists.requests)
         sidecar.discovery.ask_for_full_list()
-        await until(lambda: len(lists.requests) > request_count)
+        await wait_until(lambda: len(lists.requests) > request_count)
         await asyncio.sleep(0.1)
         lists.script = answering_script
         returned_at = time.monotonic()
-        await until(lambda: not sidecar.engine.balancer.pool)
+        await wait_until(lambda: not sidecar.engine.balancer.pool)
         assert time.monotonic() - returned_at < MAX_CHANGE_DELAY_S
         lists.server.close()
         peer.server.close()
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -21,7 +21,17 @@
 from garnethaven.interface import ListKind
 from standins.ledger import Ledger
 from standins.proxy import ATTEMPTS, TOKEN, UNUSED, VALID, Asked, Proxy, Ways, headers_message
-from tests.loopback import ANSWER, Peer, Sidecar, answers_with, read_message, request, run, running, until
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    Sidecar,
+    answers_with,
+    read_message,
+    request,
+    run,
+    running,
+    wait_until,
+)
 
 KEY = b"k" * 16
 
@@ -74,7 +84,7 @@
             assert decision.token
             assert not made.quiet()
             await asked.report({":status": "200"}, 10.0)
-            await until(made.quiet)
+            await wait_until(made.quiet)
             overload = made.sidecar.engine.balancer.overload
             assert overload.last_answer > 0  # a good answer
 
@@ -87,7 +97,7 @@
             asked = made.proxy.ask()
             await made.decide(asked)
             await asked.report({":status": "500"}, 10.0)
-            await until(made.quiet)
+            await wait_until(made.quiet)
             servers = made.sidecar.engine.balancer.servers.values()
             assert sum(server.errors > 0 for server in servers) == 1
 
@@ -110,9 +120,9 @@
                     asked = made.proxy.ask()
                     assert (await made.decide(asked, x_call_id=f"n{number}")).address
                     await asked.report({":status": "200"}, 10.0)
-                await until(made.quiet)
+                await wait_until(made.quiet)
                 made.sidecar.engine.timers.clear()
-                await until(lambda: not any(call() or attempt() for call, attempt in kept))
+                await wait_until(lambda: not any(call() or attempt() for call, attempt in kept))
                 assert len(kept) == 5
             finally:
                 gc.enable()
@@ -127,7 +137,7 @@
             decision = await made.decide(made.proxy.ask())
             assert (decision.status, decision.address) == (503, "")
             assert "refused" in decision.details
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -144,7 +154,7 @@
                 told = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
                 await asked.call.write(told)  # and never reads
             asked.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
+            await wait_until(lambda: made.front.streams == 0 and made.quiet())
             servers = made.sidecar.engine.balancer.servers.values()
             assert not any(server.errors for server in servers)
 
@@ -158,7 +168,7 @@
             assert (await made.decide(first)).address
             assert (await made.decide(second)).status == 409
             await first.report({":status": "200"}, 10.0)
-            await until(made.quiet)
+            await wait_until(made.quiet)
             assert (await made.decide(made.proxy.ask())).address
 
     run(case())
@@ -171,7 +181,7 @@
             for peer in made.peers:
                 peer.script = answers_with(ANSWER, go_on)
             asking = asyncio.create_task(made.sidecar.ask(request(X_Call_Id="c1")))
-            await until(lambda: not made.quiet())
+            await wait_until(lambda: not made.quiet())
             assert (await made.decide(made.proxy.ask())).status == 409
             go_on.set()
             assert await asking == (200, b"hello")
@@ -190,7 +200,7 @@
                 after.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2", "x-call-id": "c1"}
             )
             assert told.address
-            await until(lambda: after.front.streams <= 1)
+            await wait_until(lambda: after.front.streams <= 1)
             for changes in (
                 {ATTEMPTS: "2"},
                 {TOKEN: decision.token[:-4] + "AAAA"},
@@ -214,7 +224,7 @@
             first = made.proxy.ask()
             decision = await made.decide(first)
             first.cancel()
-            await until(made.quiet)
+            await wait_until(made.quiet)
             again = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
             assert again.address
 
@@ -233,7 +243,7 @@
             assert (await asked.call.read()).WhichOneof("response") == "request_body"
             await asked.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
             assert (await asked.call.read()).immediate_response.status.code == 400  # a second request
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -279,7 +289,7 @@
             again = await made.decide(made.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
             assert again.status == 502  # it may have run: no refusal
             held[0].cancel()
-            await until(lambda: made.front.streams < 2)
+            await wait_until(lambda: made.front.streams < 2)
             assert (await made.decide(made.proxy.ask(), x_call_id="later")).address
             held[1].cancel()
 
@@ -291,7 +301,7 @@
         async with stage(message_timeout_ms=50) as made:
             made.front.lag_s = 0.2
             assert (await made.decide(made.proxy.ask())).status == 503
-            await until(lambda: not made.front.overloaded())
+            await wait_until(lambda: not made.front.overloaded())
             assert (await made.decide(made.proxy.ask())).address
 
     run(case())
@@ -344,6 +354,6 @@
             assert all(one.address or one.status == 503 for one in told)
             for one in asked:
                 one.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
+            await wait_until(lambda: made.front.streams == 0 and made.quiet())
 
     run(case())
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -20,7 +20,7 @@
 from standins.ports import PORTS
 from standins.proxy import ATTEMPTS, CHECKED, Proxy, Ways, headers_message
 from tests.extproc.test_front import KEY, stage
-from tests.loopback import config_file, run, until
+from tests.loopback import config_file, run, wait_until
 
 
 def test_a_tenant_over_its_share_is_told_so_and_others_are_refused() -> None:
@@ -39,7 +39,7 @@
                 assert said in answer.details
                 advice = {option.header.key: option.header.raw_value for option in answer.headers.set_headers}
                 assert advice == {"retry-after": b"0.500"}
-                await until(lambda: not engine.calls)
+                await wait_until(lambda: not engine.calls)
 
     run(case())
 
@@ -50,11 +50,11 @@
             first = made.proxy.ask()
             decision = await made.decide(first)
             first.cancel()
-            await until(made.quiet)
+            await wait_until(made.quiet)
             assert decision.checked == ""
             told = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2"})
             assert (told.checked, bool(told.address)) == ("accepted", True)
-            await until(lambda: made.front.streams <= 1)
+            await wait_until(lambda: made.front.streams <= 1)
             told = await made.decide(made.proxy.ask(), x_call_id="c9", **{TOKEN: decision.token})
             assert told.status == 502
             assert told.checked.startswith("rejected: ")
@@ -68,7 +68,7 @@
         async with stage() as made:
             front = made.front
             decision = await made.decide(made.proxy.ask())
-            await until(lambda: front.streams <= 1)
+            await wait_until(lambda: front.streams <= 1)
             before = front.operator
             renewed = replace(
                 before, keys=(b"n" * 16, KEY), valid_ms=77, routes=(Route("check", "/other", ""),)
@@ -141,7 +141,7 @@
                 assert (await made.decide(asked, x_call_id=f"o{number}")).address
                 await asked.report({":status": "200"}, 10.0)
             deaf.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
+            await wait_until(lambda: made.front.streams == 0 and made.quiet())
 
     run(case())
 
--- a/tests/grpcs/test_hostile.py
+++ b/tests/grpcs/test_hostile.py
@@ -28,7 +28,7 @@
     frame,
 )
 from tests.grpcs.test_on_sockets import Stage, ok, stage
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 
 Script = Callable[[RawClient], None]
 
@@ -124,7 +124,7 @@
             answer, code, _ = await made.unary()
             assert (answer, code) == (b"<hi>", grpc.StatusCode.OK)
             client.close()
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -140,7 +140,7 @@
             told = await client.until(DATA)
             assert told is not None and told[3].endswith(b"<hi>")
             client.close()
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -164,7 +164,7 @@
     client.reader, client.writer = await asyncio.open_connection("127.0.0.1", made.front.port)
     client.encoder, client.frames = Encoder(), []
     client.write(whole[:cut])
-    await until(lambda: bool(made.front.lines))
+    await wait_until(lambda: bool(made.front.lines))
     await asyncio.sleep(0.01)
     client.write(whole[cut:])
 
@@ -189,7 +189,7 @@
 
             assert dict(Decoder().decode(told[3]))["grpc-status"] == status
             client.close()
-            await until(made.quiet)
+            await wait_until(made.quiet)
             assert not made.servers[0].calls
 
     run(case())
--- a/tests/grpcs/test_late_dials.py
+++ b/tests/grpcs/test_late_dials.py
@@ -39,7 +39,7 @@
     frame,
 )
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of
-from tests.loopback import Sidecar, run, until
+from tests.loopback import Sidecar, run, wait_until
 
 DIAL_S = 10.0  # no case ends because a dial took too long
 CANCEL = struct.pack(">I", 8)
@@ -155,7 +155,7 @@
         """The status of the call's answer, after which nothing more came for it."""
         while not self._ends():
             assert await self.client.read() is not None
-        await until(quiet)
+        await wait_until(quiet)
         self.client.write(frame(PING, 0, 0, b"all sent"))
         while True:  # what was written before the ping was answered has come by then
             came = await self.client.read()
@@ -212,8 +212,8 @@
         """All connections that are held come up, and what waits for them is seen to."""
         for _ in range(self.hold.begun):
             self.hold.permits.release()
-        await until(lambda: not any(target.dials for target in self.transport.targets.values()))
-        await until(lambda: not self.waiting())
+        await wait_until(lambda: not any(target.dials for target in self.transport.targets.values()))
+        await wait_until(lambda: not self.waiting())
 
 
 STEPS = ("connect", "settings")  # that are held
@@ -252,7 +252,7 @@
     made.tell(made.entry(FIRST))
     caller = await made.caller()
     caller.call(call_id, timeout)
-    await until(lambda: made.hold.begun == 1 and made.waiting() == 1)
+    await wait_until(lambda: made.hold.begun == 1 and made.waiting() == 1)
     return caller
 
 
@@ -319,12 +319,12 @@
             change(made)
             later = await made.caller()
             later.call("c2")
-            await until(lambda: made.hold.begun == 2 or "c2" in made.servers[1].call_ids)
+            await wait_until(lambda: made.hold.begun == 2 or "c2" in made.servers[1].call_ids)
             made.hold.permits.release()
             made.hold.permits.release()
             await caller.only_status(made.quiet)
             assert await later.only_status(made.quiet) is Status.OK
-            await until(lambda: made.servers[0].open == 0)
+            await wait_until(lambda: made.servers[0].open == 0)
 
     run(case(), 5.0)
 
@@ -341,7 +341,7 @@
                 caller.reset()
             else:
                 caller.client.close()
-            await until(made.quiet)
+            await wait_until(made.quiet)
             await made.let_up()
             later = await made.caller()
             later.call("c2")
@@ -391,11 +391,11 @@
             made.tell(made.entry(FIRST), made.entry(OTHER))
             caller = await made.caller()
             caller.call("c1")
-            await until(lambda: made.hold.begun == 1)
+            await wait_until(lambda: made.hold.begun == 1)
             made.hold.permits.release()
-            await until(lambda: made.hold.begun == 2)  # the repeat's
+            await wait_until(lambda: made.hold.begun == 2)  # the repeat's
             ends = time.monotonic() + window / S
-            await until(lambda: time.monotonic() > ends)
+            await wait_until(lambda: time.monotonic() > ends)
             status = await caller.only_status(made.quiet)
             assert status is Status.UNAVAILABLE  # harmless, for all servers drop its repeats
             await made.let_up()
@@ -413,9 +413,9 @@
             made.tell(made.entry(FIRST), made.entry(OTHER))
             caller = await made.caller()
             caller.call("c1")
-            await until(lambda: made.hold.begun == 1)
+            await wait_until(lambda: made.hold.begun == 1)
             made.hold.permits.release()
-            await until(lambda: made.hold.begun == 2 and made.waiting() == 1)  # the repeat's
+            await wait_until(lambda: made.hold.begun == 2 and made.waiting() == 1)  # the repeat's
             (late,) = [server for server in made.servers if not server.call_ids]
             late.writers[0].write(frame(SETTINGS, 0, 0))
             time.sleep(window / S)
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -16,7 +16,7 @@
 from garnethaven.grpcs.table import Grpc, GrpcRoute
 from garnethaven.grpcs.transport import GrpcTransport
 from garnethaven.interface import Endpoint, ListKind, State
-from tests.loopback import Sidecar, run, until
+from tests.loopback import Sidecar, run, wait_until
 
 UNARY, STREAM, ECHO = "/t.Checks/Unary", "/t.Checks/Stream", "/t.Checks/Echo"
 ROUTES = (
@@ -159,7 +159,7 @@
             ((_, told),) = made.servers[0].calls
             assert told["y-bin"] == b"\x00\x01" and told["x-a"] == "2"
             assert 0.5 < told["left"] < 2.5  # the servers count from when they read it
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -176,7 +176,7 @@
             await call.done_writing()
             assert await call.read() is grpc.aio.EOF
             assert await call.code() == grpc.StatusCode.OK
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -194,7 +194,7 @@
             else:
                 assert (told, details) == (code, "told so")
             assert len(made.servers[0].calls) == 1  # unsafe: once
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -237,7 +237,7 @@
             assert not made.servers[0].calls
             details, code, _ = await made.unary(method="/t.Other/M")
             assert code == grpc.StatusCode.UNIMPLEMENTED
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -253,7 +253,7 @@
             assert len(got) == 3
             assert (raised.value.code(), raised.value.details()) == (grpc.StatusCode.DATA_LOSS, "lost 100%")
             assert sum(len(server.calls) for server in made.servers) == 1
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -267,7 +267,7 @@
         async with stage(slow) as made:
             _, code, _ = await made.unary(timeout=0.3)
             assert code == grpc.StatusCode.DEADLINE_EXCEEDED
-            await until(lambda: made.quiet() and made.servers[0].cancelled == 1)
+            await wait_until(lambda: made.quiet() and made.servers[0].cancelled == 1)
 
     run(case())
 
@@ -288,7 +288,7 @@
             call.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await asking
-            await until(lambda: made.quiet() and made.servers[0].cancelled == 1)
+            await wait_until(lambda: made.quiet() and made.servers[0].cancelled == 1)
             servers = made.sidecar.engine.balancer.servers.values()
             assert not any(server.errors for server in servers)
 
@@ -305,7 +305,7 @@
 
         async with stage(waits) as made:
             asking = asyncio.ensure_future(made.unary())
-            await until(lambda: bool(made.servers[0].calls))
+            await wait_until(lambda: bool(made.servers[0].calls))
             ending = asyncio.create_task(made.front.close(10.0))
             await asyncio.sleep(0.2)
             go_on.set()
@@ -335,7 +335,7 @@
             body = bytes(range(256)) * 4000  # a megabyte, beyond what is kept for a repeat
             answer, code, _ = await made.unary(body)
             assert code == grpc.StatusCode.OK and answer == b"<" + body + b">"
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -350,7 +350,7 @@
             held = [stream.sender.waiting for line in made.front.lines for stream in line.streams.values()]
             assert max(held, default=0) < 512 * 1024
             slow.cancel()
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -399,7 +399,7 @@
             assert await call.read() == b"2"  # after both GOAWAYs
             await ending
             assert await call.code() != grpc.StatusCode.OK  # its grace was over
-            await until(made.quiet)
+            await wait_until(made.quiet)
 
     run(case())
 
@@ -423,7 +423,7 @@
                 for _ in range(200):
                     await call.write(b"x" * 16_000)
             assert await call.code() == grpc.StatusCode.DEADLINE_EXCEEDED
-            await until(made.quiet)
+            await wait_until(made.quiet)
             await server.stop(0.0)
 
     run(case())
@@ -439,7 +439,7 @@
 
         async with stage(waits) as made:
             first = asyncio.ensure_future(made.unary(metadata=(("x-call-id", "same"),)))
-            await until(lambda: bool(made.servers[0].calls))
+            await wait_until(lambda: bool(made.servers[0].calls))
             assert (await made.unary(metadata=(("x-call-id", "same"),)))[1] == grpc.StatusCode.ABORTED
             go_on.set()
             assert (await first)[1] == grpc.StatusCode.OK
--- a/tests/grpcs/test_servers.py
+++ b/tests/grpcs/test_servers.py
@@ -20,7 +20,7 @@
 from garnethaven.interface import Endpoint, ListKind
 from tests.grpcs.raw import DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, PREFACE, RST, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of
-from tests.loopback import Sidecar, run, until
+from tests.loopback import Sidecar, run, wait_until
 
 Script = Callable[["RawServer", asyncio.StreamWriter, int], Awaitable[None]]
 
@@ -185,7 +185,7 @@
                 code = await made.call(timeout=1.0)
                 assert code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.OK)
             assert sum(server.connections for server in made.servers) <= 2 * LINES_MOST
-            await until(lambda: not made.sidecar.engine.calls)
+            await wait_until(lambda: not made.sidecar.engine.calls)
             assert sum(server.streams for server in made.servers) <= sum(before) + 2
 
     run(case())
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -13,7 +13,7 @@
 from standins.clients import Allowance, Application, Guests, Habits
 from standins.discovery import Discovery, Mood
 from standins.ledger import Ledger
-from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, until
+from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, wait_until
 
 
 def new_ledger() -> Ledger:
@@ -62,7 +62,7 @@
     client.fresh.watch_wait_s = wait_s
     client.move(("127.0.0.1", env.discovery.port))
     try:
-        await until(lambda: len(env.names()) == servers)
+        await wait_until(lambda: len(env.names()) == servers)
         yield env
     finally:
         env.sidecar.listener.drain()
@@ -75,10 +75,10 @@
 def test_a_watch_that_discovery_has_forgotten_is_doubled_by_another_call() -> None:
     async def case() -> None:
         async with sidecar_environment(2) as env:
-            await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
+            await wait_until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
             env.discovery.forget_watches()
             env.discovery.publish(server.member() for server in await env.add(1))
-            await until(lambda: env.names() == {"s0", "s1", "s2"})
+            await wait_until(lambda: env.names() == {"s0", "s1", "s2"})
             assert env.sidecar.discovery.extra_calls >= 1
 
     run(case())
@@ -87,7 +87,7 @@
 def test_servers_that_refuse_while_they_are_listed_cause_a_call_at_once() -> None:
     async def case() -> None:
         async with sidecar_environment(4, wait_s=60.0) as env:
-            await until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
+            await wait_until(lambda: len(env.discovery.call_times) >= 2)  # the watch has been sent
             env.discovery.forget_watches()
             env.discovery.publish(server.member() for server in await env.add(2))
             env.discovery.publish(server.member("DELETED") for server in env.servers[:3])
@@ -95,7 +95,7 @@
                 server.crash()
             assert env.names() == {"s0", "s1", "s2", "s3"}
             assert set(await env.ask(12)) == {200}
-            await until(lambda: env.names() == {"s3", "s4", "s5"})
+            await wait_until(lambda: env.names() == {"s3", "s4", "s5"})
 
     run(case())
 
@@ -109,9 +109,11 @@
             fresh.revision = 50
             before = env.names()
             env.discovery.publish([env.servers[0].member("DRAINING")])
-            await until(lambda: fresh.behind > 0)
+            await wait_until(lambda: fresh.behind > 0)
             assert env.names() == before
-            await until(lambda: fresh.revision == 0)  # only stale answers arrive: the count has been reset
+            await wait_until(
+                lambda: fresh.revision == 0
+            )  # only stale answers arrive: the count has been reset
 
     run(case())
 
@@ -121,10 +123,10 @@
         async with sidecar_environment(2) as env:
             await env.discovery.become(Mood.EMPTY)
             env.sidecar.discovery.ask_for_full_list()
-            await until(lambda: env.names() == set())
+            await wait_until(lambda: env.names() == set())
             assert await env.ask() == [503]
             await env.discovery.become(Mood.GOOD)
-            await until(lambda: env.names() == {"s0", "s1"})
+            await wait_until(lambda: env.names() == {"s0", "s1"})
             assert await env.ask() == [200]
 
     run(case())
@@ -137,12 +139,12 @@
             client.fresh.call_time_s = 0.2
             await stand_in.become(Mood.EMPTY)
             client.ask_for_full_list()
-            await until(lambda: env.names() == set())
+            await wait_until(lambda: env.names() == set())
             await stand_in.become(Mood.DOWN)
             failed = client.extra_calls
-            await until(lambda: client.extra_calls >= failed + 3)
+            await wait_until(lambda: client.extra_calls >= failed + 3)
             await stand_in.become(Mood.GOOD)
-            await until(lambda: env.names() == {"s0", "s1"})
+            await wait_until(lambda: env.names() == {"s0", "s1"})
             asked = client.extra_calls
             await asyncio.sleep(0.5)
             assert client.extra_calls == asked
@@ -156,7 +158,7 @@
             env.discovery.lag_s = 0.4
             await env.discovery.become(Mood.SLOW)
             env.discovery.publish(server.member() for server in await env.add(1))
-            await until(lambda: env.names() == {"s0", "s1"})
+            await wait_until(lambda: env.names() == {"s0", "s1"})
 
     run(case())
 
@@ -211,7 +213,7 @@
             ledger, allowance = new_ledger(), Allowance(4)
             guests = Guests("g", sidecar.port, ledger, allowance, random.Random(1))
             holding = asyncio.create_task(guests.say_nothing(4, 1.0))
-            await until(lambda: allowance.held == 4)
+            await wait_until(lambda: allowance.held == 4)
             habits = replace(Habits(), retries=0)
             application = Application("a", sidecar.port, ledger, allowance, random.Random(2), habits)
             await application._ask()
--- a/tests/limits/test_view.py
+++ b/tests/limits/test_view.py
@@ -10,7 +10,7 @@
 
 from garnethaven.limits.front import MAX_CONNECTIONS, MAX_HEAD_BYTES, LimitsView
 from garnethaven.limits.view import LOG_INTERVAL_S, Figures, LimitsLog, active_limits, report
-from tests.loopback import read_message, run, until
+from tests.loopback import read_message, run, wait_until
 
 CALM = Figures(
     clients_held=3,
@@ -95,7 +95,7 @@
         ):
             assert status in (await ask(port, text))[0]
         connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CONNECTIONS + 3)]
-        await until(lambda: sum(reader.at_eof() for reader, _ in connections) == 3)  # closed unread
+        await wait_until(lambda: sum(reader.at_eof() for reader, _ in connections) == 3)  # closed unread
         for _, writer in connections:
             writer.close()
         await view.close()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -187,7 +187,7 @@
     asyncio.run(asyncio.wait_for(case, wait_s))
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.01)
 
--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -13,7 +13,7 @@
 from garnethaven.membership.sources import Sources
 from garnethaven.membership.table import Membership
 from garnethaven.settings import read_names, read_settings
-from tests.loopback import facts, until
+from tests.loopback import facts, wait_until
 
 
 def config(seed: int = 1) -> Config:
@@ -83,7 +83,7 @@
         return {known[one] for one, entry in self.module.items() if entry.state is State.UP}
 
     async def sees(self, *numbers: int) -> None:
-        await until(lambda: self.up() == set(numbers))
+        await wait_until(lambda: self.up() == set(numbers))
 
     def entry(self, number: int) -> Endpoint:
         return self.module[number_of(address(number))]
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -32,7 +32,7 @@
     request,
     run,
     running,
-    until,
+    wait_until,
 )
 
 DRAIN_GRACE_S = 0.5
@@ -222,7 +222,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda _, facts: made.errors.append(facts))
         sidecar.engine.says = made.says  # type: ignore[method-assign]
         sidecar.discovery.move(("127.0.0.1", discovery.port))
-        await until(lambda: discovery.bad_answers >= 1)
+        await wait_until(lambda: discovery.bad_answers >= 1)
         yield made
         assert not any("Traceback" in line for line in made.lines), made.lines
         assert not made.errors
@@ -262,13 +262,13 @@
 
     async def case() -> None:
         async with watched(bad, ends) as made:
-            await until(lambda: made.discovery.bad_answers >= 3)
+            await wait_until(lambda: made.discovery.bad_answers >= 3)
             assert made.names() == {"s0", "s1"}
             assert await made.served("c1")
             assert made.has_said(line), made.lines
             made.discovery.mended = True
             mended_at = time.monotonic()
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             stalled_s = STALL_S if kind == "stalls" else 0.0
             assert time.monotonic() - mended_at < DRAIN_GRACE_S + stalled_s
             assert await made.served("c2")
@@ -282,11 +282,11 @@
             discovery = made.discovery
             discovery.bad = answer(list_of([discovery.members[1]], 3))
             before = discovery.bad_answers
-            await until(lambda: made.sidecar.discovery.fresh.behind == 2)
+            await wait_until(lambda: made.sidecar.discovery.fresh.behind == 2)
             assert made.names() == {"s0", "s1"} and await made.served("c1")
             assert made.has_said("revision 3 is behind 11, passed over"), made.lines
             began = time.monotonic()
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             assert time.monotonic() - began < DRAIN_GRACE_S
             assert discovery.bad_answers >= before + 3
             assert made.sidecar.discovery.fresh.revision == 3
@@ -299,7 +299,7 @@
         async with watched(answer(list_of([], 10, False))) as made:
             members = made.discovery.members
             made.discovery.bad = answer(list_of([members[0] | {"phase": "WARMING"}], 11, False))
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             assert made.has_said("unknown phase") and made.has_said("'s0'"), made.lines
             for number in range(4):
                 assert await made.served(f"c{number}")
@@ -318,9 +318,9 @@
             twice = [members[0] | {"phase": "DRAINING"}, members[0], members[1]]
             asked = len(made.discovery.requests)
             made.discovery.bad = answer(list_of(twice, 11, complete))
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             assert made.has_said("stands there already"), made.lines
-            await until(lambda: len(made.discovery.requests) >= asked + 4)
+            await wait_until(lambda: len(made.discovery.requests) >= asked + 4)
             assert any(b"after=" not in head for head in made.discovery.requests[asked:]) is not complete
             assert made.names() == {"s1"}
 
@@ -332,7 +332,7 @@
         async with watched(answer(list_of([], 10, False))) as made:
             members = [made.discovery.members[1], *(entry(f"t{n}", phase="DRAINING") for n in range(1100))]
             made.discovery.bad = chunked(list_of(members, 11), 1)
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             assert len(made.sidecar.engine.balancer.servers) == 1101
             assert await made.served("c1")
 
@@ -345,7 +345,7 @@
             junk = [{"host_port": f"127.0.0.1:{1024 + n % 60000}", "phase": "SERVING"} for n in range(30_000)]
             made.discovery.bad = answer(list_of([made.discovery.members[1], *junk], 11))
             assert 1_500_000 < len(made.discovery.bad) < 2 * 1024 * 1024
-            await until(lambda: made.names() == {"s1"})
+            await wait_until(lambda: made.names() == {"s1"})
             assert made.has_said("without an id: 30000"), made.lines
             assert await made.served("c1")
 
@@ -391,11 +391,11 @@
         )
         try:
             await ready(port)
-            await until(lambda: discovery.bad_answers >= 3)
+            await wait_until(lambda: discovery.bad_answers >= 3)
             assert await answered(port, "c1")
             discovery.mended = True
             mended_at = time.monotonic()
-            await until(lambda: discovery.told_last)
+            await wait_until(lambda: discovery.told_last)
             assert time.monotonic() - mended_at < TOLD_WITHIN_S
             await asyncio.sleep(DRAIN_GRACE_S)
             before = len(servers[0].requests)
--- a/tests/membership/test_cache.py
+++ b/tests/membership/test_cache.py
@@ -14,7 +14,7 @@
 from garnethaven.membership import cache as module
 from garnethaven.membership.cache import Cache
 from garnethaven.membership.model import Fact
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 
 FACT = Fact(("127.0.0.1", 80), Endpoint(0, state=State.UP), 1, 0)
 
@@ -38,8 +38,8 @@
         path = str(tmp_path / "list")
         cache = Cache(path, asyncio.get_running_loop(), said.append, 0)
         cache.keep({"s-1": FACT})
-        await until(lambda: left == 0)
-        await until(lambda: os.path.exists(path))
+        await wait_until(lambda: left == 0)
+        await wait_until(lambda: os.path.exists(path))
         assert list(Cache(path, asyncio.get_running_loop(), said.append, 0).read()) == ["s-1"]
         assert len(said) == 1, said
 
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -25,7 +25,7 @@
 from garnethaven.membership.payloads import PAYLOAD_MOST
 from garnethaven.membership.table import Consul, ConsulHost, ConsulRegistration, Membership
 from standins.consul.cluster import Cluster
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 from tests.membership.estate import Estate, address, holds, payload
 
 
@@ -112,8 +112,8 @@
             await holds(lambda: made.up() == {1, 2, 3}, 0.2)
             for agent in made.cluster.agents:
                 await agent.start()
-            await until(lambda: made.up() == {1, 3} and made.entry(3).started > born)
-            await until(lambda: made.consul.telling.age_s() == 0.0)
+            await wait_until(lambda: made.up() == {1, 3} and made.entry(3).started > born)
+            await wait_until(lambda: made.consul.telling.age_s() == 0.0)
 
     run(case())
 
@@ -126,10 +126,10 @@
             await made.check(2, "service:n2", "critical")
             for _ in range(3):
                 await agent.start()
-                await until(lambda: bool(agent.writers))
+                await wait_until(lambda: bool(agent.writers))
                 agent.stop()
             await agent.start()
-            await until(lambda: made.up() == {1} and made.entry(2).state is State.DRAINING)
+            await wait_until(lambda: made.up() == {1} and made.entry(2).state is State.DRAINING)
 
     run(case())
 
@@ -159,7 +159,7 @@
             await made.vanish(1)
             await made.sees(2)
             first.stop()
-            await until(lambda: other.queries >= 2)
+            await wait_until(lambda: other.queries >= 2)
             assert made.up() == {2}
             await made.vanish(2)
             await first.start()
@@ -177,10 +177,10 @@
             await made.vanish(1)
             await made.sees(2)
             first.stop()
-            await until(lambda: made.consul.core.behind > 0)
+            await wait_until(lambda: made.consul.core.behind > 0)
             assert made.up() == {2}
             other.catch_up()
-            await until(lambda: made.consul.telling.age_s() == 0.0)
+            await wait_until(lambda: made.consul.telling.age_s() == 0.0)
             assert made.up() == {2}
 
     run(case())
@@ -195,7 +195,7 @@
             agent.status = status
             agent.cut()
             await made.vanish(1)
-            await until(lambda: any(f"status {status}" in line for line in made.log))
+            await wait_until(lambda: any(f"status {status}" in line for line in made.log))
             await holds(lambda: made.up() == {1, 2}, 0.3)
             agent.status = 0
             await made.sees(2)
@@ -209,7 +209,7 @@
         cluster = await Cluster(1, token="secret").start()
         made = World(cluster)
         made.follow_table(Membership(consul=made.settings(token="wrong")))
-        await until(lambda: any("Permission denied" in line for line in made.log))
+        await wait_until(lambda: any("Permission denied" in line for line in made.log))
         assert made.consul.connects <= 2
         await made.close()
         await cluster.close()
@@ -224,7 +224,7 @@
             (agent,) = made.cluster.agents
             agent.index_told = told
             agent.cut()
-            await until(lambda: any("its index is" in line for line in made.log))
+            await wait_until(lambda: any("its index is" in line for line in made.log))
             assert agent.queries < 40 and made.up() == {1}
 
     run(case())
@@ -242,10 +242,10 @@
             await made.sees(1)
             catalog.put("checks/n1", payload(1, phase="DRAINING"))
             await made.cluster.tell()
-            await until(lambda: made.entry(1).state is State.DRAINING)
+            await wait_until(lambda: made.entry(1).state is State.DRAINING)
             catalog.delete("checks/n1", "checks/bad", "checks/large", "checks/")
             await made.cluster.tell()
-            await until(lambda: not made.module)
+            await wait_until(lambda: not made.module)
             assert made.consul.figures()["flaws"] == {"no JSON": 1, "too large": 1}
             assert all(len(one.value) <= PAYLOAD_MOST + 1 for one in made.consul.core.entries.values())
 
@@ -278,10 +278,10 @@
             def instances() -> Any:
                 return made.cluster.catalog.instances
 
-            await until(lambda: "t" in instances() and made.consul.own.there)
+            await wait_until(lambda: "t" in instances() and made.consul.own.there)
             assert (instances()["t"].port, instances()["t"].checks["service:t"].status) == (999, "passing")
             made.cluster.catalog.deregister("t")  # the agent has forgotten it
-            await until(lambda: "t" in instances() and made.consul.own.there)
+            await wait_until(lambda: "t" in instances() and made.consul.own.there)
             await made.consul.withdraw()
             assert "t" not in instances()
 
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -19,7 +19,7 @@
 from garnethaven.membership.payloads import PAYLOAD_MOST
 from garnethaven.membership.table import Etcd, EtcdHost, EtcdRegistration, Membership, Tls
 from standins.etcd.cluster import Cluster, Member
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 from tests.membership.estate import Estate, address, holds, payload
 
 PREFIX = "/checks/"
@@ -39,7 +39,7 @@
 
     async def watched(self) -> Member:
         """The member that is watched; the first list may be there before its watch is."""
-        await until(lambda: any(member.watches for member in self.cluster.members))
+        await wait_until(lambda: any(member.watches for member in self.cluster.members))
         return next(member for member in self.cluster.members if member.watches)
 
     def settings(self, **changes: Any) -> Etcd:
@@ -82,7 +82,7 @@
             await made.sees(2, 3)
             assert made.entry(1).state is State.DRAINING
             made.vanish(1, 2)
-            await until(lambda: len(made.module) == 1)
+            await wait_until(lambda: len(made.module) == 1)
 
     run(case())
 
@@ -100,7 +100,7 @@
                 member.down = False
             await made.sees(1, 3, 4)
             assert made.etcd.reads == reads  # caught up from the revision that was held
-            await until(lambda: made.etcd.telling.age_s() == 0.0)
+            await wait_until(lambda: made.etcd.telling.age_s() == 0.0)
 
     run(case())
 
@@ -129,11 +129,11 @@
             await asyncio.sleep(0.1)
             for _ in range(3):
                 member.down = False
-                await until(lambda: bool(member.watches))
+                await wait_until(lambda: bool(member.watches))
                 member.go()
             made.vanish(1)
             member.down = False
-            await until(lambda: made.up() == {3} and made.entry(2).state is State.DRAINING)
+            await wait_until(lambda: made.up() == {3} and made.entry(2).state is State.DRAINING)
 
     run(case())
 
@@ -149,11 +149,11 @@
             made.appear(2, cell=7)  # only changed: the same life
             for member in made.cluster.members:
                 member.down = False
-            await until(lambda: made.up() == {1, 2} and made.entry(1).started > born)
+            await wait_until(lambda: made.up() == {1, 2} and made.entry(1).started > born)
             assert made.entry(2).started == born
             made.vanish(1)
             made.appear(1, up_since_ms=1)
-            await until(lambda: made.up() == {1, 2})
+            await wait_until(lambda: made.up() == {1, 2})
 
     run(case())
 
@@ -167,7 +167,7 @@
             made.vanish(1)
             await made.sees(2)
             first.go()
-            await until(lambda: made.core.behind > 0)
+            await wait_until(lambda: made.core.behind > 0)
             assert made.up() == {2}
             made.vanish(2)
             first.down = False
@@ -194,12 +194,12 @@
         made = World(cluster)
         made.appear(*range(5000))
         made.follow_table(Membership(etcd=made.settings()))
-        await until(lambda: len(made.module) == 5000)
+        await wait_until(lambda: len(made.module) == 5000)
         for number in range(200):
             made.appear(number, phase="DRAINING")
             await asyncio.sleep(0.004)
         draining = State.DRAINING
-        await until(lambda: sum(entry.state is draining for entry in made.module.values()) == 200)
+        await wait_until(lambda: sum(entry.state is draining for entry in made.module.values()) == 200)
         assert made.etcd.reads == 1
         await made.close()
         await cluster.close()
@@ -237,7 +237,7 @@
         cluster = await Cluster(1, user="petrel:secret").start()
         made = World(cluster)
         made.follow_table(Membership(etcd=made.settings(user="petrel:wrong")))
-        await until(lambda: any("authentication failed" in line for line in made.log))
+        await wait_until(lambda: any("authentication failed" in line for line in made.log))
         assert made.etcd.connects <= 2
         await made.close()
         await cluster.close()
@@ -331,7 +331,7 @@
         async with world(1, 2) as made:
             for member in made.cluster.members:
                 member.go()
-            await until(lambda: made.etcd.telling.age_s() > 0.0)
+            await wait_until(lambda: made.etcd.telling.age_s() > 0.0)
             loop = asyncio.get_running_loop()
             later = loop.time
             monkeypatch.setattr(made.etcd.telling.loop, "time", lambda: later() + 3600.0)
@@ -373,12 +373,12 @@
         own = EtcdRegistration("/sidecars/t", ttl_s=2, facts={"name": "t"})
         async with world(1, register=own) as made:
             store = made.cluster.store
-            await until(lambda: b"/sidecars/t" in store.keys)
+            await wait_until(lambda: b"/sidecars/t" in store.keys)
             assert b'"host_port": "127.0.0.1:999"' in store.keys[b"/sidecars/t"].value
             (lease,) = store.leases
             made.cluster.end_lease(lease)  # lost: put back on another
-            await until(lambda: b"/sidecars/t" in store.keys and lease not in store.leases)
-            await until(lambda: made.etcd.own.lease != 0)
+            await wait_until(lambda: b"/sidecars/t" in store.keys and lease not in store.leases)
+            await wait_until(lambda: made.etcd.own.lease != 0)
             own = made.etcd.own
             took_back, again = own.take_back, asyncio.Event()
 
@@ -423,7 +423,7 @@
             assert [(event.kind, event.kv.key) for event in events] == [("PUT", b"k2"), ("DELETE", b"k")]
             lease = await client.lease(1)
             await client.put(b"l", b"x", lease=lease)
-            await until(lambda: b"l" not in cluster.store.keys)  # nobody keeps it alive
+            await wait_until(lambda: b"l" not in cluster.store.keys)  # nobody keeps it alive
             await client.compact(cluster.store.revision)
             found = [one.key async for one in _all(await client.get_prefix(b"k"))]
             assert found == [b"k2"]
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -14,7 +14,7 @@
 from garnethaven.membership.table import Registration, Tls
 from standins.zookeeper.records import Acl
 from standins.zookeeper.tree import Who, digest_id
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 from tests.membership.estate import address, payload
 from tests.membership.world import ROOT, World, world
 
@@ -41,7 +41,7 @@
             before = made.entry(1).started
             made.vanish(1)
             made.appear(1)  # in one breath: both events may be read in one turn
-            await until(lambda: made.up() == {1, 2} and made.entry(1).started > before)
+            await wait_until(lambda: made.up() == {1, 2} and made.entry(1).started > before)
 
     run(case())
 
@@ -82,7 +82,7 @@
             session = made.own_session()
             for host in made.ensemble.hosts:
                 host.stop()
-            await until(lambda: made.age_s() > 0.0)
+            await wait_until(lambda: made.age_s() > 0.0)
             made.vanish(2)
             assert made.up() == {1, 2, 3}
             made.appear(4)
@@ -90,7 +90,7 @@
                 await host.start()
             await made.sees(1, 3, 4)
             assert made.own_session() == session
-            await until(lambda: made.age_s() == 0.0)
+            await wait_until(lambda: made.age_s() == 0.0)
             assert any("the last list is kept" in line for line in made.log)
 
     run(case())
@@ -101,8 +101,8 @@
         async with world(1, 2, 3) as made:
             session, handed = made.own_session(), made.handed_over
             made.ensemble.expire(session)
-            await until(lambda: made.own_session() not in (0, session))
-            await until(lambda: made.age_s() == 0.0)
+            await wait_until(lambda: made.own_session() not in (0, session))
+            await wait_until(lambda: made.age_s() == 0.0)
             assert made.up() == {1, 2, 3}
             assert made.client.expirations == 1
             assert made.handed_over == handed  # nothing has changed
@@ -153,11 +153,11 @@
             seen: set[frozenset[int]] = set()
             made.sources.merger.changed.append(lambda: seen.add(frozenset(made.up())))
             tries = len(lagging.connects)
-            await until(lambda: len(lagging.connects) >= tries + 3)
+            await wait_until(lambda: len(lagging.connects) >= tries + 3)
             assert frozenset({1, 2}) not in seen
             lagging.catch_up()
             await made.sees(2)
-            await until(lambda: made.age_s() == 0.0)
+            await wait_until(lambda: made.age_s() == 0.0)
 
     run(case())
 
@@ -181,7 +181,7 @@
             for host in made.ensemble.hosts:
                 host.read_only = True
             made.follow()
-            await until(lambda: sum(len(host.connects) for host in made.ensemble.hosts) > 2)
+            await wait_until(lambda: sum(len(host.connects) for host in made.ensemble.hosts) > 2)
             assert made.up() == set()
             await made.sources.close()
             made.follow(read_only=True)
@@ -206,7 +206,7 @@
             made.sessions[9] = session
             await made.sees(1, 9)
             flaws = made.source.following.flaws
-            await until(lambda: sum(flaws.values()) == 4)
+            await wait_until(lambda: sum(flaws.values()) == 4)
             assert set(flaws) == {
                 "too large",
                 "no JSON",
@@ -223,7 +223,7 @@
         async with world(1) as made:
             new = made.ensemble.begin(40_000)
             made.ensemble.make(f"{ROOT}/again", payload(1), new)
-            await until(lambda: f"{ROOT}/again" in made.sources.merger.model.sources["zookeeper"].facts)
+            await wait_until(lambda: f"{ROOT}/again" in made.sources.merger.model.sources["zookeeper"].facts)
             made.vanish(1)
             made.appear(2)
             await made.sees(1, 2)
@@ -248,16 +248,16 @@
             made.ensemble.hosts[0].cut()
             for host in made.ensemble.hosts:
                 host.cut()
-            await until(lambda: made.client.connects > 1 and made.age_s() == 0.0)
+            await wait_until(lambda: made.client.connects > 1 and made.age_s() == 0.0)
             assert made.up() == {1, 2}
             give(ROOT, others)
             for host in made.ensemble.hosts:
                 host.cut()
-            await until(lambda: made.source.troubles > 0)
+            await wait_until(lambda: made.source.troubles > 0)
             assert made.up() == {1, 2} and made.age_s() > 0.0
             assert any("may not be read" in line for line in made.log)
             tree.nodes[ROOT].acl = (mine,)
-            await until(lambda: made.age_s() == 0.0)
+            await wait_until(lambda: made.age_s() == 0.0)
 
     run(case())
 
@@ -274,7 +274,7 @@
                 await asyncio.sleep(0.005)
             began = loop.time()
             made.vanish(1)
-            await until(lambda: 1 not in made.up())
+            await wait_until(lambda: 1 not in made.up())
             assert loop.time() - began < 5.0  # a bound for a slow machine; batches.py holds the rule
             await made.sees(*(set(range(300)) - {1}))
             assert made.handed_over > calm
@@ -295,7 +295,7 @@
             made.source.reload(made.registry(root="/other", form="curator"), ("127.0.0.1", 1))
             await made.sees(5)
             assert all(step for step in seen)  # never without servers on the way
-            await until(lambda: old not in made.ensemble.sessions)  # the old session was closed
+            await wait_until(lambda: old not in made.ensemble.sessions)  # the old session was closed
             made.ensemble.expire(session.id)
             await made.sees()
 
@@ -374,7 +374,7 @@
             await made.sources.close()
             made.module.clear()
             made.follow(tls=Tls(ca=str(tmp_path / "other.pem")))
-            await until(lambda: any("can't be reached" in line for line in made.log))
+            await wait_until(lambda: any("can't be reached" in line for line in made.log))
             assert made.up() == set()
 
     run(case())
@@ -384,19 +384,19 @@
     async def case() -> None:
         async with world(1, register=Registration("/me")) as made:
             tree = made.ensemble.tree
-            await until(lambda: "/me" in tree.nodes)
+            await wait_until(lambda: "/me" in tree.nodes)
             assert json.loads(tree.nodes["/me"].data) == {"host_port": "127.0.0.1:999", "phase": "SERVING"}
             assert tree.nodes["/me"].stat.owner == made.own_session()
             made.ensemble.expire(made.own_session())
             assert "/me" not in tree.nodes
-            await until(lambda: "/me" in tree.nodes)
-            await until(lambda: made.source.register.registered)
+            await wait_until(lambda: "/me" in tree.nodes)
+            await wait_until(lambda: made.source.register.registered)
             await made.sources.withdraw()
             assert "/me" not in tree.nodes
             for host in made.ensemble.hosts:
                 host.cut()
             connects = made.client.connects
-            await until(lambda: made.client.connects > connects and made.age_s() == 0.0)
+            await wait_until(lambda: made.client.connects > connects and made.age_s() == 0.0)
             assert "/me" not in tree.nodes  # nothing makes it again
 
     run(case())
@@ -410,10 +410,10 @@
             made.ensemble.make("/me", data, earlier)
             made.ensemble.make("/taken", b"another's", earlier)
             made.follow(register=Registration("/me"))
-            await until(lambda: made.ensemble.tree.nodes["/me"].stat.owner == made.own_session() != 0)
+            await wait_until(lambda: made.ensemble.tree.nodes["/me"].stat.owner == made.own_session() != 0)
             await made.sources.close()
             made.follow(register=Registration("/taken"))
-            await until(lambda: any("is another's" in line for line in made.log))
+            await wait_until(lambda: any("is another's" in line for line in made.log))
             assert made.ensemble.tree.nodes["/taken"].stat.owner == earlier.id
 
     run(case())
@@ -423,13 +423,13 @@
     async def case() -> None:
         async with world(1, register=Registration("/me")) as made:
             tree = made.ensemble.tree
-            await until(lambda: "/me" in tree.nodes)
+            await wait_until(lambda: "/me" in tree.nodes)
             created = tree.nodes["/me"].stat.czxid
             connects = made.client.connects
             for host in made.ensemble.hosts:
                 host.cut()
-            await until(lambda: made.client.connects > connects)
-            await until(lambda: made.source.register.registered)
+            await wait_until(lambda: made.client.connects > connects)
+            await wait_until(lambda: made.source.register.registered)
             assert tree.nodes["/me"].stat.czxid == created
 
     run(case())
@@ -452,7 +452,7 @@
             before = [len(host.connects) for host in made.ensemble.hosts]
             first.stop()
             others = made.ensemble.hosts[1:]
-            await until(lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost)
+            await wait_until(lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost)
             came = zip(others, before[1:], strict=True)
             moments = sorted(moment for host, count in came for moment in host.connects[count:])
             assert moments[-1] - moments[0] > 0.3
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -23,7 +23,7 @@
     read_message,
     request,
     run,
-    until,
+    wait_until,
 )
 from tests.rigs.test_rigs import play
 
@@ -93,10 +93,10 @@
         await stage.start(peers, [])
         monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config"))
         targets = stage.sidecar.transport.targets
-        await until(lambda: len(targets) == 2)
+        await wait_until(lambda: len(targets) == 2)
         assert await stage.ask("a") == 200
         stage.ensemble.expire(stage.sessions[0].id)
-        await until(lambda: len(targets) == 1)
+        await wait_until(lambda: len(targets) == 1)
         before = len(peers[0].requests)
         assert [await stage.ask(f"b{n}") for n in range(6)] == [200] * 6
         assert len(peers[0].requests) == before
@@ -107,7 +107,7 @@
         stage.write("/other")
         program.reload(stage.sidecar, str(stage.file))
         # The old directory has settled long ago: only the other's list says that the move is done.
-        await until(lambda: len(targets) == 1 and set(targets) != left)
+        await wait_until(lambda: len(targets) == 1 and set(targets) != left)
         assert [await stage.ask(f"c{n}") for n in range(6)] == [200] * 6
         assert len(peers[0].requests) == before + 6
         stage.write("/other", "form = 3\n")
@@ -128,15 +128,15 @@
         stage = Stage(tmp_path)
         await stage.start([peer], [])
         targets = stage.sidecar.transport.targets
-        await until(lambda: len(targets) == 1)
+        await wait_until(lambda: len(targets) == 1)
         stage.ensemble.expire(stage.sessions[0].id)
-        await until(lambda: not targets)
+        await wait_until(lambda: not targets)
         assert await stage.ask("a") == 503
         assert not peer.requests
         stage.ensemble.make(
             "/checks/again", json.dumps(peer.member("p")).encode(), stage.ensemble.begin(40_000)
         )
-        await until(lambda: len(targets) == 1)
+        await wait_until(lambda: len(targets) == 1)
         assert await stage.ask("b") == 200
         await stage.end()
 
@@ -150,9 +150,9 @@
         await stage.start(peers[:1], peers)  # the first is told by both
         targets = stage.sidecar.transport.targets
         stage.sidecar.discovery.watch()
-        await until(lambda: len(targets) == 2)
+        await wait_until(lambda: len(targets) == 2)
         stage.ensemble.expire(stage.sessions[0].id)
-        await until(lambda: len(targets) == 1)  # gone, though discovery still tells of it
+        await wait_until(lambda: len(targets) == 1)  # gone, though discovery still tells of it
         assert [await stage.ask(f"a{n}") for n in range(4)] == [200] * 4
         assert not peers[0].requests
         await stage.end()
@@ -166,9 +166,9 @@
         peer = await Peer(answers_with(ANSWER)).start()
         await stage.start([peer], [])
         nodes = stage.ensemble.tree.nodes
-        await until(lambda: "/me" in nodes)
+        await wait_until(lambda: "/me" in nodes)
         assert json.loads(nodes["/me"].data)["host_port"] == f"127.0.0.1:{stage.port}"
-        await until(lambda: registry_of(stage.sidecar).register.registered)
+        await wait_until(lambda: registry_of(stage.sidecar).register.registered)
         order: list[str] = []
         drain = stage.sidecar.listener.drain
 
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -32,7 +32,7 @@
     ready,
     request,
     run,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).parents[2]
@@ -176,7 +176,7 @@
             for number in range(CLIENTS):  # one by one: a program that has just begun takes a few at first
                 clients.append(asyncio.create_task(made.ask(f"c{number}", over)))
                 await asyncio.sleep(0.01)
-            await until(discovery.told_all)
+            await wait_until(discovery.told_all)
             await asyncio.sleep(1.0)
             over.set()
             statuses = [status for client in clients for status in await client]
@@ -200,7 +200,7 @@
         servers = [await Peer(answers_with(ANSWER)).start() for _ in range(LISTENERS)]
         discovery = await WholeLists([server.port for server in servers], 15_000, 2, None).start()
         async with program(tmp_path / "c.json", discovery, limits, settings=settings_of(SERVERS)) as made:
-            await until(lambda: len(discovery.requests) == 3)  # both were taken: the next watch is out
+            await wait_until(lambda: len(discovery.requests) == 3)  # both were taken: the next watch is out
             over = asyncio.Event()
             asking = asyncio.create_task(made.ask("c", over))
             await asyncio.sleep(0.5)
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.limits.test_on_sockets import SidecarEnvironment, sidecar_environment
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 
 RAMP_S = 10.0
 COLD = 0.2
@@ -28,7 +28,7 @@
     member: dict[str, Any] = server.member()
     member["up_since_ms"] = int((time.time() + skew_s) * 1000)
     small.discovery.publish([*(one.member() for one in small.servers[:-1]), member])
-    await until(lambda: len(small.names()) == len(small.servers))
+    await wait_until(lambda: len(small.names()) == len(small.servers))
     number = int.from_bytes(member["id"].encode(), "big")
     small.sidecar.engine.balancer.now = time.monotonic_ns()
     return small.sidecar.engine.balancer.standing(number)[0]
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -16,7 +16,7 @@
 from garnethaven.net.connection import Connection
 from garnethaven.net.own_failures import NO_ROUTE
 from garnethaven.net.upstream import Target
-from tests.loopback import ANSWER, answers_with, request, run, running, until
+from tests.loopback import ANSWER, answers_with, request, run, running, wait_until
 
 
 class FailingConnects:
@@ -47,7 +47,7 @@
         async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, _):
             connects = FailingConnects(monkeypatch, code)
             response = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="3000")))
-            await until(lambda: connects.injected > 0)
+            await wait_until(lambda: connects.injected > 0)
             await asyncio.sleep(1.0)
             assert not response.done(), "the budget is not used up"
             assert connects.injected < 60, "there is a pause between two connects"
@@ -101,7 +101,7 @@
             listener = sidecar.listener
             listener.sock = failing = FailingListener(listener.sock, code)  # type: ignore[assignment]
             response = asyncio.create_task(sidecar.ask(request()))
-            await until(lambda: failing.injected > 0)
+            await wait_until(lambda: failing.injected > 0)
             await asyncio.sleep(0.5)
             assert failing.injected < 100
             failing.fails = False
--- a/tests/ops/test_account.py
+++ b/tests/ops/test_account.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnethaven.engine.account import CallResult
-from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, until
+from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, wait_until
 
 REJECTION = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 SERVER_ERROR = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
@@ -53,7 +53,7 @@
                     statuses[await ask(sidecar, request(X_Call_Id=f"c{number}", **headers), rng)] += 1
 
             await asyncio.gather(*(client() for _ in range(CLIENTS)))
-            await until(lambda: not sidecar.engine.calls)
+            await wait_until(lambda: not sidecar.engine.calls)
             account = sidecar.engine.account
             assert account.in_flight == 0
             assert account.taken[0] == sum(counts[0] for counts in account.ended.values())
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -13,7 +13,7 @@
 from garnethaven.ops.front import MAX_CONNECTIONS
 from garnethaven.ops.service import Ops
 from garnethaven.ops.shared import Shared
-from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running, until
+from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running, wait_until
 
 
 async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
@@ -182,7 +182,7 @@
                 asyncio.create_task(sidecar.ask(request_bytes.replace(b"c1", b"c%d" % n, 1)))
                 for n in range(10, 14)
             ]
-            await until(lambda: len(second.requests) == 2)
+            await wait_until(lambda: len(second.requests) == 2)
             assert (await call(port, detach("s0")))[0] == 200
             assert [status for status, _ in await asyncio.gather(*tasks)] == [200] * 4
             assert first.requests == [] and len(second.requests) == 4
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -27,7 +27,7 @@
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ok
 from tests.grpcs.test_on_sockets import stage as grpc_stage
-from tests.loopback import ANSWER, WAIT_S, answers_with, never_answers, request, run, running, until
+from tests.loopback import ANSWER, WAIT_S, answers_with, never_answers, request, run, running, wait_until
 
 MANY = 60
 
@@ -130,7 +130,7 @@
     async def case() -> None:
         async with running(answers_with(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             sidecar.listener._close_idle()
             writer.write(request())
             assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 200")
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -13,7 +13,7 @@
 from garnethaven.engine.account import CallResult
 from garnethaven.net import request_deadlines
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES, REPLAY_BUFFER_BYTES, STREAM_MEMORY_BYTES
-from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, until
+from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, wait_until
 
 MB = 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -182,7 +182,7 @@
             assert (await read_answer(reader))[0] == 502  # both servers cut it off
             assert sum(len(server.heads) for server in servers) > 1
         assert sidecar.engine.account.ended[CallResult.FAILED] == [1]
-        await until(lambda: not sidecar.engine.calls)
+        await wait_until(lambda: not sidecar.engine.calls)
 
     run(case())
 
@@ -258,9 +258,9 @@
         streams = [await sidecar.connect() for _ in range(4)]
         for number, (_, writer) in enumerate(streams):
             writer.write(upload(8 * MB, X_Call_Id=f"c{number}") + bytes(8 * MB))
-        await until(lambda: len(sidecar.listener.connections) == 4)
+        await wait_until(lambda: len(sidecar.listener.connections) == 4)
         calls = sidecar.engine.calls
-        await until(lambda: len(calls) == 4 and all(c.request.body.paused for c in calls.values()))
+        await wait_until(lambda: len(calls) == 4 and all(c.request.body.paused for c in calls.values()))
         for call in calls.values():
             (attempt,) = call.attempts
             unsent = attempt.connection.transport.get_write_buffer_size()  # type: ignore[union-attr]
@@ -281,7 +281,7 @@
         sidecar, _ = await start_sidecar(sends_answer(answer))
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port, limit=1024)
         writer.write(request())
-        await until(
+        await wait_until(
             lambda: any(
                 candidate.streamed_answer and candidate.streamed_answer.connection.paused
                 for candidate in sidecar.listener.connections
@@ -356,13 +356,13 @@
         sidecar, (server,) = await start_sidecar(sends_answer(answer))
         _, writer = await sidecar.connect()
         writer.write(upload(8 * MB) + bytes(2 * MB))
-        await until(lambda: bool(server.heads))
+        await wait_until(lambda: bool(server.heads))
         writer.transport.abort()
         reader, writer = await sidecar.connect()
         writer.write(request(X_Call_Id="c2"))
         await reader.readexactly(100_000)
         writer.transport.abort()
-        await until(lambda: not sidecar.engine.calls and not sidecar.transport.pool.held())
+        await wait_until(lambda: not sidecar.engine.calls and not sidecar.transport.pool.held())
         assert sidecar.engine.account.ended[CallResult.GONE] == [2]
 
     run(case())
@@ -392,7 +392,7 @@
         memory.shrinks(memory.most + 1)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY), X_Call_Id="c2") + BODY[: 2 * REPLAY_BUFFER_BYTES])
-        await until(lambda: len(server.heads) == 2)
+        await wait_until(lambda: len(server.heads) == 2)
         assert memory.held > 0
         writer.write(BODY[2 * REPLAY_BUFFER_BYTES :])
         assert (await read_answer(reader))[0] == 200 and memory.held == 0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -36,7 +36,7 @@
     request,
     run,
     running,
-    until,
+    wait_until,
 )
 
 # Requests of clients
@@ -87,11 +87,11 @@
         async with running(never_answers) as (sidecar, (peer,)):
             _, first = await sidecar.connect()
             first.write(request())
-            await until(lambda: len(peer.requests) == 1)
+            await wait_until(lambda: len(peer.requests) == 1)
             assert (await sidecar.ask(request()))[0] == 409
             assert len(peer.requests) == 1
             first.close()
-            await until(lambda: not sidecar.engine.open_ids)
+            await wait_until(lambda: not sidecar.engine.open_ids)
 
     run(case())
 
@@ -109,7 +109,7 @@
             writer.write(start)
             answer = await reader.read()  # to the end
             assert answer.startswith(b"HTTP/1.1 408 ") if start else answer == b""
-            await until(lambda: not sidecar.listener.connections)
+            await wait_until(lambda: not sidecar.listener.connections)
 
     run(case())
 
@@ -128,7 +128,7 @@
                 del connection
                 assert await reader.read() == b""
                 sidecar.engine.timers.clear()
-                await until(lambda: reference() is None)
+                await wait_until(lambda: reference() is None)
             finally:
                 gc.enable()
 
@@ -192,7 +192,7 @@
             while not faulty.requests:
                 n += 1
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
-            await until(lambda: faulty.open == 0)
+            await wait_until(lambda: faulty.open == 0)
             assert len(healthy.requests) == n  # also the request with the invalid answer
 
     run(case())
@@ -313,11 +313,11 @@
         may_answer = asyncio.Event()
         async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             response = asyncio.create_task(sidecar.ask(request()))
-            await until(lambda: len(peer.requests) == 1)
+            await wait_until(lambda: len(peer.requests) == 1)
             sidecar.tell([])
             may_answer.set()
             assert await response == (200, b"hello")
-            await until(lambda: peer.open == 0)
+            await wait_until(lambda: peer.open == 0)
             assert not sidecar.transport.pool.connections and not sidecar.transport.targets
 
     run(case())
@@ -331,7 +331,7 @@
             for n, (_, writer) in enumerate(clients):
                 writer.write(request(X_Call_Id=f"c{n}"))
             heads = [asyncio.create_task(reader.readline()) for reader, _ in clients]
-            await until(lambda: sum(head.done() for head in heads) == 4)
+            await wait_until(lambda: sum(head.done() for head in heads) == 4)
             assert len(peer.requests) <= 2 and len(sidecar.transport.pool.connections) == 2
             for _, writer in clients:
                 writer.close()
@@ -363,9 +363,9 @@
                 await ScriptedDiscovery([peer.member("s9")]).start(),
             )
             sidecar.discovery.move(("127.0.0.1", old.port))
-            await until(lambda: len(old.requests) == 2)
+            await wait_until(lambda: len(old.requests) == 2)
             sidecar.discovery.move(("127.0.0.1", new.port))
-            await until(lambda: old.open == 0 and len(new.requests) == 2)
+            await wait_until(lambda: old.open == 0 and len(new.requests) == 2)
             assert b"GET /api/targets HTTP" in new.requests[0] and b"after=7" in new.requests[1]
             assert list(sidecar.transport.targets) == [int.from_bytes(b"s9", "big")]
             assert await sidecar.ask(request()) == (200, b"hello")
@@ -414,7 +414,7 @@
             config_file(path, listen=listen, discovery=f"127.0.0.1:{new.port}")
             program.send_signal(signal.SIGHUP)
             assert b"read anew" in await program.stderr.readline()
-            await until(lambda: len(new.requests) == 2)
+            await wait_until(lambda: len(new.requests) == 2)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request())
             assert (await read_message(reader))[1] == b"hello"
@@ -447,7 +447,7 @@
             lists.script = fails_at_first
             await lists.start()
             sidecar.discovery.move(("127.0.0.1", lists.port))
-            await until(lambda: list(sidecar.transport.targets) == [int.from_bytes(b"s9", "big")])
+            await wait_until(lambda: list(sidecar.transport.targets) == [int.from_bytes(b"s9", "big")])
             assert all(b"GET /api/targets HTTP" in head for head in lists.requests[:3])
             lists.server.close()
 
@@ -461,7 +461,7 @@
                 answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")
             ).start()
             sidecar.discovery.move(("127.0.0.1", faulty_discovery.port))
-            await until(lambda: len(faulty_discovery.requests) >= 2)
+            await wait_until(lambda: len(faulty_discovery.requests) >= 2)
             assert await sidecar.ask(request()) == (200, b"hello")
             faulty_discovery.server.close()
 
@@ -476,11 +476,11 @@
         may_answer = asyncio.Event()
         async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             accepted = asyncio.create_task(sidecar.ask(request()))
-            await until(lambda: len(peer.requests) == 1)
+            await wait_until(lambda: len(peer.requests) == 1)
             sidecar.listener.drain()
             # New requests are still served during the drain.
             late = asyncio.create_task(sidecar.ask(request(X_Call_Id="late")))
-            await until(lambda: len(peer.requests) == 2)
+            await wait_until(lambda: len(peer.requests) == 2)
             may_answer.set()
             assert await accepted == await late == (200, b"hello")
             await sidecar.listener.finished
@@ -496,7 +496,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         async with running(answers_with(ANSWER)) as (sidecar, _):
             _, first = await sidecar.connect()
-            await until(lambda: len(sidecar.listener.connections) == 1)
+            await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (broken,) = sidecar.listener.connections
             failures = 0
 
