--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -220,7 +220,7 @@
     return path
 
 
-async def opened(port: int) -> None:
+async def wait_until_listening(port: int) -> None:
     """Wait until a port accepts connections; the other addresses open after the clients' address."""
     while True:
         with contextlib.suppress(ConnectionRefusedError):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -30,13 +30,13 @@
     answers_with,
     config_file,
     never_answers,
-    opened,
     read_message,
     ready,
     request,
     run,
     running,
     wait_until,
+    wait_until_listening,
 )
 
 # Requests of clients
@@ -560,7 +560,7 @@
 
         try:
             await ready(port)
-            await opened(view_port)
+            await wait_until_listening(view_port)
             assert await places() == 40
             operator.write_text("[limits]\nclient_places = 0\n")
             program.send_signal(signal.SIGHUP)
