--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -23,10 +23,10 @@
     config_file,
     facts,
     read_message,
-    ready,
     request,
     run,
     wait_until,
+    wait_until_ready,
 )
 
 SOCKETS = 128
@@ -77,7 +77,7 @@
         lists = ScriptedDiscovery([added_peer.member("s1")])
         idle_writers = []
         try:
-            await ready(port)
+            await wait_until_ready(port)
 
             async def idle_client() -> None:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -230,7 +230,7 @@
         await asyncio.sleep(0.02)
 
 
-async def ready(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     while True:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -28,11 +28,11 @@
     facts,
     never_answers,
     read_message,
-    ready,
     request,
     run,
     running,
     wait_until,
+    wait_until_ready,
 )
 
 DRAIN_GRACE_S = 0.5
@@ -390,7 +390,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         try:
-            await ready(port)
+            await wait_until_ready(port)
             await wait_until(lambda: discovery.bad_answers >= 3)
             assert await answered(port, "c1")
             discovery.mended = True
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -29,10 +29,10 @@
     facts,
     never_answers,
     read_message,
-    ready,
     request,
     run,
     wait_until,
+    wait_until_ready,
 )
 
 ROOT = Path(__file__).parents[2]
@@ -144,7 +144,7 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        await ready(port)
+        await wait_until_ready(port)
         yield Program(process, port)
     finally:
         process.send_signal(signal.SIGTERM)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -31,12 +31,12 @@
     config_file,
     never_answers,
     read_message,
-    ready,
     request,
     run,
     running,
     wait_until,
     wait_until_listening,
+    wait_until_ready,
 )
 
 # Requests of clients
@@ -405,7 +405,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         try:
-            await ready(port)
+            await wait_until_ready(port)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
@@ -559,7 +559,7 @@
             return int(json.loads(body)["figures"]["client_places"])
 
         try:
-            await ready(port)
+            await wait_until_ready(port)
             await wait_until_listening(view_port)
             assert await places() == 40
             operator.write_text("[limits]\nclient_places = 0\n")
