--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -21,10 +21,10 @@
     ScriptedDiscovery,
     answers_with,
     config_file,
-    facts,
     read_message,
     request,
     run,
+    settings_document,
     wait_until,
     wait_until_ready,
 )
@@ -57,7 +57,7 @@
     async def case() -> None:
         peer, added_peer = await Peer(answers_with(ANSWER)).start(), await Peer(answers_with(ANSWER)).start()
         port, discovery_port = PORTS.take(), PORTS.take()
-        settings = facts() | {"membershipMode": "ask", "fleetSize": 3}
+        settings = settings_document() | {"membershipMode": "ask", "fleetSize": 3}
         settings["rules"] = settings["rules"] | {"askWithinNs": 4 * 10**9}
         path = config_file(
             tmp_path / "c.json",
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -12,10 +12,10 @@
 from garnethaven.extproc.mapping import MappingError, Route, map_request, outcome_of
 from garnethaven.interface import Outcome
 from garnethaven.settings import read_names, read_settings
-from tests.loopback import facts
+from tests.loopback import settings_document
 
 MS = 1_000_000
-CLASSES = Classes(with_unsafe_twins(read_settings(facts())), read_names(facts()))
+CLASSES = Classes(with_unsafe_twins(read_settings(settings_document())), read_names(settings_document()))
 GOOD = {
     ":method": "POST",
     ":path": "/api?user=u1",
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -27,7 +27,7 @@
 Script = Callable[[bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def facts() -> dict[str, Any]:
+def settings_document() -> dict[str, Any]:
     settings = json.loads(json.dumps(SETTINGS_OBJECT))
     settings["grades"][0]["name"] = "check"
     settings |= {"zones": ["a"], "hostTypes": ["m"], "tenants": []}
@@ -120,7 +120,7 @@
         discovery: int = 9,
         **changes: Any,
     ) -> None:
-        settings = facts() | changes
+        settings = settings_document() | changes
         self.config = Config(
             name="t",
             listen=("127.0.0.1", 0),
@@ -214,7 +214,7 @@
         "seed": "1f",
         "limits": {"memory_mb": 64, "sockets": 256},
         "known": {"revision": 1, "complete": True, "members": []},
-        "settings": facts(),
+        "settings": settings_document(),
     }
     path.write_text(json.dumps(document | changes))
     return path
--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -13,11 +13,11 @@
 from garnethaven.membership.sources import Sources
 from garnethaven.membership.table import Membership
 from garnethaven.settings import read_names, read_settings
-from tests.loopback import facts, wait_until
+from tests.loopback import settings_document, wait_until
 
 
 def config(seed: int = 1) -> Config:
-    told = facts()
+    told = settings_document()
     return Config(
         name="t",
         listen=("127.0.0.1", 999),
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -25,12 +25,12 @@
     Sidecar,
     answers_with,
     config_file,
-    facts,
     never_answers,
     read_message,
     request,
     run,
     running,
+    settings_document,
     wait_until,
     wait_until_ready,
 )
@@ -219,7 +219,9 @@
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
         discovery = await BadDiscovery(members, bad, ends).start()
         made = Watched(sidecar, discovery, servers)
-        asyncio.get_running_loop().set_exception_handler(lambda _, facts: made.errors.append(facts))
+        asyncio.get_running_loop().set_exception_handler(
+            lambda _, settings_document: made.errors.append(settings_document)
+        )
         sidecar.engine.says = made.says  # type: ignore[method-assign]
         sidecar.discovery.move(("127.0.0.1", discovery.port))
         await wait_until(lambda: discovery.bad_answers >= 1)
@@ -372,7 +374,7 @@
         servers = [await Peer(answers_with(ANSWER)).start() for _ in range(2)]
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
         discovery = await BadDiscovery(members, bad, ends).start()
-        settings = facts() | {"membershipMode": "ask"}
+        settings = settings_document() | {"membershipMode": "ask"}
         settings["rules"]["askWithinNs"] = 10**9
         port = PORTS.take()
         config = config_file(
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -26,11 +26,11 @@
     Peer,
     answers_with,
     config_file,
-    facts,
     never_answers,
     read_message,
     request,
     run,
+    settings_document,
     wait_until,
     wait_until_ready,
 )
@@ -153,7 +153,7 @@
 
 
 def settings_of(fleet_size: int) -> dict[str, Any]:
-    settings = facts() | {"membershipMode": "ask", "fleetSize": fleet_size, "slotNo": 13}
+    settings = settings_document() | {"membershipMode": "ask", "fleetSize": fleet_size, "slotNo": 13}
     settings["limits"]["connIdleNs"] = 2 * 10**9
     return settings
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from garnethaven.__main__ import main
 from garnethaven.settings import SettingsError, read_settings
 from tests.loopback import config_file
-from tests.loopback import facts as sidecar_settings
+from tests.loopback import settings_document as sidecar_settings
 
 
 def settings_object(**rules: Any) -> dict[str, Any]:
