--- a/tests/budgets/test_engine.py
+++ b/tests/budgets/test_engine.py
@@ -10,7 +10,7 @@
 from garnethaven.app.operator import OperatorError, read_operator
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from tests.loopback import ANSWER, answers_with, request, run, running, wait_until
+from tests.loopback import ANSWER, answers_with, request, run, running_sidecar, wait_until
 from tests.rigs.test_rigs import imported_at_start
 
 ROOT = Path(__file__).parent.parent.parent
@@ -77,7 +77,7 @@
 
 def test_a_marked_retry_without_room_is_refused_at_once_and_reaches_no_server() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             room = Room(RETRY=1)
             sidecar.engine.spending = room
             assert (await sidecar.ask(request()))[0] == 200
@@ -93,7 +93,7 @@
 
 def test_a_further_attempt_without_room_is_not_made_and_the_request_ends() -> None:
     async def case() -> None:
-        async with running(answers_with(BUSY), answers_with(BUSY)) as (sidecar, peers):
+        async with running_sidecar(answers_with(BUSY), answers_with(BUSY)) as (sidecar, peers):
             sidecar.engine.spending = Room(RETRY=0)
             assert (await sidecar.ask(request()))[0] == 503
             assert sum(len(peer.requests) for peer in peers) == 1
@@ -107,7 +107,7 @@
 
 def test_a_dial_to_a_cold_server_without_room_leads_to_another_one() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, peers):
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, peers):
             started = int(time.time() * 1000)
             members = [peer.member(f"s{n}") for n, peer in enumerate(peers)]
             members[1]["up_since_ms"] = started
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -9,7 +9,7 @@
 
 from garnethaven.net import client
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, answers_with, never_answers, request, run, running, wait_until
+from tests.loopback import ANSWER, answers_with, never_answers, request, run, running_sidecar, wait_until
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
@@ -22,7 +22,7 @@
 
 def test_a_request_that_crosses_the_end_of_an_idle_connection_is_read_and_not_sent_on() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (connection,) = sidecar.listener.connections
@@ -41,7 +41,7 @@
 def test_an_answer_is_not_lost_by_a_close_over_unread_bytes() -> None:
     async def case() -> None:
         may_answer = asyncio.Event()
-        async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
             await wait_until(lambda: len(peer.requests) == 1)
@@ -62,7 +62,7 @@
 
 def test_what_lingers_ends_by_itself_where_the_client_does_not() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             sock = await sidecar.plain()
             await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (connection,) = sidecar.listener.connections
@@ -75,7 +75,7 @@
 
 def test_what_lingers_makes_room_at_once() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             idle = [await sidecar.plain() for _ in range(2)]
             await wait_until(lambda: len(sidecar.listener.connections) == 2)
             for connection in list(sidecar.listener.connections):
@@ -92,7 +92,7 @@
     async def case() -> None:
         body = bytes(range(256)) * 8_000
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        async with running(answers_with(answer)) as (sidecar, _):
+        async with running_sidecar(answers_with(answer)) as (sidecar, _):
             sidecar.listener.draining = True  # the answer ends the connection
             loop, sock = asyncio.get_running_loop(), socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -128,7 +128,7 @@
             raise ConnectionError
 
         may_reset = asyncio.Event()
-        async with running(break_off) as (sidecar, _):
+        async with running_sidecar(break_off) as (sidecar, _):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert (await loop.sock_recv(sock, 64)).startswith(b"HTTP/1.1 200")
@@ -151,7 +151,7 @@
             writer.transport.abort()
             raise ConnectionError
 
-        async with running(reset_mid_answer) as (sidecar, (peer,)):
+        async with running_sidecar(reset_mid_answer) as (sidecar, (peer,)):
             unkeyed_request = request(Idempotency_Key="")
             assert (await sidecar.ask(unkeyed_request))[0] == 502
             assert len(peer.requests) == 1
@@ -161,7 +161,7 @@
 
 def test_half_a_line_on_a_resting_connection_spoils_it() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             sidecar.transport.pool.settle_s = 0.0
             assert (await sidecar.ask(request())) == (200, b"hello")
             (connection,) = sidecar.transport.pool.connections
--- a/tests/crossings/test_deadlines.py
+++ b/tests/crossings/test_deadlines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from garnethaven.engine.engine import MS
-from tests.loopback import never_answers, read_message, request, run, running, wait_until
+from tests.loopback import never_answers, read_message, request, run, running_sidecar, wait_until
 
 
 @pytest.mark.parametrize(("budget_ms", "answered_within_ms"), [(200, 190), (400, 380), (3000, 2970)])
@@ -13,7 +13,7 @@
     budget_ms: int, answered_within_ms: int
 ) -> None:
     async def case() -> None:
-        async with running(never_answers) as (sidecar, _):
+        async with running_sidecar(never_answers) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(request(X_Budget_Ms=str(budget_ms)))
             await wait_until(lambda: bool(sidecar.engine.calls))
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -24,7 +24,7 @@
     read_message,
     request,
     run,
-    running,
+    running_sidecar,
     wait_until,
 )
 
@@ -70,7 +70,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             set_effect(sidecar, Idempotency.RETRYABLE, cancel=cancel)
             dials = DelayedDials(monkeypatch)
             _, writer = await sidecar.connect()
@@ -93,7 +93,7 @@
 ) -> None:
     async def case() -> None:
         other_peer = await Peer(answers_with(ANSWER)).start()
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: dials.dial_count == 1)
@@ -122,7 +122,7 @@
         ) -> None:
             raise ConnectionError
 
-        async with running(reset_connection, reset_connection) as (sidecar, peers):
+        async with running_sidecar(reset_connection, reset_connection) as (sidecar, peers):
             dedup_window = 300 * MS
             set_effect(sidecar, Idempotency.DEDUP, dedup_window)
             dials = DelayedDials(monkeypatch)
@@ -148,7 +148,7 @@
             await reader.read()
             raise ConnectionError
 
-        async with running(silent, silent) as (sidecar, peers):
+        async with running_sidecar(silent, silent) as (sidecar, peers):
             set_effect(sidecar, Idempotency.DEDUP, dedup_window=400 * MS)
             engine = sidecar.engine
             engine.settings = engine.balancer.settings = replace(engine.settings, second_copies=True)
@@ -167,7 +167,7 @@
 
 def test_a_dial_that_outlasts_the_request_ends_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             assert (await sidecar.ask(request(X_Budget_Ms="150")))[0] in (502, 503, 504)
             dials.permits.release()
@@ -183,7 +183,7 @@
     """Time that passes between the decision to send and the writing is deducted from the server's budget."""
 
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="2000")))
             await wait_until(lambda: dials.dial_count == 1)
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -9,7 +9,17 @@
 import pytest
 
 from garnethaven.net.presence import reset_at_close
-from tests.loopback import ANSWER, Peer, Script, answers_with, read_message, request, run, running, wait_until
+from tests.loopback import (
+    ANSWER,
+    Peer,
+    Script,
+    answers_with,
+    read_message,
+    request,
+    run,
+    running_sidecar,
+    wait_until,
+)
 
 
 def resets_after(may_reset: asyncio.Event) -> Script:
@@ -31,7 +41,7 @@
     """While the process is blocked, its client disconnects, or half-closes and still waits for its answer."""
 
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             sock = socket.socket()
             sock.connect(("127.0.0.1", sidecar.port))
             await wait_until(lambda: len(sidecar.listener.connections) == 1)
@@ -59,7 +69,7 @@
 def test_a_client_that_leaves_behind_a_paused_read_has_no_further_attempt(reset: bool) -> None:
     async def case() -> None:
         may_reset = asyncio.Event()
-        async with running(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
+        async with running_sidecar(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
             await wait_until(lambda: request_count(peers) == 1)
@@ -82,7 +92,7 @@
 def test_a_client_that_first_ends_its_writing_and_then_goes_has_no_further_attempt() -> None:
     async def case() -> None:
         may_reset = asyncio.Event()
-        async with running(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
+        async with running_sidecar(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
             loop, sock = asyncio.get_running_loop(), await sidecar.plain()
             await loop.sock_sendall(sock, request())
             await wait_until(lambda: request_count(peers) == 1)
@@ -104,7 +114,7 @@
 def test_a_client_that_only_ends_its_writing_gets_its_answer_after_a_retry() -> None:
     async def case() -> None:
         may_reset = asyncio.Event()
-        async with running(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
+        async with running_sidecar(resets_after(may_reset), resets_after(may_reset)) as (sidecar, peers):
             reader, writer = await sidecar.connect()
             writer.write(request())
             writer.write_eof()
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -26,7 +26,7 @@
     MIN_REST_S,
     ReusePolicy,
 )
-from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running, wait_until
+from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 SECOND_REQUEST_S = 0.003  # after the answer to the first request
 WORK_S = 0.04  # longer than the latest duplicate answer
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("after_ms", [1, 2, 3, 4, 5, 7, 10, 15, 20, 25, 30])
 def test_the_first_second_answer_of_all_serves_nobody(after_ms: int) -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(after_ms / 1000.0)) as (sidecar, _):
+        async with running_sidecar(RepeatsAnswers(after_ms / 1000.0)) as (sidecar, _):
             assert await sidecar.ask(request(X_Call_Id="first")) == (200, b"first")
             await asyncio.sleep(SECOND_REQUEST_S)
             assert await sidecar.ask(request(X_Call_Id="second")) == (200, b"second")
@@ -76,7 +76,7 @@
 
 def test_second_answers_to_a_row_of_requests_serve_nobody() -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(0.01, doubled=1_000)) as (sidecar, _):
+        async with running_sidecar(RepeatsAnswers(0.01, doubled=1_000)) as (sidecar, _):
             sidecar.transport.pool.reuse.allowance = MAX_ALLOWANCE  # lasts until the first duplicate is seen
             for n in range(60):
                 name = f"c{n}"
@@ -88,7 +88,7 @@
 
 def test_a_second_answer_on_a_resting_connection_lengthens_the_rest_of_all() -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(0.2)) as (sidecar, _):
+        async with running_sidecar(RepeatsAnswers(0.2)) as (sidecar, _):
             reuse = sidecar.transport.pool.reuse
             reuse.full_rest_s = WAIT_S  # even on a slow machine
             assert (await sidecar.ask(request()))[0] == 200
@@ -103,7 +103,7 @@
 
 def test_the_rest_that_was_learned_is_kept_without_an_allowance() -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
+        async with running_sidecar(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
             reuse = sidecar.transport.pool.reuse
             reuse.allowance = 0.0
             reuse.full_rest_s = reuse.latest_arrival_s = WAIT_S
@@ -122,7 +122,7 @@
 
 def test_a_second_answer_right_behind_a_good_one_is_noted() -> None:
     async def case() -> None:
-        async with running(answers_with(answer_to(request()) * 2)) as (sidecar, _):
+        async with running_sidecar(answers_with(answer_to(request()) * 2)) as (sidecar, _):
             assert (await sidecar.ask(request())) == (200, b"c1")
             assert sidecar.transport.pool.reuse.unasked_at is not None
 
@@ -131,7 +131,7 @@
 
 def test_a_connection_that_is_opened_adds_to_the_allowance() -> None:
     async def case() -> None:
-        async with running(answers_with(answer_to(request()))) as (sidecar, _):
+        async with running_sidecar(answers_with(answer_to(request()))) as (sidecar, _):
             assert (await sidecar.ask(request()))[0] == 200
             allowance = sidecar.transport.pool.reuse.allowance
             assert allowance == pytest.approx(INITIAL_ALLOWANCE + ALLOWANCE_SHARE)
@@ -141,7 +141,7 @@
 
 def test_a_server_whose_connections_have_not_rested_needs_a_new_one() -> None:
     async def case() -> None:
-        async with running(answers_with(answer_to(request()))) as (sidecar, _):
+        async with running_sidecar(answers_with(answer_to(request()))) as (sidecar, _):
             assert (await sidecar.ask(request()))[0] == 200
             (target,) = sidecar.transport.targets.values()
             sidecar.transport.pool.settle_s = WAIT_S
@@ -156,7 +156,7 @@
 def test_no_connection_is_opened_beyond_need_where(reason: str) -> None:
     async def case() -> None:
         full = reason == "the pool is full"
-        async with running(answers_with(answer_to(request())), connections=1 if full else 32) as (
+        async with running_sidecar(answers_with(answer_to(request())), connections=1 if full else 32) as (
             sidecar,
             (peer,),
         ):
@@ -173,7 +173,7 @@
 
 def test_a_second_answer_that_waits_to_be_read_is_noted() -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
+        async with running_sidecar(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
             pool = sidecar.transport.pool
             assert (await sidecar.ask(request()))[0] == 200
             (connection,) = pool.connections
@@ -190,7 +190,7 @@
 
 def test_the_end_of_an_idle_connection_is_no_second_answer() -> None:
     async def case() -> None:
-        async with running(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
+        async with running_sidecar(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
             pool = sidecar.transport.pool
             pool.settle_s = 0.0
             assert (await sidecar.ask(request()))[0] == 200
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -21,7 +21,7 @@
     read_message,
     request,
     run,
-    running,
+    running_sidecar,
     wait_until,
 )
 
@@ -42,7 +42,7 @@
     """Endpoints hang, clients connect for another 0.4 s, one client is idle and one sends half a request."""
 
     async def case() -> None:
-        async with running(never_answers) as (sidecar, _):
+        async with running_sidecar(never_answers) as (sidecar, _):
             killed_after_s = set_deadlines(sidecar, deadline_ms)
             loop = asyncio.get_running_loop()
             idle_reader, _ = await sidecar.connect()
@@ -68,7 +68,7 @@
 
 def test_a_request_that_comes_late_has_no_longer_than_the_process() -> None:
     async def case() -> None:
-        async with running(never_answers) as (sidecar, (peer,)):
+        async with running_sidecar(never_answers) as (sidecar, (peer,)):
             killed_after_s = set_deadlines(sidecar, 900)
             loop = asyncio.get_running_loop()
             sidecar.listener.drain()
@@ -91,7 +91,7 @@
 
 def test_a_request_on_a_connection_that_is_being_shut_is_not_sent_on() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             reader, writer = await sidecar.connect()
             writer.write(request())
             assert (await read_message(reader))[1] == b"hello"
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -19,7 +19,7 @@
     answers_with,
     never_answers,
     run,
-    running,
+    running_sidecar,
     wait_until,
 )
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("fails", ["silent", "turns away", "resets"])
 def test_what_an_agent_has_at_its_return_is_known_within_a_drains_grace(fails: str) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             agent = await Agent([peer.member("s0") | {"phase": "DRAINING"}], fails).start()
             # As after a successful move to another address.
             sidecar.discovery.address = ("127.0.0.1", agent.port)
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -29,7 +29,7 @@
     read_message,
     request,
     run,
-    running,
+    running_sidecar,
     wait_until,
 )
 
@@ -62,7 +62,7 @@
 
 @contextlib.asynccontextmanager
 async def stage(servers: int = 4, **settings: Any) -> AsyncIterator[Stage]:
-    async with running(*[answers_with(ANSWER)] * servers) as (sidecar, peers):
+    async with running_sidecar(*[answers_with(ANSWER)] * servers) as (sidecar, peers):
         operator = ExternalProcessor(listen=("127.0.0.1", 0), **({"keys": (KEY,)} | settings))
         front = Front(operator, sidecar.engine, sidecar.transport, sidecar.listener.classes)
         await front.start(("127.0.0.1", 0))
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -21,7 +21,7 @@
 from garnethaven.tables import SocketAddress, merge_reloaded
 from tests.grpcs.raw import PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of, ok, stage
-from tests.loopback import ANSWER, answers_with, run, running
+from tests.loopback import ANSWER, answers_with, run, running_sidecar
 from tests.rigs.test_rigs import imported_at_start, play
 
 ROOT = Path(__file__).parent.parent.parent
@@ -121,7 +121,7 @@
 
 def test_grpc_at_the_http_front_gets_a_clear_answer() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(PREFACE + frame(SETTINGS, 0, 0))
             told = await asyncio.wait_for(reader.read(200), 10.0)
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -13,7 +13,7 @@
 from standins.clients import Allowance, Application, Guests, Habits
 from standins.discovery import Discovery, Mood
 from standins.ledger import Ledger
-from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, wait_until
+from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 
 def new_ledger() -> Ledger:
@@ -167,7 +167,7 @@
     """Limit of 16 connections: forty clients in turn send one request and stay, two others send regularly."""
 
     async def case() -> None:
-        async with running(answers_with(ANSWER), connections=32, client_places=16) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), connections=32, client_places=16) as (sidecar, _):
             places = sidecar.listener.places
             assert places.most == 16
             regulars = [await sidecar.connect() for _ in range(2)]
@@ -191,7 +191,7 @@
 
 def test_no_connection_is_closed_early_on_a_calm_day() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), connections=32) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), connections=32) as (sidecar, _):
             clients = [await sidecar.connect() for _ in range(10)]
             for number in range(3):
                 for n, (reader, writer) in enumerate(clients):
@@ -209,7 +209,7 @@
 
 def test_the_stand_in_clients_share_one_allowance() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), connections=32) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), connections=32) as (sidecar, _):
             ledger, allowance = new_ledger(), Allowance(4)
             guests = Guests("g", sidecar.port, ledger, allowance, random.Random(1))
             holding = asyncio.create_task(guests.say_nothing(4, 1.0))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -166,7 +166,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_sidecar(
     *scripts: Script, cell: int = 0, connections: int = 32, client_places: int = 0
 ) -> AsyncIterator[tuple[Sidecar, Any]]:
     """A sidecar with one scripted endpoint per script, all in one cell."""
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -29,7 +29,7 @@
     read_message,
     request,
     run,
-    running,
+    running_sidecar,
     settings_document,
     wait_until,
     wait_until_ready,
@@ -215,7 +215,7 @@
 
 @contextlib.asynccontextmanager
 async def watched(bad: bytes, ends: bool = False) -> AsyncIterator[Watched]:
-    async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, servers):
+    async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, servers):
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
         discovery = await BadDiscovery(members, bad, ends).start()
         made = Watched(sidecar, discovery, servers)
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -16,7 +16,7 @@
 from garnethaven.net.connection import Connection
 from garnethaven.net.own_failures import NO_ROUTE
 from garnethaven.net.upstream import Target
-from tests.loopback import ANSWER, answers_with, request, run, running, wait_until
+from tests.loopback import ANSWER, answers_with, request, run, running_sidecar, wait_until
 
 
 class FailingConnects:
@@ -44,7 +44,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, _):
             connects = FailingConnects(monkeypatch, code)
             response = asyncio.create_task(sidecar.ask(request(X_Budget_Ms="3000")))
             await wait_until(lambda: connects.injected > 0)
@@ -63,7 +63,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, peers):
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, peers):
             connects = FailingConnects(monkeypatch, errno.EADDRNOTAVAIL)
             loop = asyncio.get_running_loop()
             started_at = loop.time()
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("code", [errno.EPERM, errno.ENETDOWN, errno.EPROTO, errno.ENFILE])
 def test_accepts_that_fail_for_long_do_not_spin_and_lose_nobody(code: int) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             listener = sidecar.listener
             listener.sock = failing = FailingListener(listener.sock, code)  # type: ignore[assignment]
             response = asyncio.create_task(sidecar.ask(request()))
@@ -112,7 +112,7 @@
 
 def test_one_client_that_went_away_while_it_waited_delays_nobody() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             listener = sidecar.listener
             listener.sock = failing = FailingListener(listener.sock, errno.ECONNABORTED)  # type: ignore
             accept = failing.accept
@@ -150,7 +150,7 @@
 
 def test_a_log_that_cannot_be_written_raises_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             monkeypatch.setattr(sys, "stderr", ClosedError())
             engine = engine_ready_to_log(sidecar)
             engine.log("a line")
@@ -169,7 +169,7 @@
         os.set_blocking(write_fd, True)  # blocking, as standard error is; the pipe is full
 
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             monkeypatch.setattr(sys, "stderr", os.fdopen(write_fd, "w"))
             engine = engine_ready_to_log(sidecar)
             reader = threading.Timer(5.0, os.read, (read_fd, 1 << 20))  # unblocks a write that hangs
--- a/tests/ops/test_account.py
+++ b/tests/ops/test_account.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnethaven.engine.account import CallResult
-from tests.loopback import ANSWER, Sidecar, read_message, request, run, running, wait_until
+from tests.loopback import ANSWER, Sidecar, read_message, request, run, running_sidecar, wait_until
 
 REJECTION = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 SERVER_ERROR = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
@@ -40,7 +40,7 @@
         writer.write(answer)
 
     async def case() -> None:
-        async with running(random_answer, random_answer, random_answer, connections=4 * CLIENTS) as (
+        async with running_sidecar(random_answer, random_answer, random_answer, connections=4 * CLIENTS) as (
             sidecar,
             peers,
         ):
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -13,7 +13,7 @@
 from garnethaven.ops.front import MAX_CONNECTIONS
 from garnethaven.ops.service import Ops
 from garnethaven.ops.shared import Shared
-from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running, wait_until
+from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 
 async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
@@ -72,7 +72,7 @@
 )
 def test_a_call_has_its_answer(text: bytes, status: int, tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             ops, port = await open_ops(sidecar, tmp_path)
             assert (await call(port, text))[0] == status
             ops.close()
@@ -82,7 +82,7 @@
 
 def test_ready_says_no_while_the_planned_end_runs(tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             ops, port = await open_ops(sidecar, tmp_path)
             sidecar.listener.drain()
             assert (await call(port, operator_request("GET", "/_ready")))[0] == 503
@@ -93,7 +93,7 @@
 
 def test_callers_that_stall_keep_nobody_out(tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             ops, port = await open_ops(sidecar, tmp_path)
             stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CONNECTIONS)]
             for _, writer in stalled:
@@ -111,7 +111,7 @@
 
 def test_nothing_goes_to_what_is_out_whatever_the_list_says(tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, (first, second)):
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, (first, second)):
             ops, port = await open_ops(sidecar, tmp_path)
             assert (await call(port, detach("s0")))[0] == 200
             members = [first.member("s0"), second.member("s1")]
@@ -133,7 +133,7 @@
 
 def test_with_all_of_them_out_requests_are_refused_at_once(tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             ops, port = await open_ops(sidecar, tmp_path)
             assert (await call(port, detach("s0")))[0] == 200
             assert (await sidecar.ask(request()))[0] == 503 and peer.requests == []
@@ -148,7 +148,7 @@
 def test_figures_are_what_peers_saw(tmp_path: Path) -> None:
     async def case() -> None:
         refusal = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-        async with running(answers_with(ANSWER), answers_with(refusal)) as (sidecar, peers):
+        async with running_sidecar(answers_with(ANSWER), answers_with(refusal)) as (sidecar, peers):
             ops, port = await open_ops(sidecar, tmp_path)
             statuses = [(await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] for n in range(12)]
             metrics = (await call(port, operator_request("GET", "/_vars")))[1]
@@ -167,7 +167,7 @@
     connect = Target._connect
 
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, (first, second)):
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER)) as (sidecar, (first, second)):
             ops, port = await open_ops(sidecar, tmp_path)
 
             async def connect_or_hang(target: Target, address: Address) -> Connection:
@@ -193,7 +193,7 @@
 
 def test_one_that_comes_back_at_another_address_stays_out(tmp_path: Path) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), answers_with(ANSWER), answers_with(ANSWER)) as (
+        async with running_sidecar(answers_with(ANSWER), answers_with(ANSWER), answers_with(ANSWER)) as (
             sidecar,
             (first, second, third),
         ):
--- a/tests/recovery/test_standing_still.py
+++ b/tests/recovery/test_standing_still.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from tests.loopback import ANSWER, answers_with, run, running
+from tests.loopback import ANSWER, answers_with, run, running_sidecar
 
 
 @pytest.mark.parametrize(("stood_s", "anew"), [(1.2, True), (0.6, False)])
 def test_a_window_begins_anew_only_after_a_standstill(stood_s: float, anew: bool) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             window = sidecar.engine.balancer.overload.window
             window.most = 0.0  # the window has ended
             await asyncio.sleep(0.1)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -27,7 +27,16 @@
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ok
 from tests.grpcs.test_on_sockets import stage as grpc_stage
-from tests.loopback import ANSWER, WAIT_S, answers_with, never_answers, request, run, running, wait_until
+from tests.loopback import (
+    ANSWER,
+    WAIT_S,
+    answers_with,
+    never_answers,
+    request,
+    run,
+    running_sidecar,
+    wait_until,
+)
 
 MANY = 60
 
@@ -114,7 +123,7 @@
     monkeypatch.setattr(listening, "DRAIN_LISTEN_MOST_S", 0.0)
 
     async def case() -> None:
-        async with running(answers_with(ANSWER), connections=4) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), connections=4) as (sidecar, _):
             # The loop does not run in between: all connections wait in the backlog, more than the limit.
             clients = [connected(sidecar.port, request(X_Call_Id=f"b{n}")) for n in range(MANY)]
             sidecar.listener.drain()
@@ -128,7 +137,7 @@
 
 def test_a_new_connection_may_still_ask_when_idle_ones_are_closed() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             await wait_until(lambda: len(sidecar.listener.connections) == 1)
             sidecar.listener._close_idle()
@@ -150,7 +159,7 @@
     monkeypatch.setattr(Engine, "log", lambda self, text: logged.append(text))
 
     async def case() -> None:
-        async with running(never_answers, connections=4) as (sidecar, _):
+        async with running_sidecar(never_answers, connections=4) as (sidecar, _):
             clients = [
                 connected(sidecar.port, request(X_Call_Id=f"b{n}", X_Budget_Ms="300")) for n in range(MANY)
             ]
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -13,7 +13,7 @@
 from garnethaven.engine.account import CallResult
 from garnethaven.net import request_deadlines
 from garnethaven.net.flow import RECEIVE_BUFFER_BYTES, REPLAY_BUFFER_BYTES, STREAM_MEMORY_BYTES
-from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running, wait_until
+from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 MB = 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -370,7 +370,7 @@
 
 def test_white_space_behind_a_value_is_no_part_of_it() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             text = (
                 request().replace(b"X-Budget-Ms: 3000", b"x-BUDGET-ms:3000 \t").replace(b"check", b"check ")
             )
@@ -417,7 +417,7 @@
 @pytest.mark.parametrize("target", [b"http://backend.local/api?user=u1", b"HTTP://h:80/api?user=u1"])
 def test_an_absolute_target_goes_on_as_path_and_query(target: bytes) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             assert (await sidecar.ask(request().replace(b"/api?user=u1", target, 1)))[0] == 200
             assert peer.requests[0].startswith(b"POST /api?user=u1 HTTP/1.1\r\n")
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -33,7 +33,7 @@
     read_message,
     request,
     run,
-    running,
+    running_sidecar,
     wait_until,
     wait_until_listening,
     wait_until_ready,
@@ -64,7 +64,7 @@
 )
 def test_bad_requests_get_an_error_and_reach_no_endpoint(text: bytes, status: int) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             assert (await sidecar.ask(text))[0] == status
             assert peer.requests == []
             assert (await sidecar.ask(request()))[0] == 200
@@ -74,7 +74,7 @@
 
 def test_a_connection_header_takes_no_name_away() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             text = request(X_Hop="1", Connection="x-hop, idempotency-key, x-call-id")
             assert (await sidecar.ask(text))[0] == 200
             assert b"Idempotency-Key: k1" in peer.requests[0] and b"X-Call-Id: c1" in peer.requests[0]
@@ -84,7 +84,7 @@
 
 def test_an_id_that_is_under_way_is_not_taken_again() -> None:
     async def case() -> None:
-        async with running(never_answers) as (sidecar, (peer,)):
+        async with running_sidecar(never_answers) as (sidecar, (peer,)):
             _, first = await sidecar.connect()
             first.write(request())
             await wait_until(lambda: len(peer.requests) == 1)
@@ -104,7 +104,7 @@
         monkeypatch.setattr(request_deadlines, name, 0.1)
 
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(start)
             answer = await reader.read()  # to the end
@@ -116,7 +116,7 @@
 
 def test_an_idle_connection_is_closed_and_leaves_nothing_behind() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             sidecar.listener.set_limits(calm_idle_s=0.1)
             gc.disable()  # reference counts alone must free the connection: full collections are rare
             try:
@@ -137,7 +137,7 @@
 
 def test_silent_connections_make_room_for_those_that_ask() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER), connections=8) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER), connections=8) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(request())
             assert (await read_message(reader))[1] == b"hello"
@@ -156,7 +156,7 @@
 
 def test_a_client_that_is_turned_away_is_answered_at_once_and_read_later() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(request(X_Call_Class="none"))
             assert b" 400 " in (await read_message(reader))[0]
@@ -187,7 +187,10 @@
 )
 def test_a_spoilt_answer_is_tried_again_and_its_connection_dropped(answer: bytes) -> None:
     async def case() -> None:
-        async with running(answers_with(answer), answers_with(ANSWER)) as (sidecar, (faulty, healthy)):
+        async with running_sidecar(answers_with(answer), answers_with(ANSWER)) as (
+            sidecar,
+            (faulty, healthy),
+        ):
             n = 0
             while not faulty.requests:
                 n += 1
@@ -201,7 +204,7 @@
 @pytest.mark.parametrize("more", [ANSWER, b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"])
 def test_what_follows_a_good_answer_serves_nobody(more: bytes) -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER + more)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER + more)) as (sidecar, (peer,)):
             for n in range(5):
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
             assert peer.connections == 5
@@ -211,7 +214,7 @@
 
 def test_a_connection_settles_before_it_is_used_again() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             sidecar.transport.pool.settle_s = WAIT_S
             for n in range(3):
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
@@ -227,7 +230,7 @@
     async def case() -> None:
         body = bytes(range(256)) * 1560
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        async with running(answers_with(answer)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(answer)) as (sidecar, (peer,)):
             assert await sidecar.ask(request()) == (200, body)
             assert len(peer.requests) == 1
 
@@ -243,7 +246,7 @@
                 writer.write(ANSWER[start : start + 4])
                 await asyncio.sleep(0.1)  # in total longer than the pause that ends an answer
 
-        async with running(slowly) as (sidecar, (peer,)):
+        async with running_sidecar(slowly) as (sidecar, (peer,)):
             assert await sidecar.ask(request()) == (200, b"hello")
             assert len(peer.requests) == 1
 
@@ -253,7 +256,7 @@
 def test_interim_answers_come_before_the_real_one() -> None:
     async def case() -> None:
         early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
-        async with running(answers_with(early + ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(early + ANSWER)) as (sidecar, (peer,)):
             sidecar.transport.pool.settle_s = 0.0
             for n in range(3):
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
@@ -269,7 +272,7 @@
                 raise ConnectionError
             writer.write(ANSWER)
 
-        async with running(once) as (sidecar, (peer,)):
+        async with running_sidecar(once) as (sidecar, (peer,)):
             sidecar.transport.pool.settle_s = 0.0
             (server,) = sidecar.engine.balancer.servers.values()
             assert (await sidecar.ask(request()))[0] == 200
@@ -286,7 +289,7 @@
 def test_an_endpoint_that_faults_the_request_is_not_blamed_and_it_goes_nowhere_else() -> None:
     async def case() -> None:
         answer = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
-        async with running(answers_with(answer), answers_with(answer)) as (sidecar, peers):
+        async with running_sidecar(answers_with(answer), answers_with(answer)) as (sidecar, peers):
             assert (await sidecar.ask(request()))[0] == 502
             assert sum(len(peer.requests) for peer in peers) == 1
             assert not any(server.errors for server in sidecar.engine.balancer.servers.values())
@@ -297,7 +300,7 @@
 @pytest.mark.parametrize("report", ["{", "[1]", '{"a": ' * 100_000, f'{{"inflight": 1{"0" * 400}}}', "null"])
 def test_a_load_report_that_cannot_be_read_harms_nobody(report: str) -> None:
     async def case() -> None:
-        async with running() as (sidecar, _):
+        async with running_sidecar() as (sidecar, _):
             transport = sidecar.transport
             transport.settings = replace(transport.settings, report_fields=("inflight",))
             assert transport._read_report(report.encode()) == ()
@@ -311,7 +314,7 @@
 def test_a_connection_that_comes_back_to_an_endpoint_that_is_gone_is_closed() -> None:
     async def case() -> None:
         may_answer = asyncio.Event()
-        async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             response = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: len(peer.requests) == 1)
             sidecar.tell([])
@@ -325,7 +328,7 @@
 
 def test_dials_count_against_the_limit_before_they_begin() -> None:
     async def case() -> None:
-        async with running(never_answers) as (sidecar, (peer,)):
+        async with running_sidecar(never_answers) as (sidecar, (peer,)):
             sidecar.transport.pool.limit = lambda: 2
             clients = [await sidecar.connect() for _ in range(6)]
             for n, (_, writer) in enumerate(clients):
@@ -342,7 +345,7 @@
 
 def test_nothing_is_kept_of_a_finished_request() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             for n in range(20):
                 await sidecar.ask(request(X_Call_Id=f"c{n}"))
             engine = sidecar.engine
@@ -357,7 +360,7 @@
 
 def test_discovery_moves_at_once_and_leaves_the_old_address() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             old, new = (
                 await ScriptedDiscovery([peer.member("s0")]).start(),
                 await ScriptedDiscovery([peer.member("s9")]).start(),
@@ -432,7 +435,7 @@
 
 def test_a_failed_first_list_after_a_move_is_asked_for_again() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
             lists = ScriptedDiscovery([peer.member("s9")])
             answer_request = lists._tell
 
@@ -456,7 +459,7 @@
 
 def test_a_list_that_is_no_list_leaves_the_old_one() -> None:
     async def case() -> None:
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             faulty_discovery = await Peer(
                 answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[[[[[[[[[")
             ).start()
@@ -474,7 +477,7 @@
 def test_what_was_taken_before_the_end_is_answered() -> None:
     async def case() -> None:
         may_answer = asyncio.Event()
-        async with running(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
+        async with running_sidecar(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             accepted = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: len(peer.requests) == 1)
             sidecar.listener.drain()
@@ -494,7 +497,7 @@
 
     async def case() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
-        async with running(answers_with(ANSWER)) as (sidecar, _):
+        async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             _, first = await sidecar.connect()
             await wait_until(lambda: len(sidecar.listener.connections) == 1)
             (broken,) = sidecar.listener.connections
@@ -523,7 +526,7 @@
         ) -> None:
             writer.write(b"noise" if peer.connections == 1 else ANSWER)
 
-        async with running(first_is_invalid) as (sidecar, (peer,)):
+        async with running_sidecar(first_is_invalid) as (sidecar, (peer,)):
             assert await sidecar.ask(request()) == (200, b"hello")
             assert len(peer.requests) == 2
             unkeyed = request(X_Call_Id="c2", Idempotency_Key="")
