--- a/tests/connections/test_settings.py
+++ b/tests/connections/test_settings.py
@@ -15,7 +15,7 @@
 from garnethaven.connections.table import Connections
 from garnethaven.net.upstream import Pool
 from standins.ports import PORTS
-from tests.loopback import config_file, run
+from tests.loopback import run, write_config_file
 from tests.rigs.test_rigs import imported_at_start, play
 
 ROOT = Path(__file__).parent.parent.parent
@@ -54,7 +54,7 @@
 
 def test_a_reload_takes_other_bounds_over_and_says_what_waits(tmp_path: Path) -> None:
     async def case() -> None:
-        path = config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}")
+        path = write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}")
         config = program.read_config({"NODE_CONFIG": str(path)})
         sidecar = Sidecar(config, {"connections": Connections(plan=True)}, asyncio.get_running_loop())
         pool = sidecar.transport.pool
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -20,13 +20,13 @@
     Peer,
     ScriptedDiscovery,
     answers_with,
-    config_file,
     read_message,
     request,
     run,
     settings_document,
     wait_until,
     wait_until_ready,
+    write_config_file,
 )
 
 SOCKETS = 128
@@ -59,7 +59,7 @@
         port, discovery_port = PORTS.take(), PORTS.take()
         settings = settings_document() | {"membershipMode": "ask", "fleetSize": 3}
         settings["rules"] = settings["rules"] | {"askWithinNs": 4 * 10**9}
-        path = config_file(
+        path = write_config_file(
             tmp_path / "c.json",
             listen=f"127.0.0.1:{port}",
             discovery=f"127.0.0.1:{discovery_port}",
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -20,7 +20,7 @@
 from standins.ports import PORTS
 from standins.proxy import ATTEMPTS, CHECKED, Proxy, Ways, headers_message
 from tests.extproc.test_front import KEY, stage
-from tests.loopback import config_file, run, wait_until
+from tests.loopback import run, wait_until, write_config_file
 
 
 def test_a_tenant_over_its_share_is_told_so_and_others_are_refused() -> None:
@@ -94,7 +94,7 @@
 ) -> None:
     async def case() -> None:
         monkeypatch.setenv(
-            "NODE_CONFIG", str(config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}"))
+            "NODE_CONFIG", str(write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}"))
         )
         config = program.read_config({"NODE_CONFIG": str(tmp_path / "config")})
         file = tmp_path / "operator.toml"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -206,7 +206,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-def config_file(path: Path, **changes: Any) -> Path:
+def write_config_file(path: Path, **changes: Any) -> Path:
     document = {
         "name": "t",
         "listen": "127.0.0.1:1",
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -24,7 +24,6 @@
     Peer,
     Sidecar,
     answers_with,
-    config_file,
     never_answers,
     read_message,
     request,
@@ -33,6 +32,7 @@
     settings_document,
     wait_until,
     wait_until_ready,
+    write_config_file,
 )
 
 DRAIN_GRACE_S = 0.5
@@ -377,7 +377,7 @@
         settings = settings_document() | {"membershipMode": "ask"}
         settings["rules"]["askWithinNs"] = 10**9
         port = PORTS.take()
-        config = config_file(
+        config = write_config_file(
             tmp_path / "config.json",
             listen=f"127.0.0.1:{port}",
             discovery=f"127.0.0.1:{discovery.port}",
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -19,11 +19,11 @@
     Peer,
     ScriptedDiscovery,
     answers_with,
-    config_file,
     read_message,
     request,
     run,
     wait_until,
+    write_config_file,
 )
 from tests.rigs.test_rigs import play
 
@@ -50,7 +50,7 @@
             self.ensemble.make(f"/checks/p{number}", data, session)
         self.discovery = await ScriptedDiscovery([peer.member("d") for peer in listed]).start()
         self.write("/checks")
-        told = config_file(
+        told = write_config_file(
             self.folder / "config",
             listen=f"127.0.0.1:{self.port}",
             discovery=f"127.0.0.1:{self.discovery.port}",
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -25,7 +25,6 @@
     ANSWER,
     Peer,
     answers_with,
-    config_file,
     never_answers,
     read_message,
     request,
@@ -33,6 +32,7 @@
     settings_document,
     wait_until,
     wait_until_ready,
+    write_config_file,
 )
 
 ROOT = Path(__file__).parents[2]
@@ -134,7 +134,7 @@
     path: Path, discovery: Peer, limits: dict[str, int], **changes: Any
 ) -> AsyncIterator[Program]:
     port = PORTS.take()
-    config = config_file(
+    config = write_config_file(
         path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery.port}", limits=limits, **changes
     )
     process = await asyncio.create_subprocess_exec(
--- a/tests/ops/test_upgrade.py
+++ b/tests/ops/test_upgrade.py
@@ -16,10 +16,10 @@
     Peer,
     ScriptedDiscovery,
     answers_with,
-    config_file,
     read_message,
     request,
     run,
+    write_config_file,
 )
 from tests.ops.test_front import attach, call, detach, operator_request
 
@@ -53,7 +53,7 @@
         }
         known_list = {"revision": 1, "complete": True, "members": self.lists.members}
         config |= {"ops": f"127.0.0.1:{ops}", "known": known_list}
-        path = config_file(self.folder / f"{len(self.processes)}.json", **(config | changes))
+        path = write_config_file(self.folder / f"{len(self.processes)}.json", **(config | changes))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,7 +28,6 @@
     Peer,
     ScriptedDiscovery,
     answers_with,
-    config_file,
     never_answers,
     read_message,
     request,
@@ -37,6 +36,7 @@
     wait_until,
     wait_until_listening,
     wait_until_ready,
+    write_config_file,
 )
 
 # Requests of clients
@@ -379,7 +379,7 @@
 
 
 def test_a_file_read_anew_wins_over_the_variables_of_the_start(tmp_path: Path) -> None:
-    path = config_file(tmp_path / "c.json")
+    path = write_config_file(tmp_path / "c.json")
     environment = {"NODE_CONFIG": str(path), "NODE_DISCOVERY": "127.0.0.1:3"}
     assert read_config(environment).discovery == ("127.0.0.1", 3)
     assert read_config(environment, reload=True).discovery == ("127.0.0.1", 2)
@@ -398,7 +398,7 @@
         with contextlib.closing(await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)) as unused:
             port = unused.sockets[0].getsockname()[1]
         listen = f"127.0.0.1:{port}"
-        path = config_file(tmp_path / "c.json", listen=listen, discovery=f"127.0.0.1:{old.port}")
+        path = write_config_file(tmp_path / "c.json", listen=listen, discovery=f"127.0.0.1:{old.port}")
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -414,7 +414,7 @@
             assert program.stderr is not None
             assert b"old configuration is kept" in await program.stderr.readline()
             await asyncio.sleep(1.1)  # the log is limited to one line per second
-            config_file(path, listen=listen, discovery=f"127.0.0.1:{new.port}")
+            write_config_file(path, listen=listen, discovery=f"127.0.0.1:{new.port}")
             program.send_signal(signal.SIGHUP)
             assert b"read anew" in await program.stderr.readline()
             await wait_until(lambda: len(new.requests) == 2)
@@ -542,7 +542,7 @@
         peer, view_port = await Peer(answers_with(ANSWER)).start(), PORTS.take()
         lists = await ScriptedDiscovery([peer.member("s0")]).start()
         port = PORTS.take()
-        path = config_file(
+        path = write_config_file(
             tmp_path / "c.json", listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{lists.port}"
         )
         operator = tmp_path / "operator.toml"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,8 @@
 
 from garnethaven.__main__ import main
 from garnethaven.settings import SettingsError, read_settings
-from tests.loopback import config_file
 from tests.loopback import settings_document as sidecar_settings
+from tests.loopback import write_config_file
 
 
 def settings_object(**rules: Any) -> dict[str, Any]:
@@ -109,7 +109,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    path = config_file(tmp_path / "c.json", **changes)
+    path = write_config_file(tmp_path / "c.json", **changes)
     monkeypatch.setenv("NODE_CONFIG", str(path))
     assert main([]) == 2
     error_output = capsys.readouterr().err
