--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -61,7 +61,7 @@
         self.requests += 1
         loop, plan = self.planned.pool.loop, self.planned.plan
         self.carried_at = loop.time()
-        if self.idle_since and not exchange.careful and plan.watched(self.idle_for):
+        if self.idle_since and not exchange.careful and plan.watched(self.idle_before_s):
             self.doubt = loop.call_later(plan.silence_s(), self._silent, 1)
 
     def data_received(self, data: bytes) -> None:
@@ -93,7 +93,7 @@
         if self.exchange is None or self.received or self._unread():
             return
         loop, plan = self.planned.pool.loop, self.planned.plan
-        if plan.is_dead(loop.time(), self.idle_for, self.carried_at, looks):
+        if plan.is_dead(loop.time(), self.idle_before_s, self.carried_at, looks):
             self.silence = True
             self._break()
         else:
@@ -118,7 +118,7 @@
         exchange, kept = self.exchange, self.requests > 1
         now, plan = self.planned.pool.loop.time(), self.planned.plan
         if kept and not self.received:
-            (plan.silent if self.silence else plan.ended)(now, self.idle_for)
+            (plan.silent if self.silence else plan.ended)(now, self.idle_before_s)
         elif not kept and not self.received and now - self.began_at < AT_ONCE_S:
             plan.refused(now, self.planned.busy + len(self.planned.idle) - 1)  # taken only to be closed
         lost = exchange is not None and exchange.body is not None and exchange.body.lost
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -79,7 +79,7 @@
         self.last_received_at = 0.0
         self.opened_at = time.monotonic_ns()
         self.idle_since = 0.0  # by the loop's clock; 0: has not been idle
-        self.idle_for = 0.0  # seconds without an exchange, before the current one
+        self.idle_before_s = 0.0  # seconds without an exchange, before the current one
         self.request_at = 0.0  # when the current request was written
         self.answered_at = 0.0  # when the last complete answer ended
 
@@ -281,7 +281,7 @@
         self.exchange = exchange
         exchange.connection = self
         self.request_at = self.target.pool.loop.time()
-        self.idle_for = self.request_at - self.idle_since if self.idle_since else 0.0
+        self.idle_before_s = self.request_at - self.idle_since if self.idle_since else 0.0
         self.answer = Answer()
         self.received = 0
         self.in_body = self.complete = self.has_surplus = self.reusable = False
