--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -90,7 +90,7 @@
     def _silent(self, looks: int) -> None:
         """Nothing has come back yet on a connection that had been idle."""
         self.doubt = None
-        if self.exchange is None or self.received or self._unread():
+        if self.exchange is None or self.received_bytes or self._unread():
             return
         loop, plan = self.planned.pool.loop, self.planned.plan
         if plan.is_dead(loop.time(), self.idle_before_s, self.carried_at, looks):
@@ -117,9 +117,9 @@
     def _break(self) -> None:
         exchange, kept = self.exchange, self.requests > 1
         now, plan = self.planned.pool.loop.time(), self.planned.plan
-        if kept and not self.received:
+        if kept and not self.received_bytes:
             (plan.silent if self.silence else plan.ended)(now, self.idle_before_s)
-        elif not kept and not self.received and now - self.began_at < AT_ONCE_S:
+        elif not kept and not self.received_bytes and now - self.began_at < AT_ONCE_S:
             plan.refused(now, self.planned.busy + len(self.planned.idle) - 1)  # taken only to be closed
         lost = exchange is not None and exchange.body is not None and exchange.body.lost
         if exchange is None or self.flushed or not kept or exchange.redone or lost:
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -69,7 +69,7 @@
         self.answer = Answer()
         self.parser: HttpResponseParser | None = HttpResponseParser(self)
         self.flushed = True  # the last byte of the request has left the write buffer
-        self.received = 0  # bytes since the request was written
+        self.received_bytes = 0  # bytes since the request was written
         self.request_bytes_written = 0
         self.in_body = False
         self.complete = False
@@ -148,8 +148,8 @@
             self.report_unsolicited()
             self.drop()  # no request is pending: these bytes must not become the next request's answer
             return
-        unsolicited = not self.received and self._is_unsolicited()
-        self.received += len(data)
+        unsolicited = not self.received_bytes and self._is_unsolicited()
+        self.received_bytes += len(data)
         self.last_received_at = self.target.pool.loop.time()
         if unsolicited:
             self.report_unsolicited()
@@ -208,7 +208,7 @@
         if self.target.pool.memory.too_much(self.buffered_bytes):
             return True
         framing = MAX_FRAMING_BYTES + MAX_FRAMING_RATIO * size  # a chunk may hold a single byte
-        return size > limit or (self.answer.length or 0) > limit or self.received - size > framing
+        return size > limit or (self.answer.length or 0) > limit or self.received_bytes - size > framing
 
     def _should_stream(self) -> bool:
         """Whether the answer's body is longer, as received or as announced, than may be buffered."""
@@ -283,7 +283,7 @@
         self.request_at = self.target.pool.loop.time()
         self.idle_before_s = self.request_at - self.idle_since if self.idle_since else 0.0
         self.answer = Answer()
-        self.received = 0
+        self.received_bytes = 0
         self.in_body = self.complete = self.has_surplus = self.reusable = False
         self.flushed = self.streaming = False
         message = exchange.message()
@@ -402,5 +402,5 @@
         if exchange is not None:
             exchange.connection = None
             exchange.over = True
-            exchange.stale = self.idle_since > 0.0 and not self.received
+            exchange.stale = self.idle_since > 0.0 and not self.received_bytes
             exchange.broken(written)
