--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -295,7 +295,7 @@
         elif not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self._request_written()
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the endpoint has neither closed this idle connection nor written to it.
 
         Asks the kernel, since the event loop may lag; a request written to a closed connection is reset.
