--- a/garnethaven/net/flow.py
+++ b/garnethaven/net/flow.py
@@ -59,7 +59,7 @@
         self.replay_buffer: list[bytes] = []
         self.size = 0  # bytes received
         self.complete = False
-        self.lost = False  # the replay buffer was dropped: the body can't be sent again
+        self.replay_lost = False  # the replay buffer was dropped: the body can't be sent again
         self.paused = False  # whether reading from the source is paused
         self.sink: BodySink | None = None
 
@@ -68,14 +68,14 @@
     def add(self, data: bytes) -> None:
         """Pass on the next part, or buffer it while there is no sink; pauses the source if that is full."""
         self.size += len(data)
-        if not self.lost:
+        if not self.replay_lost:
             self.replay_buffer.append(data)
         if self.sink is None:
-            if self.size > REPLAY_BUFFER_BYTES and not self.lost:
+            if self.size > REPLAY_BUFFER_BYTES and not self.replay_lost:
                 self._pause()
             return
         if self.size > REPLAY_BUFFER_BYTES:
-            self.lost, self.replay_buffer = True, []
+            self.replay_lost, self.replay_buffer = True, []
         if not self.sink.write_part(data):
             self._pause()
 
@@ -94,7 +94,7 @@
         for data in self.replay_buffer:
             room = sink.write_part(data)
         if self.size > REPLAY_BUFFER_BYTES:
-            self.lost, self.replay_buffer = True, []
+            self.replay_lost, self.replay_buffer = True, []
         if self.complete:
             sink.finish_body()
         elif room:
