--- a/garnethaven/net/exchange.py
+++ b/garnethaven/net/exchange.py
@@ -61,7 +61,7 @@
         self.skipped = False  # was not attempted, for a reason that is not the endpoint's failure
         self.hindered = False  # waits because system calls on this machine fail at present
         self.body: StreamedBody | None = None  # follows the payload, streamed from the client
-        self.redone = False  # was moved to another connection once, before it had been written
+        self.was_moved = False  # was moved to another connection once, before it had been written
 
     def message(self) -> tuple[bytes | bytearray, ...]:
         """The bytes to write, computed at the time of writing."""
