--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -45,7 +45,7 @@
 # (capped at `MAX_DRAIN_DEADLINE_S`) plus `KILL_S` after the signal; with short deadlines the longer phases
 # end sooner.
 MAX_DRAIN_DEADLINE_S = 3.0
-KILL_S = 0.7
+KILL_DELAY_S = 0.7
 LAST_ANSWER_S = 0.25  # before the kill: every accepted request has been answered by then
 LINGER_LAST_S = 0.15  # before the kill: the last connection is closed; an idle interpreter exits in 0.04 s
 # Times after the signal, unless stated otherwise:
@@ -353,7 +353,7 @@
         prefer_newer_listener(self.sock)
         self.accepted_at = max(self.accepted_at, now)
         patience_s = max(grade.deadline for grade in self.engine.settings.grades) / S
-        killed_at = now + min(patience_s, MAX_DRAIN_DEADLINE_S) + KILL_S
+        killed_at = now + min(patience_s, MAX_DRAIN_DEADLINE_S) + KILL_DELAY_S
         self.linger_deadline = killed_at - LINGER_LAST_S
         self.last_answer_at = killed_at - LAST_ANSWER_S
         self.engine.set_drain_deadline(self.last_answer_at - now)
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnethaven.engine.engine import MS
-from garnethaven.net.listener import KILL_S
+from garnethaven.net.listener import KILL_DELAY_S
 from rigs.stage import Stage
 from standins.platform import NS, settings
 from tests.loopback import (
@@ -34,7 +34,7 @@
         for request_class in engine.settings.grades
     )
     engine.settings = engine.balancer.settings = replace(engine.settings, grades=request_classes)
-    return deadline_ms / 1000 + KILL_S
+    return deadline_ms / 1000 + KILL_DELAY_S
 
 
 @pytest.mark.parametrize("deadline_ms", [300, 450, 900])
@@ -137,7 +137,7 @@
                 writer.write(last_byte)
             assert program.process is not None
             assert await asyncio.wait_for(program.process.wait(), 10.0) == 0
-            remaining_s = deadline_s + KILL_S - (time.monotonic() - started_at)
+            remaining_s = deadline_s + KILL_DELAY_S - (time.monotonic() - started_at)
             assert remaining_s > END_MARGIN_S
         finally:
             await stage.down()
