--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -158,7 +158,7 @@
             clients_held=clients,
             clients_most=self._max_clients(),
             client_places=listener.places.limit,
-            silent_clients=listener.never_asked,
+            silent_clients=listener.without_request,
             pressure=round(listener.places.pressure(clients), 3),
             returning=round(listener.places.return_share, 3),
             ended_early=listener.places.ended_early,
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -120,7 +120,7 @@
         self.places = ClientConnectionLimit(limit(), self.client_share)
         self.set_limits()
         self.connections: set[OwnedConnection] = set()
-        self.never_asked = 0  # connections without a request so far
+        self.without_request = 0  # connections without a request so far
         self.closing: set[OwnedConnection] = set()  # connections that are being closed
         self.lingering: dict[OwnedConnection, None] = {}  # the lingering ones of these, the oldest first
         self.accept_tasks: set[asyncio.Task[object]] = set()
@@ -225,12 +225,12 @@
 
     def opened(self, connection: OwnedConnection) -> None:
         self.connections.add(connection)
-        self.never_asked += 1
+        self.without_request += 1
         self.accepted_sockets.discard(connection.sock)
 
     def request_received(self, usage: ConnectionHistory, now: float) -> None:
         if not usage.asked:
-            self.never_asked -= 1
+            self.without_request -= 1
         self.places.record_request(usage, now)
 
     def close_started(self, connection: OwnedConnection) -> None:
@@ -238,7 +238,7 @@
 
     def forget(self, connection: OwnedConnection) -> None:
         if not connection.usage.asked:
-            self.never_asked -= 1
+            self.without_request -= 1
         self.places.record_close(connection.usage, self.loop.time())
         self.connections.discard(connection)
         self.closing.discard(connection)
@@ -332,7 +332,7 @@
 
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
         """Whether to close the connection with the answer that is about to be written."""
-        in_use = self.held() - self.never_asked
+        in_use = self.held() - self.without_request
         return self.places.ends_with_answer(connection.usage, in_use, connection.usage.since)
 
     def _close_surplus(self, now: float) -> None:
