--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -134,7 +134,7 @@
         return self.descriptors.max_clients(self.transport.pool.held())
 
     def _max_endpoints(self) -> int:
-        return self.descriptors.max_endpoints(self.listener.held())
+        return self.descriptors.max_endpoints(self.listener.counted_connections())
 
     def _log_limits(self) -> None:
         self.limits_timer = self.loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
@@ -153,7 +153,7 @@
         """The current limits and their use."""
         listener, fresh, pool = self.listener, self.discovery.fresh, self.transport.pool
         overload = self.engine.balancer.overload
-        clients = listener.held()
+        clients = listener.counted_connections()
         return Figures(
             clients_held=clients,
             clients_most=self._max_clients(),
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -184,7 +184,7 @@
 
     def _excess(self) -> int:
         """The number of connections above the limit, after evictions; negative: one more is allowed."""
-        excess = self.held() - self.limit()
+        excess = self.counted_connections() - self.limit()
         if excess >= 0:
             excess -= self._evict(excess + 1)
         return excess
@@ -300,7 +300,7 @@
             self.checked_at = now
             for connection in list(self.connections):
                 connection.check_timeouts(now)
-        if self.places.pressure(self.held()):
+        if self.places.pressure(self.counted_connections()):
             self._close_surplus(now)
         self._resume_accepting()  # at the limit: silent connections may be evictable by now
 
@@ -326,19 +326,19 @@
         self.calm_idle_s = calm_idle_s
         self.places.resize(self.limit(), client_places or self.client_share, calm_idle_s)
 
-    def held(self) -> int:
+    def counted_connections(self) -> int:
         """The number of connections that count against the limits."""
         return len(self.connections) + len(self.accepted_sockets) - len(self.closing)
 
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
         """Whether to close the connection with the answer that is about to be written."""
-        in_use = self.held() - self.without_request
+        in_use = self.counted_connections() - self.without_request
         return self.places.ends_with_answer(connection.usage, in_use, connection.usage.since)
 
     def _close_surplus(self, now: float) -> None:
         """Close the idle connections that are least likely to be used, before the limit is reached."""
         idle = [candidate for candidate in self.connections if candidate.is_awaiting_request()]
-        for connection in self.places.select_surplus(idle, self.held(), now):
+        for connection in self.places.select_surplus(idle, self.counted_connections(), now):
             if connection.is_idle():
                 connection.stop_reading()
 
