--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -116,7 +116,7 @@
         self.answered_at: int | None = None  # local nanoseconds: when a sound answer came last
         self.max_list_bytes = max_list_bytes(config.memory_mb)
         self.pool.targets = lambda: (self.target,)
-        self.pool.settle_s = 0.0  # the next call must follow at once, and one answer is like the other
+        self.pool.min_rest_s = 0.0  # the next call must follow at once, and one answer is like the other
         self.address = config.discovery
         self.target = Target(self.pool, self.address)
         fleet_size, ask_within_s = config.settings.fleet_size, config.settings.ask_within / S
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -231,12 +231,12 @@
         self.sweeping = False
 
     @property
-    def settle_s(self) -> float:
+    def min_rest_s(self) -> float:
         """Seconds for which a connection rests at least before it is reused; 0: it is reused at once."""
         return self.reuse.min_rest_s
 
     @settle_s.setter
-    def settle_s(self, seconds: float) -> None:
+    def min_rest_s(self, seconds: float) -> None:
         self.reuse.min_rest_s = seconds
 
     def target(self, endpoint: int, address: Address | None) -> Target:
