--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -352,7 +352,7 @@
                 connection.drop()
                 held = self.held()
         ahead = self.address is not None and not self.stopped and plan.ahead(now, held, server) > 0
-        if ahead and self.pool.held() < self.pool.limit():
+        if ahead and self.pool.connection_count() < self.pool.limit():
             self._open(asked=False)
         return bool(self.idle or self.busy or self.queue or self.dials or plan.demand.wanted(now))
 
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -72,7 +72,7 @@
         now, expired = self.pool.loop.time(), self.pool.expired()
 
         def may_open() -> bool:
-            return self.pool.held() < self.pool.limit() and exchange.may_open_extra()
+            return self.pool.connection_count() < self.pool.limit() and exchange.may_open_extra()
 
         while (index := self.pool.reuse.pick(now, self.idle, may_open)) is not None:
             connection = self.idle[index]
@@ -245,9 +245,9 @@
 
     def has_room(self) -> bool:
         """Whether one more connection may be opened; at the limit, closes the longest idle one for it."""
-        return self.held() < self.limit() or self.close_oldest_idle()
+        return self.connection_count() < self.limit() or self.close_oldest_idle()
 
-    def held(self) -> int:
+    def connection_count(self) -> int:
         return len(self.connections) + len(self.dials)
 
     def close_oldest_idle(self) -> bool:
