--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -52,7 +52,7 @@
     engine = Engine("bench", told, 1, loop)
     transport = HttpTransport(engine, told, loop, lambda: 100, 256)
     engine.start()
-    transport.learn(
+    transport.apply_list(
         ListKind.FULL,
         [(Endpoint(n + 1, cell=n // 3), ("127.0.0.1", 20_000 + n)) for n in range(SERVERS)],
     )
--- a/benchmarks/grpcs.py
+++ b/benchmarks/grpcs.py
@@ -52,7 +52,7 @@
     engine = Engine("bench", told, 1, loop)
     transport = HttpTransport(engine, told, loop, lambda: 100, 256)
     engine.start()
-    transport.learn(ListKind.FULL, [(Endpoint(1), ("127.0.0.1", port))])
+    transport.apply_list(ListKind.FULL, [(Endpoint(1), ("127.0.0.1", port))])
     carrier = GrpcTransport(engine, loop, lambda endpoint: ("127.0.0.1", port))
     routes = (GrpcRoute("/b.B/", "check", streams=True, keyed=True), GrpcRoute(UNARY, "check", keyed=True))
     classes = Classes(engine.settings, read_names(settings()))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -118,7 +118,7 @@
         client.received = noted  # type: ignore[method-assign]
 
     def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Any]]) -> None:
-        self.transport.learn(kind, entries)
+        self.transport.apply_list(kind, entries)
         self.times.taken.append(time.perf_counter() - self.times.arrived)
 
     def servers(self) -> int:
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -42,7 +42,7 @@
         self.transport = parts.transport = HttpTransport(
             self.engine, config.settings, loop, self._max_endpoints, config.memory_mb, parts.make_pool
         )
-        parts.learn = self.transport.learn
+        parts.learn = self.transport.apply_list
         for feature in self.features.values():
             feature.prepare()
         self.discovery = parts.discovery = Discovery(config, self.engine, self.transport, loop, parts.learn)
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -99,7 +99,7 @@
     ) -> None:
         self.config = config
         self.engine = engine
-        self.learn = learn or transport.learn  # to the transport, or to a model of several sources
+        self.learn = learn or transport.apply_list  # to the transport, or to a model of several sources
         self.transport = transport
         self.loop = loop
         self.pushed = not config.settings.ask_discovery
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -260,7 +260,7 @@
 
     # Membership
 
-    def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Address | None]]) -> None:
+    def apply_list(self, kind: ListKind, entries: list[tuple[Endpoint, Address | None]]) -> None:
         """Apply a list of endpoints: addresses are kept here, the rest goes to the decision module."""
         for entry, address in entries:
             if entry.state is not State.REMOVED:
--- a/tests/grpcs/test_late_dials.py
+++ b/tests/grpcs/test_late_dials.py
@@ -195,7 +195,7 @@
         return Endpoint(endpoint, **changes), ("127.0.0.1", port)
 
     def tell(self, *entries: Any) -> None:
-        self.sidecar.transport.learn(ListKind.FULL, list(entries))
+        self.sidecar.transport.apply_list(ListKind.FULL, list(entries))
 
     async def caller(self) -> Caller:
         return await Caller().connect(self.front.port)
--- a/tests/grpcs/test_servers.py
+++ b/tests/grpcs/test_servers.py
@@ -120,7 +120,7 @@
     front = Front(Grpc(routes=ROUTES), sidecar.engine, transport, sidecar.listener.classes)
     await front.start(("127.0.0.1", 0))
     entries: list[Any] = [(Endpoint(n + 1), ("127.0.0.1", one.port)) for n, one in enumerate(servers)]
-    sidecar.transport.learn(ListKind.FULL, entries)
+    sidecar.transport.apply_list(ListKind.FULL, entries)
     sidecar.engine.balancer.overload.window.limit = 0.0  # it has served for a while: no beginner
     made = Stage(sidecar, servers, front)
     try:
