--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -29,7 +29,7 @@
 FULL_REST_SHARE = 0.01  # of the time after which endpoints close idle connections
 DEFAULT_FULL_REST_S = 0.1  # if that time is not known
 ARRIVAL_FACTOR = 2.0  # the latest of a few observed arrivals is about half of the latest possible
-MEMORY_S = 600.0
+UNSOLICITED_MEMORY_S = 600.0
 ANSWER_TIME_SAMPLES = 32  # 1/32 is the smoothing factor of the mean answer time
 # The allowance counts connections that may be opened although an idle one could be reused. It starts with
 # INITIAL_ALLOWANCE and grows by ALLOWANCE_SHARE for each connection that is opened.
@@ -85,7 +85,7 @@
         self.latest_arrival_s = max(self.latest_arrival_s, after_s)
 
     def _saw_unsolicited_recently(self, now: float) -> bool:
-        return self.unasked_at is not None and now - self.unasked_at <= MEMORY_S
+        return self.unasked_at is not None and now - self.unasked_at <= UNSOLICITED_MEMORY_S
 
     # Decisions
 
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -21,9 +21,9 @@
     ALLOWANCE_SHARE,
     INITIAL_ALLOWANCE,
     MAX_ALLOWANCE,
-    MEMORY_S,
     MIN_PREFERRED_REST_S,
     MIN_REST_S,
+    UNSOLICITED_MEMORY_S,
     ReusePolicy,
 )
 from tests.loopback import WAIT_S, Sidecar, answers_with, request, run, running_sidecar, wait_until
@@ -112,7 +112,7 @@
                 assert (await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] == 200
                 await asyncio.sleep(0.01)
             assert peer.connections == 3
-            reuse.unasked_at -= MEMORY_S + 1.0
+            reuse.unasked_at -= UNSOLICITED_MEMORY_S + 1.0
             reuse.full_rest_s = 0.01
             assert (await sidecar.ask(request(X_Call_Id="later")))[0] == 200
             assert peer.connections == 3
@@ -358,10 +358,10 @@
     assert pick_index(policy, 39) is None and pick_index(policy, 41) == 0
     policy.unasked(1.0, 0.01)
     assert policy.required_rest_s(1.0) == pytest.approx(0.04)
-    assert policy.required_rest_s(MEMORY_S + 1.0) == pytest.approx(0.04)
-    assert policy.required_rest_s(MEMORY_S + 1.1) == MIN_REST_S
-    policy.unasked(2.0 * MEMORY_S, 0.003)
-    assert policy.required_rest_s(2.0 * MEMORY_S) == pytest.approx(0.006)
+    assert policy.required_rest_s(UNSOLICITED_MEMORY_S + 1.0) == pytest.approx(0.04)
+    assert policy.required_rest_s(UNSOLICITED_MEMORY_S + 1.1) == MIN_REST_S
+    policy.unasked(2.0 * UNSOLICITED_MEMORY_S, 0.003)
+    assert policy.required_rest_s(2.0 * UNSOLICITED_MEMORY_S) == pytest.approx(0.006)
 
 
 def test_what_was_seen_right_behind_an_answer_makes_the_least_preferred_rest_required() -> None:
