--- a/benchmarks/reuse.py
+++ b/benchmarks/reuse.py
@@ -131,7 +131,7 @@
             self._at(now + self.rng.uniform(0.001, LATEST_COPY_S), connection, server, is_copy=True)
 
     def _copy_comes(self, now: float, connection: SimulatedConnection, server: int) -> None:
-        self.policy.unasked(now, now - connection.idle_since)
+        self.policy.record_unsolicited(now, now - connection.idle_since)
         if connection.carries:
             self.result.wrong += 1
         else:
--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -71,7 +71,7 @@
         """Record that a connection is being opened."""
         self.allowance = min(MAX_ALLOWANCE, self.allowance + ALLOWANCE_SHARE)
 
-    def unasked(self, now: float, after_s: float) -> None:
+    def record_unsolicited(self, now: float, after_s: float) -> None:
         """Record unsolicited bytes that were received `after_s` after the answer before them.
 
         Bytes later than the full rest are ignored: they are no second answer, but a notice before a close,
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -353,14 +353,14 @@
 
 def test_what_was_seen_is_required_of_all_and_forgotten() -> None:
     policy = without_allowance()
-    policy.unasked(0.0, 0.02)
+    policy.record_unsolicited(0.0, 0.02)
     assert policy.required_rest_s(0.0) == pytest.approx(0.04)
     assert pick_index(policy, 39) is None and pick_index(policy, 41) == 0
-    policy.unasked(1.0, 0.01)
+    policy.record_unsolicited(1.0, 0.01)
     assert policy.required_rest_s(1.0) == pytest.approx(0.04)
     assert policy.required_rest_s(UNSOLICITED_MEMORY_S + 1.0) == pytest.approx(0.04)
     assert policy.required_rest_s(UNSOLICITED_MEMORY_S + 1.1) == MIN_REST_S
-    policy.unasked(2.0 * UNSOLICITED_MEMORY_S, 0.003)
+    policy.record_unsolicited(2.0 * UNSOLICITED_MEMORY_S, 0.003)
     assert policy.required_rest_s(2.0 * UNSOLICITED_MEMORY_S) == pytest.approx(0.006)
 
 
@@ -368,26 +368,26 @@
     policy = without_allowance()
     for _ in range(200):
         policy.answered(0.5)
-    policy.unasked(0.0, 0.0)
+    policy.record_unsolicited(0.0, 0.0)
     assert policy.required_rest_s(0.0) == MIN_PREFERRED_REST_S  # independent of how long answers take
     assert policy.preferred_rest_s() > 10.0 * MIN_PREFERRED_REST_S
 
 
 def test_a_notice_long_after_an_answer_lengthens_no_rest() -> None:
     policy = without_allowance()
-    policy.unasked(0.0, 12.0)
+    policy.record_unsolicited(0.0, 12.0)
     assert policy.required_rest_s(0.0) == MIN_REST_S
 
 
 def test_no_rest_is_learned_beyond_the_full_one() -> None:
     policy = without_allowance()
-    policy.unasked(0.0, 0.14)
+    policy.record_unsolicited(0.0, 0.14)
     assert policy.required_rest_s(0.0) == policy.full_rest_s
 
 
 def test_where_no_rest_is_wanted_the_freshest_is_used_whatever_was_seen() -> None:
     policy = ReusePolicy(0.0, min_rest_s=0.0)
-    policy.unasked(0.0, 0.05)
+    policy.record_unsolicited(0.0, 0.05)
     assert pick_index(policy, 50, 0) == 1
 
 
