--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -47,7 +47,7 @@
 class ReusePolicy:
     """Decides for one pool which idle connection to reuse; its state is constant in size."""
 
-    __slots__ = ("allowance", "answer_s", "full_rest_s", "latest_arrival_s", "min_rest_s", "unasked_at")
+    __slots__ = ("allowance", "answer_s", "full_rest_s", "latest_arrival_s", "min_rest_s", "unsolicited_at")
 
     def __init__(self, idle_timeout_s: float, min_rest_s: float = MIN_REST_S) -> None:
         """`idle_timeout_s` is the time after which endpoints close idle connections (0: not known).
@@ -58,7 +58,7 @@
         self.full_rest_s = idle_timeout_s * FULL_REST_SHARE if idle_timeout_s > 0.0 else DEFAULT_FULL_REST_S
         self.answer_s = 0.0  # EWMA of the time from writing a request to the end of its answer
         self.allowance = INITIAL_ALLOWANCE
-        self.unasked_at: float | None = None  # when unsolicited bytes were last seen
+        self.unsolicited_at: float | None = None  # when unsolicited bytes were last seen
         self.latest_arrival_s = 0.0  # longest delay of unsolicited bytes after the answer before them
 
     # Events
@@ -81,11 +81,11 @@
             return
         if not self._saw_unsolicited_recently(now):
             self.latest_arrival_s = 0.0
-        self.unasked_at = now
+        self.unsolicited_at = now
         self.latest_arrival_s = max(self.latest_arrival_s, after_s)
 
     def _saw_unsolicited_recently(self, now: float) -> bool:
-        return self.unasked_at is not None and now - self.unasked_at <= UNSOLICITED_MEMORY_S
+        return self.unsolicited_at is not None and now - self.unsolicited_at <= UNSOLICITED_MEMORY_S
 
     # Decisions
 
