--- a/garnethaven/net/lingering_close.py
+++ b/garnethaven/net/lingering_close.py
@@ -23,7 +23,7 @@
     def __init__(self, transport: asyncio.Transport, owner: Owner) -> None:
         self.transport = transport
         self.owner = owner
-        self.swallowed = 0  # bytes that were read and discarded
+        self.discarded_bytes = 0  # bytes that were read and discarded
         self.timer: asyncio.TimerHandle | None = None
 
     def begin(self, max_s: float) -> None:
@@ -34,8 +34,8 @@
 
     def discard(self, size: int, max_bytes: int) -> None:
         """Count `size` received bytes as discarded; abort if the total exceeds `max_bytes`."""
-        self.swallowed += size
-        if self.swallowed > max_bytes:
+        self.discarded_bytes += size
+        if self.discarded_bytes > max_bytes:
             self.transport.abort()
 
     def cancel(self) -> None:
