--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -17,7 +17,7 @@
 from garnethaven.net.transport import HttpTransport
 from garnethaven.net.upstream import Pool
 from garnethaven.ops.service import Ops
-from garnethaven.ops.shared import Shared
+from garnethaven.ops.shared import SharedCordons
 from garnethaven.parts import Parts
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         config = self.config
         if config.ops is None:
             return None
-        shared = Shared(os.environ.get("TMPDIR"), config.name, self.engine.log)
+        shared = SharedCordons(os.environ.get("TMPDIR"), config.name, self.engine.log)
         names = config.names.grades
         return Ops(
             config.ops, self.engine, self.transport, shared, names, self._accepts_clients, self._share_limits
--- a/garnethaven/ops/service.py
+++ b/garnethaven/ops/service.py
@@ -12,7 +12,7 @@
 from garnethaven.ops.cordons import CordonError
 from garnethaven.ops.figures import EndpointCounts, render
 from garnethaven.ops.front import Front, Routes
-from garnethaven.ops.shared import Shared
+from garnethaven.ops.shared import SharedCordons
 
 POLL_INTERVAL_S = 0.1  # a cordon set in another process applies here within the grace period
 
@@ -34,7 +34,7 @@
         address: Address,
         engine: Engine,
         transport: Transport,
-        shared: Shared,
+        shared: SharedCordons,
         class_names: Sequence[str],
         is_ready: Callable[[], bool],
         on_process_count: Callable[[int], None],
--- a/garnethaven/ops/shared.py
+++ b/garnethaven/ops/shared.py
@@ -64,7 +64,7 @@
     return False
 
 
-class Shared:
+class SharedCordons:
     """Cordons that outlive the process, and a count of the other processes of the same sidecar.
 
     Without a folder, cordons apply in this process only and no other process is seen.
--- a/tests/ops/test_cordons.py
+++ b/tests/ops/test_cordons.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnethaven.ops.cordons import MAX_CORDONED, CordonError, Cordons
-from garnethaven.ops.shared import Shared
+from garnethaven.ops.shared import SharedCordons
 
 
 def test_a_call_may_come_twice_and_one_back_undoes_both() -> None:
@@ -65,19 +65,19 @@
 
 def test_a_ban_reaches_the_other_process_and_a_later_one(tmp_path: Path) -> None:
     logged: list[str] = []
-    old, new = (Shared(str(tmp_path), "n0", logged.append) for _ in range(2))
+    old, new = (SharedCordons(str(tmp_path), "n0", logged.append) for _ in range(2))
     old.set_cordoned("s-1", True)
     assert new.poll_changes() == [("s-1", True)] and new.poll_changes() == []
     new.set_cordoned("s-1", False)
     new.set_cordoned("s-2", True)
     assert old.poll_changes() == [("s-2", True), ("s-1", False)]
-    assert Shared(str(tmp_path), "n0", logged.append).poll_changes() == [("s-2", True)]
-    assert Shared(str(tmp_path), "n1", logged.append).poll_changes() == []
+    assert SharedCordons(str(tmp_path), "n0", logged.append).poll_changes() == [("s-2", True)]
+    assert SharedCordons(str(tmp_path), "n1", logged.append).poll_changes() == []
     assert logged == []
 
 
 def test_two_that_change_at_once_lose_neither(tmp_path: Path) -> None:
-    first, second = (Shared(str(tmp_path), "n0", print) for _ in range(2))
+    first, second = (SharedCordons(str(tmp_path), "n0", print) for _ in range(2))
     first.set_cordoned("s-1", True)
     assert second.set_cordoned("s-2", True) == [("s-1", True)]
     assert second.cordons.cordoned == {"s-1", "s-2"}
@@ -87,17 +87,17 @@
     logged: list[str] = []
     path = tmp_path / "petrelspan-n0.json"
     path.write_text('{"version": 1, "na')
-    shared = Shared(str(tmp_path), "n0", logged.append)
+    shared = SharedCordons(str(tmp_path), "n0", logged.append)
     assert shared.poll_changes() == [] and shared.poll_changes() == []
     assert len(logged) == 1 and path.read_text() == '{"version": 1, "na'
 
 
 def test_without_a_folder_a_ban_holds_here(tmp_path: Path) -> None:
-    shared = Shared(None, "n0", print)
+    shared = SharedCordons(None, "n0", print)
     shared.register()
     shared.set_cordoned("s-1", True)
     assert shared.cordons.cordoned == {"s-1"} and shared.count_other_processes() == 0
-    unavailable = Shared(str(tmp_path / "none"), "n0", print)
+    unavailable = SharedCordons(str(tmp_path / "none"), "n0", print)
     with pytest.raises(OSError):
         unavailable.set_cordoned("s-1", True)
 
@@ -114,7 +114,7 @@
         [sys.executable, "-c", script], cwd=root, stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
     assert process.stdout is not None and process.stdout.readline() == b"in\n"
-    shared = Shared(str(tmp_path), "n0", print)
+    shared = SharedCordons(str(tmp_path), "n0", print)
     shared.register()
     assert shared.count_other_processes() == 1
     process.kill()  # it can't unregister
--- a/tests/ops/test_failing_folder.py
+++ b/tests/ops/test_failing_folder.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from garnethaven.ops.shared import Shared
+from garnethaven.ops.shared import SharedCordons
 
 
 class FailingCalls:
@@ -53,7 +53,7 @@
 
 
 def test_a_read_that_fails_is_repeated(tmp_path: Path, failing: FailingCalls) -> None:
-    first, second = (Shared(str(tmp_path), "n0", print) for _ in range(2))
+    first, second = (SharedCordons(str(tmp_path), "n0", print) for _ in range(2))
     first.set_cordoned("s-1", True)
     failing.fail(builtins, "open", errno.EIO, 1, is_cordon_file)
     failing.fail(os, "open", errno.EIO, 1, is_cordon_file)
@@ -63,13 +63,13 @@
 
 
 def test_a_start_on_a_full_disk_still_reads_who_is_out(tmp_path: Path, failing: FailingCalls) -> None:
-    Shared(str(tmp_path), "n0", print).set_cordoned("s-1", True)
-    restarted = Shared(str(tmp_path), "n0", print)
+    SharedCordons(str(tmp_path), "n0", print).set_cordoned("s-1", True)
+    restarted = SharedCordons(str(tmp_path), "n0", print)
     failing.fail(os, "open", errno.ENOSPC, 1, creates_file)
     restarted.register()
     assert failing.injected == 1
     assert restarted.poll_changes() == [("s-1", True)]
-    second = Shared(str(tmp_path), "n0", print)
+    second = SharedCordons(str(tmp_path), "n0", print)
     restarted.count_other_processes()
     assert len(list(tmp_path.glob("*.life"))) == 1, "the liveness file is created at the next poll"
     restarted.unregister()
@@ -77,7 +77,7 @@
 
 
 def test_a_change_that_could_not_be_written_is_written_later(tmp_path: Path, failing: FailingCalls) -> None:
-    first, second = (Shared(str(tmp_path), "n0", print) for _ in range(2))
+    first, second = (SharedCordons(str(tmp_path), "n0", print) for _ in range(2))
     failing.fail(os, "replace", errno.ENOSPC, 1, lambda *_, **__: True)
     with pytest.raises(OSError):
         first.set_cordoned("s-1", True)
@@ -87,7 +87,7 @@
     changes = first.poll_changes() + first.poll_changes()
     assert changes == [("s-2", True)] and first.cordons.cordoned == {"s-1", "s-2"}
     assert second.poll_changes() == [("s-1", True)]
-    assert Shared(str(tmp_path), "n0", print).poll_changes() == [("s-1", True), ("s-2", True)]
+    assert SharedCordons(str(tmp_path), "n0", print).poll_changes() == [("s-1", True), ("s-2", True)]
 
 
 @pytest.mark.parametrize("call", ["open", "fsync", "replace"])
@@ -96,7 +96,7 @@
     tmp_path: Path, failing: FailingCalls, call: str, times: int
 ) -> None:
     logged: list[str] = []
-    first = Shared(str(tmp_path), "n0", logged.append)
+    first = SharedCordons(str(tmp_path), "n0", logged.append)
     failing.fail(os, call, errno.ENOSPC, times, lambda *_, **__: True)
     with pytest.raises(OSError):
         first.set_cordoned("s-1", True)
@@ -104,7 +104,7 @@
     for _ in range(times):
         first.poll_changes()
     assert failing.injected == times
-    assert Shared(str(tmp_path), "n0", print).poll_changes() == [("s-1", True)]
+    assert SharedCordons(str(tmp_path), "n0", print).poll_changes() == [("s-1", True)]
     assert len(logged) <= 1, "a lasting problem is logged once"
     assert not list(tmp_path.glob("*.new"))
 
@@ -112,7 +112,7 @@
 def test_what_another_changed_before_a_write_that_failed_is_still_told(
     tmp_path: Path, failing: FailingCalls
 ) -> None:
-    first, second = (Shared(str(tmp_path), "n0", print) for _ in range(2))
+    first, second = (SharedCordons(str(tmp_path), "n0", print) for _ in range(2))
     second.set_cordoned("s-2", True)
     failing.fail(os, "replace", errno.EIO, 1, lambda *_, **__: True)
     with pytest.raises(OSError):
@@ -121,7 +121,7 @@
 
 
 def test_a_change_undone_before_it_was_written_stays_undone(tmp_path: Path, failing: FailingCalls) -> None:
-    first, second = (Shared(str(tmp_path), "n0", print) for _ in range(2))
+    first, second = (SharedCordons(str(tmp_path), "n0", print) for _ in range(2))
     second.set_cordoned("s-1", True)
     failing.fail(os, "replace", errno.EIO, 1, lambda *_, **__: True)
     with pytest.raises(OSError):
@@ -131,7 +131,7 @@
 
 
 def test_a_process_stopped_while_it_holds_the_lock_stops_no_other(tmp_path: Path) -> None:
-    first = Shared(str(tmp_path), "n0", print)
+    first = SharedCordons(str(tmp_path), "n0", print)
     descriptor = os.open(tmp_path / "petrelspan-n0.lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(descriptor, fcntl.LOCK_EX)
     with pytest.raises(OSError):
@@ -139,13 +139,13 @@
     assert first.cordons.cordoned == {"s-1"}
     os.close(descriptor)
     first.poll_changes()
-    assert Shared(str(tmp_path), "n0", print).poll_changes() == [("s-1", True)]
+    assert SharedCordons(str(tmp_path), "n0", print).poll_changes() == [("s-1", True)]
 
 
 def test_a_process_that_cannot_be_looked_at_is_taken_for_alive(tmp_path: Path, failing: FailingCalls) -> None:
     path = tmp_path / "petrelspan-n0-1.life"
     path.touch()
-    first = Shared(str(tmp_path), "n0", print)
+    first = SharedCordons(str(tmp_path), "n0", print)
     first.register()
     failing.fail(os, "open", errno.EMFILE, 1, lambda *_, **__: True)
     assert first.count_other_processes() == 1 and failing.injected == 1
@@ -175,21 +175,21 @@
                 return original(*args, **kwargs)
 
             setattr(owner, name, exiting_call)
-        Shared(str(folder), "n0", lambda line: None).set_cordoned("s-2", True)
+        SharedCordons(str(folder), "n0", lambda line: None).set_cordoned("s-2", True)
         os._exit(0)
     return os.waitstatus_to_exitcode(os.waitpid(child, 0)[1]) == 7
 
 
 def test_a_kill_at_each_step_of_a_write_leaves_the_old_state_or_the_new(tmp_path: Path) -> None:
-    Shared(str(tmp_path), "n0", print).set_cordoned("s-1", True)
+    SharedCordons(str(tmp_path), "n0", print).set_cordoned("s-1", True)
     old, new = [("s-1", True)], [("s-1", True), ("s-2", True)]
     changes = []
     call_number = 0
     while _exits_at_call(tmp_path, call_number):
         logged: list[str] = []
-        changes.append(Shared(str(tmp_path), "n0", logged.append).poll_changes())
+        changes.append(SharedCordons(str(tmp_path), "n0", logged.append).poll_changes())
         assert changes[-1] in (old, new) and not logged, (call_number, changes[-1], logged)
         call_number += 1
     assert call_number >= 7 and changes[0] == old
-    assert Shared(str(tmp_path), "n0", print).poll_changes() == new
+    assert SharedCordons(str(tmp_path), "n0", print).poll_changes() == new
     assert not list(tmp_path.glob("*.new")), "the next complete write removes a leftover temporary file"
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -12,12 +12,12 @@
 from garnethaven.net.upstream import Target
 from garnethaven.ops.front import MAX_CONNECTIONS
 from garnethaven.ops.service import Ops
-from garnethaven.ops.shared import Shared
+from garnethaven.ops.shared import SharedCordons
 from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 
 async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
-    shared = Shared(str(folder), "t", sidecar.engine.log)
+    shared = SharedCordons(str(folder), "t", sidecar.engine.log)
     ops = Ops(
         ("127.0.0.1", 0),
         sidecar.engine,
