--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -16,7 +16,7 @@
 from garnethaven.net.listener import Listener
 from garnethaven.net.transport import HttpTransport
 from garnethaven.net.upstream import Pool
-from garnethaven.ops.service import Ops
+from garnethaven.ops.service import OperatorService
 from garnethaven.ops.shared import SharedCordons
 from garnethaven.parts import Parts
 
@@ -60,14 +60,14 @@
         self.limits_log = LimitsLog()
         self.limits_timer = loop.call_later(LIMITS_LOG_INTERVAL_S, self._log_limits)
 
-    def _make_ops(self) -> Ops | None:
+    def _make_ops(self) -> OperatorService | None:
         """The operators' endpoint, if the configuration names its address; else None."""
         config = self.config
         if config.ops is None:
             return None
         shared = SharedCordons(os.environ.get("TMPDIR"), config.name, self.engine.log)
         names = config.names.grades
-        return Ops(
+        return OperatorService(
             config.ops, self.engine, self.transport, shared, names, self._accepts_clients, self._share_limits
         )
 
--- a/garnethaven/ops/service.py
+++ b/garnethaven/ops/service.py
@@ -23,7 +23,7 @@
     def by_hand(self, endpoint: int, out: bool) -> None: ...
 
 
-class Ops:
+class OperatorService:
     """Serves operators' calls and applies cordons, also those set in other processes of this sidecar.
 
     `on_process_count` is called with the number of other live processes whenever it changes.
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -11,14 +11,14 @@
 from garnethaven.net.connection import Connection
 from garnethaven.net.upstream import Target
 from garnethaven.ops.front import MAX_CONNECTIONS
-from garnethaven.ops.service import Ops
+from garnethaven.ops.service import OperatorService
 from garnethaven.ops.shared import SharedCordons
 from tests.loopback import ANSWER, WAIT_S, Sidecar, answers_with, request, run, running_sidecar, wait_until
 
 
-async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[Ops, int]:
+async def open_ops(sidecar: Sidecar, folder: Path) -> tuple[OperatorService, int]:
     shared = SharedCordons(str(folder), "t", sidecar.engine.log)
-    ops = Ops(
+    ops = OperatorService(
         ("127.0.0.1", 0),
         sidecar.engine,
         sidecar.transport,
