--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -52,7 +52,7 @@
         monkeypatch.setattr(Target, "_connect", delayed_connect)
 
 
-def set_effect(
+def set_idempotency(
     sidecar: Sidecar, idempotency: Idempotency, dedup_window: int = 0, cancel: bool = True
 ) -> None:
     engine = sidecar.engine
@@ -71,7 +71,7 @@
 ) -> None:
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
-            set_effect(sidecar, Idempotency.RETRYABLE, cancel=cancel)
+            set_idempotency(sidecar, Idempotency.RETRYABLE, cancel=cancel)
             dials = DelayedDials(monkeypatch)
             _, writer = await sidecar.connect()
             writer.write(request())
@@ -124,7 +124,7 @@
 
         async with running_sidecar(reset_connection, reset_connection) as (sidecar, peers):
             dedup_window = 300 * MS
-            set_effect(sidecar, Idempotency.DEDUP, dedup_window)
+            set_idempotency(sidecar, Idempotency.DEDUP, dedup_window)
             dials = DelayedDials(monkeypatch)
             answer_task = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: dials.dial_count == 1)
@@ -149,7 +149,7 @@
             raise ConnectionError
 
         async with running_sidecar(silent, silent) as (sidecar, peers):
-            set_effect(sidecar, Idempotency.DEDUP, dedup_window=400 * MS)
+            set_idempotency(sidecar, Idempotency.DEDUP, dedup_window=400 * MS)
             engine = sidecar.engine
             engine.settings = engine.balancer.settings = replace(engine.settings, second_copies=True)
             engine.balancer.usual = {0: 50.0 * MS}
--- a/tests/grpcs/test_late_dials.py
+++ b/tests/grpcs/test_late_dials.py
@@ -23,7 +23,7 @@
 from garnethaven.grpcs.table import Grpc
 from garnethaven.grpcs.transport import GrpcTransport
 from garnethaven.interface import Endpoint, Idempotency, ListKind, State
-from tests.crossings.test_late_dials import set_effect
+from tests.crossings.test_late_dials import set_idempotency
 from tests.grpcs.raw import (
     ACK,
     DATA,
@@ -335,7 +335,7 @@
 def test_nothing_is_written_for_a_client_that_left_meanwhile(way: str, cancel: bool, step: str) -> None:
     async def case() -> None:
         async with stage(step) as made:
-            set_effect(made.sidecar, Idempotency.RETRYABLE, cancel=cancel)
+            set_idempotency(made.sidecar, Idempotency.RETRYABLE, cancel=cancel)
             caller = await begun(made)
             if way == "reset":
                 caller.reset()
@@ -387,7 +387,7 @@
     async def case() -> None:
         async with stage(step, breaks=True, other_held=True) as made:
             window = 300 * MS
-            set_effect(made.sidecar, Idempotency.DEDUP, window)
+            set_idempotency(made.sidecar, Idempotency.DEDUP, window)
             made.tell(made.entry(FIRST), made.entry(OTHER))
             caller = await made.caller()
             caller.call("c1")
@@ -409,7 +409,7 @@
     async def case() -> None:
         async with stage("settings", breaks=True, other_held=True) as made:
             window = 600 * MS
-            set_effect(made.sidecar, Idempotency.DEDUP, window)
+            set_idempotency(made.sidecar, Idempotency.DEDUP, window)
             made.tell(made.entry(FIRST), made.entry(OTHER))
             caller = await made.caller()
             caller.call("c1")
