--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -38,12 +38,12 @@
 S = 1_000 * MS
 GAP = MS  # a thousand a second
 SETTINGS = Settings(
-    grades=(RequestClass(aim=500 * MS, deadline=2 * S, late_value=0.25),),
+    request_classes=(RequestClass(target=500 * MS, deadline=2 * S, late_value=0.25),),
     fleet_size=10,
     cold_share=0.2,
     ramp_time=10 * S,
     max_attempts=4,
-    second_copies=True,
+    hedging=True,
     cancel=True,
 )
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -35,12 +35,12 @@
 
 class One:
     def __init__(self, since: float) -> None:
-        self.usage = ConnectionHistory(since, asked=1)
+        self.usage = ConnectionHistory(since, request_count=1)
 
 
 def floor() -> Callable[[], object]:
     """A request through the module, with 15 servers."""
-    settings = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), max_attempts=5)
+    settings = Settings(request_classes=(RequestClass(target=S, deadline=3 * S),), max_attempts=5)
     balancer = Balancer(settings, 1)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(n) for n in range(1, 16))))
     numbers = count(1)
@@ -58,7 +58,7 @@
 
 def answer_on_a_full_front() -> Callable[[], object]:
     """Whether an answer ends its connection, with all places taken."""
-    places, usage = ClientConnectionLimit(160, 128), ConnectionHistory(0.0, asked=1)
+    places, usage = ClientConnectionLimit(160, 128), ConnectionHistory(0.0, request_count=1)
     return lambda: places.ends_with_answer(usage, 128, 1.0)
 
 
--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -66,7 +66,7 @@
         if config.ops is None:
             return None
         shared = SharedCordons(os.environ.get("TMPDIR"), config.name, self.engine.log)
-        names = config.names.grades
+        names = config.names.request_classes
         return OperatorService(
             config.ops, self.engine, self.transport, shared, names, self._accepts_clients, self._share_limits
         )
@@ -98,7 +98,7 @@
         features = list(self.features.values())
         await asyncio.gather(*(feature.withdraw() for feature in features))
         self.listener.drain()
-        grace_s = max(grade.deadline for grade in self.engine.settings.grades) / S
+        grace_s = max(grade.deadline for grade in self.engine.settings.request_classes) / S
         await asyncio.gather(self.listener.finished, *(feature.drain(grace_s) for feature in features))
         for feature in reversed(features):
             await feature.close()
@@ -131,7 +131,7 @@
     # Figures
 
     def _max_clients(self) -> int:
-        return self.descriptors.max_clients(self.transport.pool.held())
+        return self.descriptors.max_clients(self.transport.pool.connection_count())
 
     def _max_endpoints(self) -> int:
         return self.descriptors.max_endpoints(self.listener.counted_connections())
@@ -162,10 +162,10 @@
             pressure=round(listener.places.pressure(clients), 3),
             returning=round(listener.places.return_share, 3),
             ended_early=listener.places.ended_early,
-            endpoints_held=pool.held(),
+            endpoints_held=pool.connection_count(),
             endpoints_most=self._max_endpoints(),
-            answers_bytes=pool.memory.held,
-            answers_most=pool.memory.most,
+            answers_bytes=pool.memory.used_bytes,
+            answers_most=pool.memory.max_bytes,
             list_age_s=round(fresh.age_s(self.loop.time()), 3),
             list_wait_s=fresh.watch_wait_s,
             list_revision=fresh.revision,
--- a/garnethaven/backlog.py
+++ b/garnethaven/backlog.py
@@ -3,7 +3,7 @@
 The kernel completes handshakes on its own. When a listening socket is closed, the connections in its backlog
 are reset, although their clients may have sent requests already. Closing therefore has two steps: stop new
 handshakes (`stop_arrivals`), then accept and answer the connections in the backlog before closing the socket
-(`waiting` returns their number, `wait_until_empty` waits until the owner has accepted them).
+(`backlog_length` returns their number, `wait_until_empty` waits until the owner has accepted them).
 
 Theory. A socket filter on a listening socket sees each segment for that socket. A filter that drops only
 initial segments (SYN without ACK) lets pending handshakes complete and prevents new ones. A client whose
--- a/garnethaven/benchlink.py
+++ b/garnethaven/benchlink.py
@@ -128,7 +128,7 @@
         cell=optional_int(fields, "bay"),
         # an unknown state must not receive requests
         state=STATES.get(required(fields, "health"), State.DRAINING),
-        units=parse_float(fields.get("units", "1"), "units"),
+        relative_capacity=parse_float(fields.get("units", "1"), "units"),
         started=optional_int(fields, "lastStartNs"),
     )
 
@@ -136,11 +136,11 @@
 def read_request(fields: Fields) -> Event:
     return Request(
         id=required(fields, "id"),
-        grade=required_int(fields, "qos"),
+        class_index=required_int(fields, "qos"),
         budget=required_int(fields, "timeBudgetNs"),
         tenant=optional_int(fields, "account"),
         key=fields.get("affinity", ""),
-        repeat=bool(optional_int(fields, "bitmap") & RETRY_FLAG),
+        is_retry=bool(optional_int(fields, "bitmap") & RETRY_FLAG),
     )
 
 
@@ -177,7 +177,7 @@
 
 
 def write_send(action: Send) -> str:
-    return f"issue id={action.id} endpoint={action.endpoint} limitNs={action.limit}"
+    return f"issue id={action.id} endpoint={action.endpoint} limitNs={action.timeout}"
 
 
 def write_refuse(action: Refuse) -> str:
--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -233,9 +233,13 @@
 
     def _begin_startup_window(self) -> None:
         """Limit admission until answers show what the servers can do (recovery/window.py)."""
-        mean_units = sum(server.units for server in self.pool) / max(1, len(self.pool))
-        warm_servers = sum(server.units * self._warmth(server) for server in self.pool) / (mean_units or 1.0)
-        target = min((request_class.aim for request_class in self.settings.request_classes), default=SECOND)
+        mean_units = sum(server.relative_capacity for server in self.pool) / max(1, len(self.pool))
+        warm_servers = sum(server.relative_capacity * self._warmth(server) for server in self.pool) / (
+            mean_units or 1.0
+        )
+        target = min(
+            (request_class.target for request_class in self.settings.request_classes), default=SECOND
+        )
         self.overload.window.begin(self.now, warm_servers, self.settings.fleet_size, target)
 
     def _on_restored_state(self, event: RestoredState) -> None:
@@ -243,15 +247,18 @@
             if restored.endpoint in self.servers:
                 server = self.servers[restored.endpoint]
                 server.errors, server.errors_updated_at = restored.errors, self.now
-                server.pace, server.paces = restored.pace, restored.paces
-        self.kind_latency_ratios |= event.kinds
-        self.latency_estimates |= event.usual
+                server.log_latency_ratio, server.latency_samples = (
+                    restored.log_latency_ratio,
+                    restored.latency_samples,
+                )
+        self.kind_latency_ratios |= event.kind_latency_ratios
+        self.latency_estimates |= event.latency_estimates
         self.hedge_tokens = min(
-            self.hedge_tokens, event.copies
+            self.hedge_tokens, event.hedge_tokens
         )  # a process that restarts often must not refill it
-        self.overload.retry_tokens = min(self.overload.retry_tokens, event.retries)
+        self.overload.retry_tokens = min(self.overload.retry_tokens, event.retry_tokens)
         # Otherwise a burst after the restart would look like a high request rate and lower the error penalty.
-        self.overload.arrival_gap = event.gap or self.overload.arrival_gap
+        self.overload.arrival_gap = event.request_interval or self.overload.arrival_gap
         self._recompute_weights()
 
     def _selectable(self, server: Server) -> bool:
@@ -268,7 +275,7 @@
         return sum(not self._selectable(server) for server in self.servers.values())
 
     def _on_cordon_change(self, event: CordonChange) -> None:
-        if event.out:
+        if event.cordoned:
             self.cordoned.setdefault(event.endpoint, self.now)
         elif event.endpoint in self.cordoned:
             self.uncordoned[event.endpoint] = (self.cordoned.pop(event.endpoint), self.now)
@@ -386,12 +393,14 @@
 
     def _update_capacity_and_health(self, server: Server) -> None:
         server.capacity = (
-            server.units / self.kind_latency_ratios.get(server.kind, 1.0) / self._server_latency_ratio(server)
+            server.relative_capacity
+            / self.kind_latency_ratios.get(server.kind, 1.0)
+            / self._server_latency_ratio(server)
         )
         server.health = max(MIN_HEALTH, self.health_per_error ** self.decayed_errors(server))
 
     def _update_max_cold_factor(self, warmths: list[float]) -> None:
-        """Bound the weight of cold servers, so that the fleet together stays under `fall_multiple`.
+        """Bound the weight of cold servers, so that the fleet together stays under `max_cold_load_multiple`.
 
         The load is taken to be the full capacity of all servers: the less of it is available, the more of
         the load falls to each server.
@@ -688,8 +697,8 @@
     def _on_request(self, request: Request) -> None:
         request_classes = self.settings.request_classes
         request_class = (
-            request_classes[request.grade]
-            if 0 <= request.grade < len(request_classes)
+            request_classes[request.class_index]
+            if 0 <= request.class_index < len(request_classes)
             else UNKNOWN_REQUEST_CLASS
         )
         pending = PendingRequest(request, request_class, self.now, self._elapsed(request, request_class))
@@ -700,7 +709,7 @@
         self.hedge_tokens = min(MAX_HEDGE_TOKENS, self.hedge_tokens + HEDGES_PER_REQUEST)
         self.streaming_count += pending.body_incomplete
         # A retry whose answer would come too late to have any value would only take capacity from others.
-        if self.now >= pending.deadline or self._should_shed(pending, request.repeat):
+        if self.now >= pending.deadline or self._should_shed(pending, request.is_retry):
             self._finish(pending)
             return
         if not pending.body_incomplete:
@@ -713,8 +722,8 @@
     def _prior_attempt(self, prior: PriorAttempt) -> Attempt:
         """Return the attempt that an earlier process made, as far as the caller could prove where and when.
 
-        The attempt may have run. The defaults of Prior match no dedup group and lie before any dedup window.
-        A server that is no longer listed with the same cell and zone gets no retry.
+        The attempt may have run. The defaults of PriorAttempt match no dedup group and lie before any dedup
+        window. A server that is no longer listed with the same cell and zone gets no retry.
         """
         server = self.servers.get(prior.endpoint)
         if server is None or (server.cell, server.zone) != (prior.cell, prior.zone):
@@ -771,17 +780,17 @@
         it gained. Limitation: during that time it misjudges a client that gives a first try a smaller budget
         than others.
         """
-        max_budget = max(self.max_client_budgets.get(request.grade, 0), request.budget)
-        self.max_client_budgets[request.grade] = max_budget
-        self.clients_mark_retries = self.clients_mark_retries or request.repeat
+        max_budget = max(self.max_client_budgets.get(request.class_index, 0), request.budget)
+        self.max_client_budgets[request.class_index] = max_budget
+        self.clients_mark_retries = self.clients_mark_retries or request.is_retry
         may_be_unmarked_retry = (
             not self.clients_mark_retries and self.now - self.last_unserved_at < request_class.deadline
         )
-        if request.budget >= max_budget or not (request.repeat or may_be_unmarked_retry):
+        if request.budget >= max_budget or not (request.is_retry or may_be_unmarked_retry):
             return 0
         elapsed = max(0, request_class.deadline - request.budget)
-        too_late = elapsed >= request_class.aim and not request_class.late_value
-        return elapsed if request.repeat or too_late else 0
+        too_late = elapsed >= request_class.target and not request_class.late_value
+        return elapsed if request.is_retry or too_late else 0
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         pending = self.pending_requests.get(event.id)
@@ -796,8 +805,8 @@
             attempt = pending.attempts[event.attempt]
             attempt.open = False
             attempt.may_have_run = event.outcome not in NEVER_RAN
-        if event.outcome is Outcome.DONE and not pending.bound and not pending.coming:
-            self.overload.record_answer(self.now, event.duration / max(1, pending.grade.aim))
+        if event.outcome is Outcome.DONE and not pending.streaming and not pending.body_incomplete:
+            self.overload.record_answer(self.now, event.duration / max(1, pending.request_class.target))
         if event.outcome is Outcome.BUSY:  # the server is full, a queue that no answer's latency shows
             self.overload.window.record_answer(self.now, 1.0)
         if event.final or event.outcome is Outcome.DONE:
@@ -833,7 +842,7 @@
             return
         done = event.outcome is Outcome.DONE
         # A slow server eventually answers every request: without this check it would keep its full weight.
-        timed = done and pending is not None and not pending.bound and not pending.coming
+        timed = done and pending is not None and not pending.streaming and not pending.body_incomplete
         slow = pending is not None and timed and self._too_slow(server, pending, event.duration)
         if done and not slow:
             self._record_success(server)
@@ -848,8 +857,12 @@
         """Update the latency estimates by an answer; return whether it was far slower than its class's."""
         class_index = pending.class_index
         latency = self.latency_estimates.get(class_index, 0.0)
-        limit = min(SLOW_FACTOR * latency, pending.grade.aim) if latency else pending.grade.aim
-        capped = min(duration, pending.grade.aim)
+        limit = (
+            min(SLOW_FACTOR * latency, pending.request_class.target)
+            if latency
+            else pending.request_class.target
+        )
+        capped = min(duration, pending.request_class.target)
         self.latency_estimates[class_index] = (
             latency + (capped - latency) / LATENCY_WINDOW if latency else capped
         )
@@ -868,8 +881,8 @@
         self.kind_latency_ratios[server.kind] = kind_ratio + (ratio - kind_ratio) / KIND_RATIO_WINDOW
 
         log_ratio_to_kind = math.log(max(ratio, 1e-3) / self.kind_latency_ratios[server.kind])
-        server.paces = min(server.paces + 1, self.server_ratio_window)
-        server.pace += (log_ratio_to_kind - server.pace) / server.paces
+        server.latency_samples = min(server.latency_samples + 1, self.server_ratio_window)
+        server.log_latency_ratio += (log_ratio_to_kind - server.log_latency_ratio) / server.latency_samples
 
     def _server_latency_ratio(self, server: Server) -> float:
         """Return the estimated ratio of the server's latency to its kind's, shrunk towards 1 for few samples.
@@ -878,7 +891,11 @@
         evidence, so that a server starts with its kind's ratio. A sidecar that sends a server two requests a
         minute is one of many: the small corrections of all of them add up.
         """
-        return math.exp(server.pace * server.paces / (server.paces + self.shrinkage_samples))
+        return math.exp(
+            server.log_latency_ratio
+            * server.latency_samples
+            / (server.latency_samples + self.shrinkage_samples)
+        )
 
     def _on_client_left(self, event: ClientLeft) -> None:
         pending = self.pending_requests.get(event.id)
@@ -888,15 +905,15 @@
 
     def _on_stream_began(self, event: StreamBegan) -> None:
         pending = self.pending_requests.get(event.id)
-        if pending is not None and not pending.bound:
-            pending.bound = True
-            self.streaming_count += not pending.coming
+        if pending is not None and not pending.streaming:
+            pending.streaming = True
+            self.streaming_count += not pending.body_incomplete
             # The duration of the stream from here on says nothing about lateness.
             self._record_lateness(pending, late=self.now > pending.target_at)
-            if event.attempt < len(pending.attempts) and not pending.coming:
+            if event.attempt < len(pending.attempts) and not pending.body_incomplete:
                 # The time to the start of the stream counts as the latency of the answer.
                 duration = self.now - pending.attempts[event.attempt].sent_at
-                self.overload.record_answer(self.now, duration / max(1, pending.grade.aim))
+                self.overload.record_answer(self.now, duration / max(1, pending.request_class.target))
 
     def _on_probe_ended(self, event: ProbeEnded) -> None:
         pass
@@ -906,7 +923,7 @@
             self.actions.append(Watch())
             return
         pending = self.pending_requests.get(self.timers.pop(event.token, ""))
-        if pending is None or pending.bound:  # a stream that has begun may last without being slow
+        if pending is None or pending.streaming:  # a stream that has begun may last without being slow
             return
         if self.now < min(pending.target_at, pending.deadline):
             self._send_hedge(pending)
@@ -921,14 +938,16 @@
                 attempt.counted_as_slow = True
                 latency = self.latency_estimates.get(pending.class_index, 0.0)
                 if latency:
-                    self._update_latency_ratio(attempt.server, max(1.0, pending.grade.aim / latency))
+                    self._update_latency_ratio(
+                        attempt.server, max(1.0, pending.request_class.target / latency)
+                    )
                 self._record_failure(attempt.server)
 
     def _close_request(self, pending: PendingRequest) -> None:
         """Remove a request that is answered, finished or abandoned, and cancel its open attempts."""
         del self.pending_requests[pending.id]
-        self.streaming_count -= pending.bound or pending.coming
-        if self.settings.cancel and not pending.bound:
+        self.streaming_count -= pending.streaming or pending.body_incomplete
+        if self.settings.cancel and not pending.streaming:
             for number, attempt in enumerate(pending.attempts):
                 if attempt.open:
                     self.actions.append(Cancel(pending.id, number))
@@ -944,13 +963,13 @@
 
     def _should_shed(self, pending: PendingRequest, is_retry: bool) -> bool:
         """Whether to refuse an arriving request, lowest value first (limits/overload.py)."""
-        value = pending.request_class.worth
+        value = pending.request_class.value
         over_share = self._tenant_over_share(pending.tenant)
         if over_share:
             value *= self.settings.over_share_value_factor
         refused = self.overload.should_refuse(
             value,
-            pending.request_class.aim,
+            pending.request_class.target,
             len(self.pending_requests) - 1 - self.streaming_count,
             over_share,
             is_retry,
@@ -979,14 +998,14 @@
         if (
             self.now >= pending.deadline
             or len(pending.attempts) >= self.settings.max_attempts
-            or pending.bound
+            or pending.streaming
         ):
             return False
         if not self._selectable(server):  # a drain takes effect as soon as it is known
             return False
         if not self.settings.hedging and any(attempt.open for attempt in pending.attempts):
             return False
-        idempotency = pending.grade.effect
+        idempotency = pending.request_class.effect
         if idempotency is Idempotency.RETRYABLE:
             return True
         ran = [attempt for attempt in pending.attempts if attempt.may_have_run]
@@ -995,7 +1014,7 @@
         if idempotency is Idempotency.FRAGILE:  # it could take effect twice
             return False
         return self._same_dedup_group(
-            pending.grade.scope, ran[0].server, server
+            pending.request_class.scope, ran[0].server, server
         ) and self.now < self._attempt_deadline(pending)
 
     def _attempt_deadline(self, pending: PendingRequest) -> int:
@@ -1006,9 +1025,11 @@
         earlier attempt.
         """
         ran = next((attempt for attempt in pending.attempts if attempt.may_have_run), None)
-        if ran is None or pending.grade.effect is not Idempotency.DEDUP:
+        if ran is None or pending.request_class.effect is not Idempotency.DEDUP:
             return pending.deadline
-        return min(pending.deadline, ran.sent_at + int(pending.grade.window * DEDUP_WINDOW_SHARE))
+        return min(
+            pending.deadline, ran.sent_at + int(pending.request_class.dedup_window * DEDUP_WINDOW_SHARE)
+        )
 
     @staticmethod
     def _same_dedup_group(scope: DedupScope, one: Server, other: Server) -> bool:
@@ -1018,7 +1039,7 @@
 
     def _may_refuse(self, pending: PendingRequest) -> bool:
         """Whether a refusal is allowed: it promises the client that a retry is harmless."""
-        request_class = pending.grade
+        request_class = pending.request_class
         if request_class.effect is Idempotency.RETRYABLE or not any(a.may_have_run for a in pending.attempts):
             return True
         return request_class.effect is Idempotency.DEDUP and request_class.scope is DedupScope.ALL
@@ -1054,4 +1075,4 @@
 
 
 # Requests of a class that the settings do not define are treated as never repeatable.
-UNKNOWN_REQUEST_CLASS = RequestClass(aim=0, deadline=0, effect=Idempotency.FRAGILE, late_value=1.0)
+UNKNOWN_REQUEST_CLASS = RequestClass(target=0, deadline=0, effect=Idempotency.FRAGILE, late_value=1.0)
--- a/garnethaven/config.py
+++ b/garnethaven/config.py
@@ -37,7 +37,7 @@
 def read_config(environment: Mapping[str, str], reload: bool = False) -> Config:
     """Read the file that NODE_CONFIG names; the other NODE_ variables take precedence over its fields.
 
-    With `anew` (a reload) the file takes precedence: the variables date from the start and are older.
+    With `reload` the file takes precedence: the variables date from the start and are older.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
--- a/garnethaven/connections/feature.py
+++ b/garnethaven/connections/feature.py
@@ -22,7 +22,7 @@
         opens_per_s=table.opens_per_s,
         accepts=table.accepts,
         fleet_size=max(1, settings.fleet_size),
-        idle_s=settings.conn_idle / S,
+        idle_s=settings.connection_idle_timeout / S,
         dial_timeout_s=(settings.dial_timeout or S) / S,
         age_s=table.age_s,
         requests_most=table.requests_most,
@@ -65,11 +65,11 @@
 
     def prepare(self) -> None:
         if self.pool is not None:
-            self.parts.keepers["idle_limits"] = KeptLimits(self.pool)
+            self.parts.state_sections["idle_limits"] = KeptLimits(self.pool)
 
     def _server(self, endpoint: int) -> Server:
         """What the module thinks of a server."""
-        return Server(*self.parts.engine.balancer.standing(endpoint))
+        return Server(*self.parts.engine.balancer.warmth_and_penalty(endpoint))
 
     def renewed(self) -> None:
         if self.pool is not None:
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -121,12 +121,12 @@
             (plan.silent if self.silence else plan.ended)(now, self.idle_before_s)
         elif not kept and not self.received_bytes and now - self.began_at < AT_ONCE_S:
             plan.refused(now, self.planned.busy + len(self.planned.idle) - 1)  # taken only to be closed
-        lost = exchange is not None and exchange.body is not None and exchange.body.lost
-        if exchange is None or self.flushed or not kept or exchange.redone or lost:
+        lost = exchange is not None and exchange.body is not None and exchange.body.replay_lost
+        if exchange is None or self.flushed or not kept or exchange.was_moved or lost:
             super()._break()
             return
         self.drop()
-        exchange.connection, exchange.redone = None, True
+        exchange.connection, exchange.was_moved = None, True
         self.planned.start(exchange, self.planned.pool.rules.dial_timeout_s)
 
 
@@ -225,7 +225,7 @@
             idle_s = now - connection.idle_since
             if connection.idle_since > settled:
                 kept.append(connection)
-            elif not connection.usable():
+            elif not connection.is_usable():
                 self.plan.ended(now, idle_s)
                 connection.drop_unusable()
             elif self.plan.will_do(now, idle_s, connection.part, careful):
--- a/garnethaven/engine/classes.py
+++ b/garnethaven/engine/classes.py
@@ -11,13 +11,17 @@
 
     def __init__(self, settings: Settings, names: Names) -> None:
         self.settings = settings
-        self.class_indexes = index_by_name(names.grades)
+        self.class_indexes = index_by_name(names.request_classes)
         self.tenants = index_by_name(names.tenants)
 
     def class_index(self, name: str, keyed: bool) -> int | None:
         """The class's index, or its twin's for a deduplicated class without a key; None if unknown."""
         index = self.class_indexes.get(name)
-        if index is not None and self.settings.grades[index].effect is Idempotency.DEDUP and not keyed:
+        if (
+            index is not None
+            and self.settings.request_classes[index].effect is Idempotency.DEDUP
+            and not keyed
+        ):
             index += len(self.class_indexes)
         return index
 
--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -93,7 +93,7 @@
     def __init__(self, name: str, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.name = name
         self.settings = with_unsafe_twins(settings)
-        self.account = Account(len(settings.grades))
+        self.account = Account(len(settings.request_classes))
         self.loop = loop
         self.balancer = Balancer(self.settings, seed)
         self.queue: deque[Event] = deque()
@@ -109,7 +109,7 @@
         self.keyed_sends: KeyedSends | None = None
         self.admission: Admission | None = None
         self.spending: Spending | None = None
-        self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `contradicts`
+        self.watch: Callable[[], None] = lambda: None  # set by discovery, as is `report_outcome`
         self.report_outcome: Callable[[int, Outcome], None] = lambda endpoint, outcome: None
         self.logged_at = 0
         # Monotonic time by which a draining process must have answered every call; 0: no such time is set.
@@ -159,7 +159,7 @@
         if isinstance(event, Membership | TimerFired):
             self.call_at(time.monotonic_ns() + S, lambda _: self.watch(), None)
         call = self.calls.get(getattr(event, "id", ""))
-        if call is not None and not call.answered and not call.open:
+        if call is not None and not call.answered and not call.open_attempts:
             self._answer(call, lambda: call.client.failed(500), CallResult.FAILED)
             if not isinstance(event, ClientLeft):
                 self.post(ClientLeft(call.id))
@@ -224,10 +224,10 @@
         self.open_ids.add(call.call_id)
         call.id = str(next(self.call_numbers))
         self.calls[call.id] = call
-        if call.coming:  # its time budget starts at its last byte
+        if call.body_incomplete:  # its time budget starts at its last byte
             self._set_deadline(call, MAX_BODY_RECEIVE_NS)
         else:
-            self.account.take(call.grade)
+            self.account.take(call.class_index)
             self._set_deadline(call, call.budget)
         if call.dedup_key and call.prior is None and self.keyed_sends is not None:
             call.prior = self.keyed_sends.prior(call)
@@ -238,7 +238,14 @@
             return True
         self.post(
             Request(
-                call.id, call.grade, call.budget, call.caller, call.key, call.repeat, call.prior, call.coming
+                call.id,
+                call.class_index,
+                call.budget,
+                call.caller,
+                call.key,
+                call.is_retry,
+                call.prior,
+                call.body_incomplete,
             )
         )
         return True
@@ -251,7 +258,7 @@
                 self._answer(call, lambda: call.client.refused(wait, True), CallResult.REFUSED)
                 return True
         if self.spending is not None:
-            if not call.repeat:
+            if not call.is_retry:
                 self.spending.first_try()
             elif not self.spending.may_spend(Spend.RETRY):
                 max_wait = self.settings.max_retry_after
@@ -261,10 +268,10 @@
 
     def request_complete(self, call: Call) -> None:
         """The last byte of a request that was taken early has arrived: start its time budget."""
-        if call.answered or not call.coming:
+        if call.answered or not call.body_incomplete:
             return
-        call.coming = False
-        self.account.take(call.grade)
+        call.body_incomplete = False
+        self.account.take(call.class_index)
         self._set_deadline(call, call.budget)
 
     def _set_deadline(self, call: Call, span: int) -> None:
@@ -289,9 +296,9 @@
         Returns False if the client has its answer already or another attempt is streaming.
         """
         call = attempt.call
-        if call.answered or call.bound is not None:
+        if call.answered or call.streaming_attempt is not None:
             return False
-        call.bound = attempt
+        call.streaming_attempt = attempt
         self.post(StreamBegan(call.id, attempt.number))
         self._cancel_open(call, keep=attempt)
         return True
@@ -301,7 +308,9 @@
         if call.answered:
             return
         self._answer(call, lambda: None, end)
-        if call.coming or call.bound is not None:  # the module does not cancel these attempts
+        if (
+            call.body_incomplete or call.streaming_attempt is not None
+        ):  # the module does not cancel these attempts
             self._cancel_open(call)
         self.post(ClientLeft(call.id))
         self._cancel_unsent(call)
@@ -312,12 +321,12 @@
             return
         call.answered = True
         call.request = None
-        if call.coming:
-            self.account.record_immediate(call.grade, end)
+        if call.body_incomplete:
+            self.account.record_immediate(call.class_index, end)
         else:
-            self.account.end(call.grade, end)
+            self.account.end(call.class_index, end)
         self.open_ids.discard(call.call_id)
-        if not call.open:
+        if not call.open_attempts:
             self._forget(call)
         send_answer()
 
@@ -327,7 +336,7 @@
         This also holds for classes whose running work the module does not cancel: these attempts have not
         started to run.
         """
-        for attempt in call.attempts if call.answered and call.open else ():
+        for attempt in call.attempts if call.answered and call.open_attempts else ():
             if attempt is not None and not attempt.over and not attempt.written():
                 self.cancel(attempt)
 
@@ -354,7 +363,7 @@
             self._cancel_unsent(call)
 
     def _expire(self, call: Call) -> None:
-        if call.bound is not None or time.monotonic_ns() < call.deadline:
+        if call.streaming_attempt is not None or time.monotonic_ns() < call.deadline:
             return  # the answer is streaming, or the deadline moved when the request became complete
         for attempt in call.attempts:
             if attempt is not None and not attempt.over:
@@ -372,7 +381,7 @@
             return
         now = time.monotonic_ns()
         remaining = call.deadline - now
-        limit = min(action.limit, remaining) if action.limit else remaining
+        limit = min(action.timeout, remaining) if action.timeout else remaining
         skip = call.answered or limit <= 0 or len(call.attempts) >= self.settings.max_attempts
         if skip or (call.attempts and not self._may_send_another(call)):
             number = len(call.attempts)
@@ -383,7 +392,7 @@
             self.keyed_sends.sends(call, action.endpoint)
         attempt = call.transport.attempt(call, action, limit, now)
         call.attempts.append(attempt)
-        call.open += 1
+        call.open_attempts += 1
         if limit < remaining:
             # All open attempts time out: an earlier one could still start after this one has ended.
             for open_attempt in call.attempts:
@@ -395,10 +404,10 @@
         """Whether the fleet-wide budget allows one more attempt of this call."""
         if self.spending is None:
             return True
-        return self.spending.may_spend(Spend.COPY if call.open else Spend.RETRY)
+        return self.spending.may_spend(Spend.COPY if call.open_attempts else Spend.RETRY)
 
     def _time_out(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt is not attempt.call.bound:
+        if not attempt.over and attempt is not attempt.call.streaming_attempt:
             # A request that has not been fully written cannot have run.
             never_ran = Outcome.SKIPPED if attempt.hindered else Outcome.CONNECT_FAILED
             written = attempt.give_up()
@@ -427,9 +436,9 @@
         report: tuple[float, ...] = (),
         send_answer: Callable[[], None] | None = None,
     ) -> None:
-        """Report an attempt's outcome to the module; `say`, if set, first sends the answer to the client."""
+        """Report how an attempt ended to the module; `send_answer`, if set, first sends the answer to the client."""
         call = attempt.call
-        call.open -= 1
+        call.open_attempts -= 1
         if call.dedup_key and outcome in NEVER_RAN and self.keyed_sends is not None:
             self.keyed_sends.never_ran(call)
         if outcome is not Outcome.CONNECT_FAILED or attempt.refused:
@@ -438,7 +447,7 @@
             self._answer(
                 call, send_answer, CallResult.SERVED if outcome is Outcome.DONE else CallResult.FAILED
             )
-        if call.answered and not call.open:
+        if call.answered and not call.open_attempts:
             self._forget(call)
         duration = time.monotonic_ns() - attempt.sent_at
         ended = AttemptEnded(
@@ -461,5 +470,5 @@
 
 def with_unsafe_twins(settings: Settings) -> Settings:
     """Add for each class a twin that allows no repeats, for requests without an idempotency key."""
-    twins = tuple(replace(grade, effect=Idempotency.FRAGILE) for grade in settings.grades)
-    return replace(settings, grades=settings.grades + twins)
+    twins = tuple(replace(grade, effect=Idempotency.FRAGILE) for grade in settings.request_classes)
+    return replace(settings, request_classes=settings.request_classes + twins)
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -91,7 +91,7 @@
             return immediate(409, "ext_proc: a request with this id is under way")
         if self.reply is None:
             self.over = True
-            front.engine.left(call)
+            front.engine.client_left(call)
             return immediate(500, "ext_proc: no decision")
         return self.reply
 
@@ -157,7 +157,7 @@
         if attempt is not None and not attempt.over:
             self._end(Outcome.CANCELLED if attempt.delivered else Outcome.SKIPPED)
         elif self.call is not None:
-            self.front.engine.left(self.call)
+            self.front.engine.client_left(self.call)
         self.call = self.attempt = (
             None  # they know this stream: a cycle that only a full collection would free
         )
@@ -172,7 +172,7 @@
         if outcome is Outcome.DONE:
             engine.attempt_ended(attempt, outcome, (), lambda: None)
         else:
-            engine.left(attempt.call)
+            engine.client_left(attempt.call)
             engine.attempt_ended(attempt, outcome)
 
 
@@ -186,7 +186,7 @@
         self.engine = engine
         self.transport = transport
         self.classes = classes
-        longest = max((grade.deadline for grade in engine.settings.grades), default=0)
+        longest = max((grade.deadline for grade in engine.settings.request_classes), default=0)
         self.tokens = Tokens(operator.keys, longest // MS)
         self.streams = 0
         self.refused_early = 0
@@ -287,7 +287,7 @@
         if server is None:
             return None
         proof = Proof(server.id, server.cell, server.zone, time.time_ns() // MS)
-        return self.tokens.sign(proof, attempt.call.call_id, attempt.call.grade)
+        return self.tokens.sign(proof, attempt.call.call_id, attempt.call.class_index)
 
     def prior(self, mapped: Mapped) -> tuple[PriorAttempt | None, str]:
         """What is known of an attempt that was sent before, where one may have been; and of its token."""
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -60,7 +60,7 @@
         tenant=classes.tenant_index(headers.get("x-caller", "")),
         caller=headers.get("x-caller", ""),
         key=affinity_key(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
-        budget=budget_of(headers, classes.settings.grades[grade].deadline),
+        budget=budget_of(headers, classes.settings.request_classes[grade].deadline),
         repeat=headers.get("x-again") == "1",
         token=token,
         comes_again=bool(token) or headers.get("x-envoy-attempt-count", "1") != "1",
@@ -73,7 +73,7 @@
     method, path = headers.get(":method", ""), headers.get(":path", "")
     for route in routes:
         if route.method in ("", method) and path.startswith(route.path):
-            return route.grade
+            return route.class_name
     return ""
 
 
--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -119,13 +119,13 @@
         if route is None:
             raise MappingError(Status.UNIMPLEMENTED, f"no route for {path[:200]}")
         keyed = route.keyed or value(headers, b"idempotency-key") is not None
-        grade = front.classes.grade_of(route.grade, keyed)
+        grade = front.classes.class_index(route.class_name, keyed)
         if grade is None:
-            raise MappingError(Status.INTERNAL, f"{route.grade} is no class")
+            raise MappingError(Status.INTERNAL, f"{route.class_name} is no class")
         told = value(headers, b"x-call-id") or b"grpc-%d" % next(front.numbers)
         if len(told) > ID_MOST:
             raise MappingError(Status.INVALID_ARGUMENT, "x-call-id is too long")
-        most = front.engine.settings.grades[grade].deadline
+        most = front.engine.settings.request_classes[grade].deadline
         if route.streams:
             most = max(most, front.operator.stream_most_s * 1000 * MS)
         budget = budget_of(headers, most)
@@ -134,7 +134,7 @@
         self.call = call = Call(self, told, front.transport, self)
         call.class_index, call.budget, call.key = grade, budget, ""
         call.tenant = (value(headers, b"x-caller") or b"").decode("latin-1")
-        call.caller = front.classes.tenant_of(call.tenant)
+        call.caller = front.classes.tenant_index(call.tenant)
         call.is_retry = (value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
         return call
 
@@ -165,7 +165,7 @@
         if call is None:
             return
         engine, attempts = self.line.front.engine, self._open(call)
-        engine.left(call)
+        engine.client_left(call)
         for attempt in attempts:
             if not attempt.over:
                 engine.cancel(attempt)
--- a/garnethaven/grpcs/transport.py
+++ b/garnethaven/grpcs/transport.py
@@ -417,7 +417,7 @@
 
     def may_use(self, endpoint: int, address: Address) -> bool:
         """Whether something new may still go there."""
-        return self.engine.balancer.takes_new(endpoint) and self.address_of(endpoint) == address
+        return self.engine.balancer.accepts_attempts(endpoint) and self.address_of(endpoint) == address
 
     def target(self, endpoint: int) -> Target | None:
         address = self.address_of(endpoint)
--- a/garnethaven/interface.py
+++ b/garnethaven/interface.py
@@ -13,7 +13,7 @@
     """How often a request of a class may run."""
 
     RETRYABLE = "retryable"  # may run any number of times
-    DEDUP = "dedup"  # a group of endpoints (Scope) deduplicates it within a window
+    DEDUP = "dedup"  # a group of endpoints (DedupScope) deduplicates it within a window
     FRAGILE = "fragile"  # must not run twice
 
 
@@ -121,7 +121,7 @@
     id: int
     zone: int = 0
     kind: int = 0  # kind of machine: endpoints of one kind are expected to be equally fast per unit
-    cell: int = 0  # group of endpoints within which Scope.CELL deduplicates
+    cell: int = 0  # group of endpoints within which DedupScope.CELL deduplicates
     state: State = State.UP
     relative_capacity: float = 1.0  # listed capacity, relative to the other endpoints
     started: int = 0  # time of the start; 0: long ago
--- a/garnethaven/limits/lists.py
+++ b/garnethaven/limits/lists.py
@@ -1,8 +1,8 @@
 """Freshness of server lists: how long a watch waits, when to call off schedule, which answers to apply.
 
 Every call costs the discovery service work, even if it returns nothing new, and the whole fleet shares one
-service. The settings state in what time (`ask_within`) the service can answer one call of every instance; a
-small fleet needs only its part of that time. This *call time* determines everything else:
+service. The settings state in what time (`discovery_call_span`) the service can answer one call of every
+instance; a small fleet needs only its part of that time. This *call time* determines everything else:
 
 - Watch wait. The idle watches of the fleet use `WATCH_LOAD_SHARE` of the service: a watch waits for the call
   time divided by that share, between `MIN_WATCH_WAIT_S` and the configured maximum. A small fleet renews its
--- a/garnethaven/limits/places.py
+++ b/garnethaven/limits/places.py
@@ -109,20 +109,20 @@
 
     def record_request(self, usage: ConnectionHistory, now: float) -> None:
         """Record a complete request on a connection."""
-        if usage.asked:
-            gap = max(0.0, now - usage.since)
+        if usage.request_count:
+            gap = max(0.0, now - usage.idle_since)
             usage.gap = usage.gap + (gap - usage.gap) / GAP_EWMA_REQUESTS if usage.gap else gap
             self.typical_gap += (gap - self.typical_gap) / RETURN_EWMA_CONNECTIONS
             self._count_return(usage, 1.0)
-        usage.asked += 1
+        usage.request_count += 1
 
     def record_close(self, usage: ConnectionHistory, now: float) -> None:
         """Record the end of a connection; one with a single request and a long idle time did not return."""
-        if now - usage.since >= PROTECTED_WAIT_S:
+        if now - usage.idle_since >= PROTECTED_WAIT_S:
             self._count_not_returned(usage)
 
     def _count_not_returned(self, usage: ConnectionHistory) -> None:
-        if usage.asked == 1:
+        if usage.request_count == 1:
             self._count_return(usage, 0.0)
 
     def _count_return(self, usage: ConnectionHistory, returned: float) -> None:
@@ -134,18 +134,20 @@
 
     def may_have_request_in_transit(self, usage: ConnectionHistory, now: float) -> bool:
         """Whether a request may be on its way, which a close without an answer would lose."""
-        return now - usage.since < (REQUEST_IN_TRANSIT_S if usage.asked else FIRST_REQUEST_GRACE_S)
+        return now - usage.idle_since < (
+            REQUEST_IN_TRANSIT_S if usage.request_count else FIRST_REQUEST_GRACE_S
+        )
 
     def expected_wait(self, usage: ConnectionHistory, now: float) -> float:
         """Estimated seconds until the next request."""
-        idle = max(0.0, now - usage.since)
-        if not usage.asked:
+        idle = max(0.0, now - usage.idle_since)
+        if not usage.request_count:
             wait = UNUSED_WAIT_FACTOR * idle
-        elif usage.asked == 1:
+        elif usage.request_count == 1:
             wait = (idle + self.typical_gap) / max(MIN_RETURN_SHARE, self.return_share)
         else:
             wait = usage.gap if idle <= OVERDUE_FACTOR * usage.gap else idle
-        return wait * REJECTED_WAIT_FACTOR if usage.turned_away else wait
+        return wait * REJECTED_WAIT_FACTOR if usage.rejected_count else wait
 
     def max_wait_s(self, open_count: int) -> float:
         """The longest expected wait, in seconds, of a connection that is kept at the current pressure."""
--- a/garnethaven/membership/cache.py
+++ b/garnethaven/membership/cache.py
@@ -88,7 +88,14 @@
         entry = fact.entry
         started_ms = (entry.started + self.clock_offset) // MS if entry.started else 0
         state = entry.state.value
-        facts: list[object] = [*fact.address, entry.zone, entry.kind, entry.cell, state, entry.units]
+        facts: list[object] = [
+            *fact.address,
+            entry.zone,
+            entry.kind,
+            entry.cell,
+            state,
+            entry.relative_capacity,
+        ]
         return [*facts, started_ms, fact.born, fact.proof]
 
     def _fact(self, told: list[object]) -> Fact:
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -102,7 +102,7 @@
         self.learn = learn or transport.apply_list  # to the transport, or to a model of several sources
         self.transport = transport
         self.loop = loop
-        self.pushed = not config.settings.ask_discovery
+        self.pushed = not config.settings.calls_discovery
         # One difference for the whole life: an endpoint whose start seemed to move would seem restarted.
         # Where it is wrong, or the wall clock is stepped later, `start_times` bounds what follows.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
@@ -119,7 +119,7 @@
         self.pool.min_rest_s = 0.0  # the next call must follow at once, and one answer is like the other
         self.address = config.discovery
         self.target = Target(self.pool, self.address)
-        fleet_size, ask_within_s = config.settings.fleet_size, config.settings.ask_within / S
+        fleet_size, ask_within_s = config.settings.fleet_size, config.settings.discovery_call_span / S
         self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, MAX_WATCH_WAIT_S, self.pushed)
         overdue_s = self.fresh.overdue_s
         if self.pushed:
--- a/garnethaven/membership/feature.py
+++ b/garnethaven/membership/feature.py
@@ -18,7 +18,7 @@
         if self.table.registries():
             parts = self.parts
             self.sources = Sources(
-                self.table, parts.config, parts.loop, parts.transport.learn, parts.engine.log
+                self.table, parts.config, parts.loop, parts.transport.apply_list, parts.engine.log
             )
             parts.learn = self.sources.merger.from_discovery
 
--- a/garnethaven/membership/list_reader.py
+++ b/garnethaven/membership/list_reader.py
@@ -158,7 +158,7 @@
             kind=self.kinds.get(str(member.get("flavor")), len(self.kinds)),
             cell=cell if sound else 0,
             state=state,
-            units=float(size) if sound else 1.0,
+            relative_capacity=float(size) if sound else 1.0,
             started=up_since * NANOSECONDS_PER_MS - self.clock_offset if sound and up_since else 0,
         )
         return (endpoint, address), flaw
--- a/garnethaven/membership/payloads.py
+++ b/garnethaven/membership/payloads.py
@@ -87,7 +87,7 @@
             kind=self.kinds.get(str(mapped["kind"]), len(self.kinds)),
             cell=cell if sound else 0,
             state=state,
-            units=float(size) if sound else 1.0,
+            relative_capacity=float(size) if sound else 1.0,
             started=started,
         )
         return Fact(address, entry, czxid, up_since_ms)
--- a/garnethaven/net/body_memory.py
+++ b/garnethaven/net/body_memory.py
@@ -15,14 +15,14 @@
 
     def is_available(self) -> bool:
         """Whether a body may be streamed: the budget is not used up."""
-        return not self.memory.full()
+        return not self.memory.is_full()
 
     def take(self) -> None:
         if not self.size:
             self.size = STREAM_MEMORY_BYTES
-            self.memory.grows(STREAM_MEMORY_BYTES)
+            self.memory.reserve(STREAM_MEMORY_BYTES)
 
     def release(self) -> None:
         if self.size:
-            self.memory.shrinks(self.size)
+            self.memory.release(self.size)
             self.size = 0
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -128,7 +128,7 @@
         self.reader.close()
         call, self.call = self.call, None
         if call is not None:
-            self.engine.left(call)
+            self.engine.client_left(call)
         self.owner.forget(self)
 
     # Reading: callbacks of the RequestReader
@@ -156,7 +156,7 @@
             return
         self.streamed_request = None
         if self.call is not None:
-            self.engine.whole(self.call)
+            self.engine.request_complete(self.call)
 
     # Streamed bodies
 
@@ -185,7 +185,7 @@
         """Fail the call whose request will not be received completely."""
         call, self.call = self.call, None
         if call is not None:
-            self.engine.left(call, CallResult.FAILED)
+            self.engine.client_left(call, CallResult.FAILED)
 
     # Complete requests
 
@@ -226,13 +226,13 @@
 
     def _begin_call(self, incoming: IncomingRequest, head: RequestHead) -> None:
         if self.over_limit or (self.streamed_request is not None and not self.body_memory.is_available()):
-            self.engine.account.at_once(head.request_class, CallResult.REFUSED)
+            self.engine.account.record_immediate(head.class_index, CallResult.REFUSED)
             self._answer_status(503)
             return
         self.call = make_call(self, incoming, head, self.owner.transport, self.engine.settings)
         if not self.engine.take(self.call):
             self.call = None
-            self.engine.account.at_once(head.request_class, CallResult.FAILED)
+            self.engine.account.record_immediate(head.class_index, CallResult.FAILED)
             self._answer_with_penalty(409)
 
     # Answers: callbacks of the engine (engine/calls.py) and of the transport (net/transport.py)
@@ -354,9 +354,9 @@
         """Count a request that is answered before it was complete as failed, if its class is known."""
         if self.incoming is None:
             return
-        request_class = self.owner.classes.grades.get(self.incoming.class_name())
+        request_class = self.owner.classes.class_indexes.get(self.incoming.class_name())
         if request_class is not None:
-            self.engine.account.at_once(request_class, CallResult.FAILED)
+            self.engine.account.record_immediate(request_class, CallResult.FAILED)
 
     def _close_lingering(self, max_s: float) -> None:
         """Close once the client has closed its side, or after `max_s` seconds (lingering_close.py)."""
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -205,7 +205,7 @@
     def _is_too_large(self) -> bool:
         """Whether the head, the 1xx answers, the trailers or the body exceed their limits."""
         size, limit = self.answer.size, self._body_limit()
-        if self.target.pool.memory.too_much(self.buffered_bytes):
+        if self.target.pool.memory.must_abort(self.buffered_bytes):
             return True
         framing = MAX_FRAMING_BYTES + MAX_FRAMING_RATIO * size  # a chunk may hold a single byte
         return size > limit or (self.answer.length or 0) > limit or self.received_bytes - size > framing
@@ -224,7 +224,7 @@
         if not exchange.begin_streaming(answer):
             return
         self.streaming = True
-        self.target.pool.memory.shrinks(self.buffered_bytes)
+        self.target.pool.memory.release(self.buffered_bytes)
         self.buffered_bytes = 0
         parts, answer.body = answer.body, []
         for part in parts:
@@ -263,7 +263,7 @@
             return
         answer.body.append(body)
         self.buffered_bytes += len(body)
-        self.target.pool.memory.grows(len(body))
+        self.target.pool.memory.reserve(len(body))
 
     def on_message_complete(self) -> None:
         if self.complete or self.parser is None:
@@ -311,7 +311,7 @@
         """Record in the pool's reuse policy that this endpoint has just written unsolicited bytes."""
         if self.answered_at:
             now = self.target.pool.loop.time()
-            self.target.pool.reuse.unasked(now, now - self.answered_at)
+            self.target.pool.reuse.record_unsolicited(now, now - self.answered_at)
 
     def _is_unsolicited(self) -> bool:
         """Whether the first bytes after a request were sent before the endpoint had received any of it.
@@ -392,7 +392,7 @@
 
     def _release_answer(self) -> None:
         """Drop the buffered answer and release its memory."""
-        self.target.pool.memory.shrinks(self.buffered_bytes)
+        self.target.pool.memory.release(self.buffered_bytes)
         self.buffered_bytes = 0
         self.answer = Answer()
 
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -42,8 +42,8 @@
 
 # Graceful shutdown. New connections arrive for up to 0.4 s after the signal, requests on persistent ones as
 # long as these are open. The platform sends SIGKILL no sooner than the longest deadline of the settings
-# (capped at `MAX_DRAIN_DEADLINE_S`) plus `KILL_S` after the signal; with short deadlines the longer phases
-# end sooner.
+# (capped at `MAX_DRAIN_DEADLINE_S`) plus `KILL_DELAY_S` after the signal; with short deadlines the longer
+# phases end sooner.
 MAX_DRAIN_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
 LAST_ANSWER_S = 0.25  # before the kill: every accepted request has been answered by then
@@ -229,7 +229,7 @@
         self.accepted_sockets.discard(connection.sock)
 
     def request_received(self, usage: ConnectionHistory, now: float) -> None:
-        if not usage.asked:
+        if not usage.request_count:
             self.without_request -= 1
         self.places.record_request(usage, now)
 
@@ -237,7 +237,7 @@
         self.closing.add(connection)
 
     def forget(self, connection: OwnedConnection) -> None:
-        if not connection.usage.asked:
+        if not connection.usage.request_count:
             self.without_request -= 1
         self.places.record_close(connection.usage, self.loop.time())
         self.connections.discard(connection)
@@ -278,7 +278,7 @@
             return min(wanted, len(silent))
 
         def eviction_order(candidate: OwnedConnection) -> tuple[bool, float]:
-            return candidate.usage.asked > 0, -self.places.expected_wait(candidate.usage, now)
+            return candidate.usage.request_count > 0, -self.places.expected_wait(candidate.usage, now)
 
         for connection in sorted(self.connections, key=eviction_order):
             if connection.is_idle():
@@ -333,7 +333,7 @@
     def ends_with_answer(self, connection: OwnedConnection) -> bool:
         """Whether to close the connection with the answer that is about to be written."""
         in_use = self.counted_connections() - self.without_request
-        return self.places.ends_with_answer(connection.usage, in_use, connection.usage.since)
+        return self.places.ends_with_answer(connection.usage, in_use, connection.usage.idle_since)
 
     def _close_surplus(self, now: float) -> None:
         """Close the idle connections that are least likely to be used, before the limit is reached."""
@@ -352,7 +352,7 @@
         now = self.loop.time()
         prefer_newer_listener(self.sock)
         self.accepted_at = max(self.accepted_at, now)
-        patience_s = max(grade.deadline for grade in self.engine.settings.grades) / S
+        patience_s = max(grade.deadline for grade in self.engine.settings.request_classes) / S
         killed_at = now + min(patience_s, MAX_DRAIN_DEADLINE_S) + KILL_DELAY_S
         self.linger_deadline = killed_at - LINGER_LAST_S
         self.last_answer_at = killed_at - LAST_ANSWER_S
@@ -365,7 +365,7 @@
 
     def _may_send_first_request(self, usage: ConnectionHistory, now: float) -> bool:
         """Whether the first request of a connection may be in transit."""
-        return not usage.asked and self.places.may_have_request_in_transit(usage, now)
+        return not usage.request_count and self.places.may_have_request_in_transit(usage, now)
 
     def _close_idle(self) -> None:
         now = self.loop.time()
--- a/garnethaven/net/requests.py
+++ b/garnethaven/net/requests.py
@@ -122,7 +122,7 @@
             forwarded += (name, b": ", value, b"\r\n")
     if not call_id or not budget.isdigit() or len(budget) > 12 or not int(budget):
         return None
-    request_class = classes.grade_of(class_name.decode("latin-1"), bool(idempotency))
+    request_class = classes.class_index(class_name.decode("latin-1"), bool(idempotency))
     if request_class is None:
         return None
     forwarded.append(_framing(incoming))
@@ -132,7 +132,7 @@
         call_id,
         request_class,
         int(budget),
-        classes.tenant_of(tenant),
+        classes.tenant_index(tenant),
         tenant,
         affinity_key(incoming.url.partition(b"?")[2]),
         idempotency,
--- a/garnethaven/net/reuse.py
+++ b/garnethaven/net/reuse.py
@@ -13,7 +13,7 @@
 
 The required rest is `min_rest_s` until unsolicited bytes are seen on any connection of the pool; from then on
 it is twice the latest arrival seen, at least `MIN_PREFERRED_REST_S`. The arrival is forgotten after
-`MEMORY_S`.
+`UNSOLICITED_MEMORY_S`.
 """
 
 from __future__ import annotations
--- a/garnethaven/net/transport.py
+++ b/garnethaven/net/transport.py
@@ -78,7 +78,9 @@
         self.sent_at = now  # nanoseconds
         self.ends_at = now + limit
         self.again = self.number > 0
-        self.careful = transport.engine.settings.grades[call.grade].effect is Idempotency.FRAGILE
+        self.careful = (
+            transport.engine.settings.request_classes[call.class_index].effect is Idempotency.FRAGILE
+        )
 
     def message(self) -> tuple[bytes | bytearray, ...]:
         """Head and body; X-Budget-Ms states the time that is left now, after any dial.
@@ -100,10 +102,10 @@
     def start(self) -> None:
         transport = self.transport
         if self.again and self.client.has_left():
-            transport.engine.left(self.call)
+            transport.engine.client_left(self.call)
             return
         target = transport.targets.get(self.endpoint)
-        self.skipped = self.body is not None and self.body.lost  # the body can't be sent again
+        self.skipped = self.body is not None and self.body.replay_lost  # the body can't be sent again
         if target is not None and target.would_dial():
             self.skipped = self.skipped or not transport.may_dial(self.endpoint)
         if target is None or self.skipped:
@@ -113,7 +115,7 @@
             target.start(self, transport.dial_timeout)
 
     def may_begin(self) -> bool:
-        takes_new = self.transport.engine.balancer.takes_new(self.endpoint)
+        takes_new = self.transport.engine.balancer.accepts_attempts(self.endpoint)
         return takes_new and time.monotonic_ns() < self.ends_at and not self.client.has_left()
 
     def patience_s(self) -> float:
@@ -130,7 +132,7 @@
     def answered(self, answer: Answer) -> None:
         outcome = outcome_of(answer.status, answer.header(b"x-rejected") == b"1")
         engine, report = self.transport.engine, self.transport.report(answer)
-        if self.call.bound is self:
+        if self.call.streaming_attempt is self:
             engine.attempt_ended(self, outcome, report, self.client.end_answer)
         elif outcome is Outcome.DONE and not self.call.answered:
             engine.attempt_ended(self, outcome, report, lambda: self.client.send_answer(answer))
@@ -140,13 +142,13 @@
     def broken(self, written: bool) -> None:
         if_written = Outcome.STALE if self.stale else Outcome.RESET
         if_unwritten = Outcome.SKIPPED if self.skipped else Outcome.CONNECT_FAILED
-        notify = self.client.abort_answer if self.call.bound is self else None
-        self.transport.engine.attempt_ended(self, if_written if written else if_unwritten, say=notify)
+        notify = self.client.abort_answer if self.call.streaming_attempt is self else None
+        self.transport.engine.attempt_ended(self, if_written if written else if_unwritten, send_answer=notify)
 
     # Streamed answers
 
     def begin_streaming(self, answer: Answer) -> bool:
-        if not self.transport.engine.began(self):
+        if not self.transport.engine.start_streaming(self):
             return False
         self.client.begin_answer(self, answer)
         return True
@@ -191,7 +193,9 @@
     ) -> None:
         self.engine = engine
         self.settings = settings
-        self.pool = make_pool(loop, connections, settings.conn_idle / S, AnswerMemory(memory_mb))
+        self.pool = make_pool(
+            loop, connections, settings.connection_idle_timeout / S, AnswerMemory(memory_mb)
+        )
         self.targets: dict[int, Target] = {}
         self.cordoned: set[int] = set()  # by an operator: get nothing new, whatever the list says
         self.pool.targets = self.targets.values
@@ -209,7 +213,7 @@
         return spending.may_spend(Spend.COLD_DIAL, endpoint)
 
     def is_warm(self, endpoint: int) -> bool:
-        return self.engine.balancer.standing(endpoint)[0] >= 1.0
+        return self.engine.balancer.warmth_and_penalty(endpoint)[0] >= 1.0
 
     # Load reports
 
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -77,7 +77,7 @@
         while (index := self.pool.reuse.pick(now, self.idle, may_open)) is not None:
             connection = self.idle[index]
             del self.idle[index]
-            if connection.idle_since > expired and connection.usable():
+            if connection.idle_since > expired and connection.is_usable():
                 return connection
             connection.drop_unusable()
         return None
@@ -235,7 +235,7 @@
         """Seconds for which a connection rests at least before it is reused; 0: it is reused at once."""
         return self.reuse.min_rest_s
 
-    @settle_s.setter
+    @min_rest_s.setter
     def min_rest_s(self, seconds: float) -> None:
         self.reuse.min_rest_s = seconds
 
--- a/garnethaven/ops/service.py
+++ b/garnethaven/ops/service.py
@@ -84,7 +84,7 @@
 
     def _metrics(self, _: bytes) -> tuple[int, str]:
         balancer = self.engine.balancer
-        endpoint_counts = EndpointCounts(len(balancer.servers), balancer.excluded())
+        endpoint_counts = EndpointCounts(len(balancer.servers), balancer.excluded_count())
         return 200, render(self.engine.account, self.class_names, endpoint_counts)
 
     def _set_cordoned(self, name: bytes, cordoned: bool) -> tuple[int, str]:
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -117,7 +117,7 @@
 
     def prepare(self) -> None:
         if self.peer is not None:
-            self.parts.keepers["peers"] = KeptLife(self.peer)
+            self.parts.state_sections["peers"] = KeptLife(self.peer)
 
     async def open(self) -> None:
         if self.peer is None:
@@ -168,7 +168,7 @@
             self.lines.append("this member hears nobody" if deaf else "others are heard again")
         more = len(self.lines) - LINES_MOST
         shown = self.lines[:LINES_MOST] + ([f"and {more} more"] if more > 0 else [])
-        if shown and self.parts.engine.says("peers: " + "; ".join(shown)):
+        if shown and self.parts.engine.try_log("peers: " + "; ".join(shown)):
             self.lines.clear()
         del self.lines[4 * LINES_MOST :]
 
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -94,10 +94,10 @@
     def __init__(self, request: Request, request_class: RequestClass, now: int, elapsed: int) -> None:
         self.id = request.id
         self.request_class = request_class
-        self.class_index = request.grade
+        self.class_index = request.class_index
         self.deadline = now + request.budget
         # An answer after this time is late. The client measures from its first try, `elapsed` ago.
-        self.target_at = now + request_class.aim - elapsed
+        self.target_at = now + request_class.target - elapsed
         if not request_class.late_value:
             self.deadline = min(self.deadline, self.target_at)  # a late answer would only waste capacity
         self.key = request.key
@@ -108,8 +108,8 @@
         self.lateness_recorded = elapsed > 0
         self.streaming = False  # a stream has begun: no other attempt may answer
         # The request body is incomplete: the duration depends on the client, not on the servers.
-        self.body_incomplete = request.coming
-        if request.coming:
+        self.body_incomplete = request.body_incomplete
+        if request.body_incomplete:
             self.target_at = self.deadline = now + MAX_BODY_RECEIVE_NS
             self.lateness_recorded = True
 
--- a/garnethaven/recovery/cold.py
+++ b/garnethaven/recovery/cold.py
@@ -2,10 +2,10 @@
 
 A started server has `cold_share` of its capacity, rising to all of it at the end of the ramp; both come from
 the settings. This guaranteed part is its *warmth*. A server that all sidecars together send more than
-`fall_multiple` times as much fails. Its *likely* capacity is higher, about twice as much at first. If servers
-were weighted by warmth, new ones would idle while all others are overloaded, because six in ten servers of a
-fleet may be cold at once. So a cold server is weighted by its likely capacity, up to `COLD_PART` of what the
-rule allows the fleet to send it.
+`max_cold_load_multiple` times as much fails. Its *likely* capacity is higher, about twice as much at first.
+If servers were weighted by warmth, new ones would idle while all others are overloaded, because six in ten
+servers of a fleet may be cold at once. So a cold server is weighted by its likely capacity, up to
+`MAX_COLD_LOAD_SHARE` of what the rule allows the fleet to send it.
 """
 
 from __future__ import annotations
--- a/garnethaven/settings.py
+++ b/garnethaven/settings.py
@@ -69,29 +69,29 @@
     try:
         rules, limits, prices = document["rules"], document["limits"], document.get("prices", {})
         return Settings(
-            grades=tuple(read_request_class(entry) for entry in document["grades"]),
+            request_classes=tuple(read_request_class(entry) for entry in document["grades"]),
             tenants=tuple(
                 Tenant(_number(tenant, "share", float), _number(tenant, "allowancePerS", float))
                 for tenant in document.get("tenants", ())
             ),
-            slot=_number(document, "slotNo", int),
+            instance_index=_number(document, "slotNo", int),
             fleet_size=_number(document, "fleetSize", int, min_value=1),
             zone=_number(document, "zone", int),
-            ask_discovery=document["membershipMode"] == "ask",
-            ask_within=_number(rules, "askWithinNs", int, 0),
+            calls_discovery=document["membershipMode"] == "ask",
+            discovery_call_span=_number(rules, "askWithinNs", int, 0),
             drain_grace=_number(rules, "drainGraceNs", int),
             cold_share=_number(rules, "coldShare", float, max_value=1.0),
             ramp_time=_number(rules, "rampTimeNs", int),
-            fall_multiple=_number(rules, "fallMultiple", float, 3.0),
+            max_cold_load_multiple=_number(rules, "fallMultiple", float, 3.0),
             dial_timeout=_number(limits, "dialTimeoutNs", int, 0),
-            conn_idle=_number(limits, "connIdleNs", int, 0),
+            connection_idle_timeout=_number(limits, "connIdleNs", int, 0),
             streams_per_conn=_number(limits, "streamsPerConn", int, 1, min_value=1),
             max_attempts=_number(limits, "maxAttempts", int, min_value=1),
-            second_copies=bool(limits.get("secondCopies", False)),
+            hedging=bool(limits.get("secondCopies", False)),
             cancel=bool(limits.get("cancel", False)),
             probes=bool(limits.get("probes", False)),
-            warm_keys=bool(document.get("familyInfo", {}).get("warmKeys", False)),
-            over_share_worth=_number(document, "overShareWorth", float, 1.0),
+            key_affinity=bool(document.get("familyInfo", {}).get("warmKeys", False)),
+            over_share_value_factor=_number(document, "overShareWorth", float, 1.0),
             cross_zone_price=_number(prices, "crossZone", float, 0.0),
             waste_price=_number(prices, "waste", float, 0.0),
             probe_price=_number(prices, "probe", float, 0.0),
@@ -107,12 +107,12 @@
 
 def read_request_class(entry: dict[str, Any]) -> RequestClass:
     return RequestClass(
-        aim=_number(entry, "aimNs", int),
+        target=_number(entry, "aimNs", int),
         deadline=_number(entry, "deadlineNs", int),
         effect=_choice(entry["effect"], "effect", Idempotency),
         scope=_choice(entry.get("keyScope") or "all", "keyScope", DedupScope),
-        window=_number(entry, "dedupWindowNs", int, 0),
-        worth=_number(entry, "importance", float),
+        dedup_window=_number(entry, "dedupWindowNs", int, 0),
+        value=_number(entry, "importance", float),
         late_value=_number(entry, "lateValue", float, 0.0),
     )
 
@@ -126,7 +126,7 @@
     """Read the names behind the balancer's indexes; only a sidecar has them. Raises SettingsError."""
     try:
         return Names(
-            grades=tuple(str(grade["name"]) for grade in document["grades"]),
+            request_classes=tuple(str(grade["name"]) for grade in document["grades"]),
             tenants=tuple(str(tenant["name"]) for tenant in document.get("tenants", ())),
             zones=tuple(map(str, document["zones"])),
             kinds=tuple(map(str, document["hostTypes"])),
--- a/garnethaven/state/ageing.py
+++ b/garnethaven/state/ageing.py
@@ -87,11 +87,11 @@
     recent = elapsed_ns < RELEASE_S * S
     return RestoredState(
         servers=tuple(_restore_servers(statistics.servers, elapsed_ns, half_life, listed)),
-        kinds=dict(statistics.kinds) if recent else {},
-        usual=dict(statistics.usual) if recent else {},
-        copies=max(0.0, statistics.copies),
-        retries=max(0.0, statistics.retries),
-        gap=max(0.0, statistics.gap),
+        kind_latency_ratios=dict(statistics.kinds) if recent else {},
+        latency_estimates=dict(statistics.usual) if recent else {},
+        hedge_tokens=max(0.0, statistics.copies),
+        retry_tokens=max(0.0, statistics.retries),
+        request_interval=max(0.0, statistics.gap),
     )
 
 
--- a/garnethaven/state/feature.py
+++ b/garnethaven/state/feature.py
@@ -138,7 +138,7 @@
         except (OSError, ValueError) as problem:
             self.log_messages.append(f"keyed requests are not remembered: {truncated(problem)}")
             return
-        parts.engine.keyed = self.keyed
+        parts.engine.keyed_sends = self.keyed
         if imported:
             self.loads += 1
             self.log_messages.append(f"records of {imported} keyed requests")
@@ -165,7 +165,7 @@
             name_of(server.id): (server.id, started_ms(server.started, offset))
             for server in balancer.servers.values()
         }
-        restored = restore(statistics, elapsed_ns, balancer.half_life, listed)
+        restored = restore(statistics, elapsed_ns, balancer.error_half_life, listed)
         self.log_messages.append(
             f"restored figures of {len(restored.servers)} servers, {elapsed_ns / S:.1f} s old"
         )
@@ -173,7 +173,7 @@
 
     def _restore_keepers(self, downtime_s: float) -> None:
         """Pass each saved part to its owner."""
-        for name, keeper in self.parts.keepers.items():
+        for name, keeper in self.parts.state_sections.items():
             content = self.saved_parts.get(name)
             if content is None:
                 continue
@@ -219,7 +219,7 @@
         yield
         parts_by_name[LIST_PART] = msgspec.json.encode(StoredList(revision, round(age_s, 3), members))
         yield
-        parts_by_name |= {name: keeper.keep() for name, keeper in parts.keepers.items()}
+        parts_by_name |= {name: keeper.keep() for name, keeper in parts.state_sections.items()}
         yield
         data = self._encode(parts_by_name)
         yield
@@ -268,7 +268,7 @@
 
     def _log_failure(self, problem: str) -> None:
         self.failed_writes += 1
-        if problem != self.last_problem and self.parts.engine.says(f"state: not saved: {problem}"):
+        if problem != self.last_problem and self.parts.engine.try_log(f"state: not saved: {problem}"):
             self.last_problem = problem
 
     async def close(self) -> None:
--- a/garnethaven/state/remembering.py
+++ b/garnethaven/state/remembering.py
@@ -18,8 +18,10 @@
 def retention_by_class(settings: Settings) -> tuple[int, ...]:
     """By class, how long a key's first attempt matters: dedup window plus deadline; 0 if not keyed."""
     return tuple(
-        request_class.window + request_class.deadline if request_class.effect is Idempotency.DEDUP else 0
-        for request_class in settings.grades
+        request_class.dedup_window + request_class.deadline
+        if request_class.effect is Idempotency.DEDUP
+        else 0
+        for request_class in settings.request_classes
     )
 
 
@@ -33,10 +35,10 @@
         self.found_count = 0  # requests with an earlier attempt in a table
 
     def prior(self, call: Call) -> PriorAttempt | None:
-        if not self.own_table.retention[call.grade]:
+        if not self.own_table.retention[call.class_index]:
             return None
         now = boottime()
-        key_hash = hash_key(call.dedup_key, call.grade)
+        key_hash = hash_key(call.dedup_key, call.class_index)
         for table in (self.own_table, *self.other_tables):
             record = table.find(key_hash, now)
             if record is not None:
@@ -46,13 +48,13 @@
 
     def sends(self, call: Call, endpoint: int) -> None:
         server = self.balancer.servers.get(endpoint)
-        if server is not None and self.own_table.retention[call.grade]:
-            key_hash = hash_key(call.dedup_key, call.grade)
-            self.own_table.record_attempt(key_hash, call.grade, server.zone, server.cell, boottime())
+        if server is not None and self.own_table.retention[call.class_index]:
+            key_hash = hash_key(call.dedup_key, call.class_index)
+            self.own_table.record_attempt(key_hash, call.class_index, server.zone, server.cell, boottime())
 
     def never_ran(self, call: Call) -> None:
-        if self.own_table.retention[call.grade]:
-            self.own_table.undo_attempt(hash_key(call.dedup_key, call.grade))
+        if self.own_table.retention[call.class_index]:
+            self.own_table.undo_attempt(hash_key(call.dedup_key, call.class_index))
 
 
 def open_tables(
--- a/garnethaven/state/snapshot.py
+++ b/garnethaven/state/snapshot.py
@@ -46,17 +46,19 @@
     """The balancer's statistics of these servers, as of its last event."""
     for server in servers:
         errors = balancer.decayed_errors(server)
-        if errors or server.paces:
+        if errors or server.latency_samples:
             start = started_ms(server.started, clock_offset)
-            yield StoredServer(name_of(server.id), start, errors, server.pace, server.paces)
+            yield StoredServer(
+                name_of(server.id), start, errors, server.log_latency_ratio, server.latency_samples
+            )
 
 
 def collect_statistics(balancer: Balancer, servers: list[StoredServer]) -> Statistics:
     """All statistics of the balancer, with those of `servers`."""
     overload = balancer.overload
-    latency_ratios, usual = dict(balancer.pace), dict(balancer.latency_estimates)
+    latency_ratios, usual = dict(balancer.kind_latency_ratios), dict(balancer.latency_estimates)
     return Statistics(
-        servers, latency_ratios, usual, balancer.copies, overload.retry_tokens, overload.arrival_gap
+        servers, latency_ratios, usual, balancer.hedge_tokens, overload.retry_tokens, overload.arrival_gap
     )
 
 
@@ -75,6 +77,6 @@
             "flavor": names.kinds[server.kind] if server.kind < len(names.kinds) else "",
             "cell": server.cell,
             "phase": PHASE_BY_STATE[server.state],
-            "size": server.units,
+            "size": server.relative_capacity,
             "up_since_ms": started_ms(server.started, clock_offset),
         }
--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -82,7 +82,7 @@
         if peers is not None and peer is not None:
             self.sharing = Sharing(peer, self.admission)
             peers.after.append(self._look)
-        parts.keepers["tenants"] = KeptTokens(self.admission)
+        parts.state_sections["tenants"] = KeptTokens(self.admission)
         parts.engine.admission = self
 
     async def open(self) -> None:
@@ -105,7 +105,7 @@
         for member, told in self.sharing.implausible.items():
             if member not in self.named:
                 text = f"tenants: {member} tells {told.demand:g} a second of a tenant: more than can be"
-                if self.parts.engine.says(text):
+                if self.parts.engine.try_log(text):
                     self.named.add(member)
         self.sharing.implausible.clear()
 
--- a/tests/budgets/test_engine.py
+++ b/tests/budgets/test_engine.py
@@ -111,7 +111,7 @@
             started = int(time.time() * 1000)
             members = [peer.member(f"s{n}") for n, peer in enumerate(peers)]
             members[1]["up_since_ms"] = started
-            sidecar.tell(members)
+            sidecar.set_members(members)
             room = Room(COLD_DIAL=0)
             sidecar.engine.spending = room
             for number in range(12):
--- a/tests/connections/test_pool.py
+++ b/tests/connections/test_pool.py
@@ -146,11 +146,11 @@
             await made.settled()
             reuse = made.pool.reuse
             reuse.full_rest_s = 20.0
-            reuse.unasked(made.pool.loop.time(), 10.0)
+            reuse.record_unsolicited(made.pool.loop.time(), 10.0)
             assert (await made.ask()).status == 200
             assert made.far.opened == 2
             await made.settled()
-            reuse.unasked_at = None
+            reuse.unsolicited_at = None
             assert (await made.ask()).status == 200
             assert made.far.opened == 2
 
@@ -178,10 +178,10 @@
             assert (await made.ask()).status == 200
             await made.settled()
             (connection,) = made.target.idle
-            connection.usable = lambda: True  # type: ignore[method-assign]  # it closes in this very moment
+            connection.is_usable = lambda: True  # type: ignore[method-assign]  # it closes in this very moment
             connection.transport.abort()
             asked = await made.ask()
-            assert (asked.status, asked.redone) == (200, True)
+            assert (asked.status, asked.was_moved) == (200, True)
             assert made.far.opened == 2
 
     run(case())
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -162,7 +162,7 @@
 def test_half_a_line_on_a_resting_connection_spoils_it() -> None:
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
-            sidecar.transport.pool.settle_s = 0.0
+            sidecar.transport.pool.min_rest_s = 0.0
             assert (await sidecar.ask(request())) == (200, b"hello")
             (connection,) = sidecar.transport.pool.connections
             peer.script = never_answers
--- a/tests/crossings/test_late_dials.py
+++ b/tests/crossings/test_late_dials.py
@@ -57,11 +57,11 @@
 ) -> None:
     engine = sidecar.engine
     request_classes = tuple(
-        replace(request_class, effect=idempotency, scope=DedupScope.ALL, window=dedup_window)
-        for request_class in engine.settings.grades
+        replace(request_class, effect=idempotency, scope=DedupScope.ALL, dedup_window=dedup_window)
+        for request_class in engine.settings.request_classes
     )
     engine.settings = engine.balancer.settings = replace(
-        engine.settings, grades=request_classes, cancel=cancel
+        engine.settings, request_classes=request_classes, cancel=cancel
     )
 
 
@@ -98,13 +98,13 @@
             answer_task = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: dials.dial_count == 1)
             if change == "drains":
-                sidecar.tell([peer.member("s0") | {"phase": "DRAINING"}, other_peer.member("s1")])
+                sidecar.set_members([peer.member("s0") | {"phase": "DRAINING"}, other_peer.member("s1")])
             elif change == "moves":
-                sidecar.tell([other_peer.member("s0")])
+                sidecar.set_members([other_peer.member("s0")])
             elif change == "starts anew":
-                sidecar.tell([peer.member("s0") | {"up_since_ms": 10**12}, other_peer.member("s1")])
+                sidecar.set_members([peer.member("s0") | {"up_since_ms": 10**12}, other_peer.member("s1")])
             else:
-                sidecar.tell([other_peer.member("s1")])
+                sidecar.set_members([other_peer.member("s1")])
             dials.permits.release()
             dials.permits.release()
             # It never ran: sent to the other endpoint, or refused.
@@ -151,8 +151,8 @@
         async with running_sidecar(silent, silent) as (sidecar, peers):
             set_idempotency(sidecar, Idempotency.DEDUP, dedup_window=400 * MS)
             engine = sidecar.engine
-            engine.settings = engine.balancer.settings = replace(engine.settings, second_copies=True)
-            engine.balancer.usual = {0: 50.0 * MS}
+            engine.settings = engine.balancer.settings = replace(engine.settings, hedging=True)
+            engine.balancer.latency_estimates = {0: 50.0 * MS}
             reader, writer = await sidecar.connect()
             writer.write(request())
             started_at = time.monotonic()
--- a/tests/crossings/test_second_answers.py
+++ b/tests/crossings/test_second_answers.py
@@ -107,12 +107,12 @@
             reuse = sidecar.transport.pool.reuse
             reuse.allowance = 0.0
             reuse.full_rest_s = reuse.latest_arrival_s = WAIT_S
-            reuse.unasked_at = asyncio.get_running_loop().time()
+            reuse.unsolicited_at = asyncio.get_running_loop().time()
             for n in range(3):
                 assert (await sidecar.ask(request(X_Call_Id=f"c{n}")))[0] == 200
                 await asyncio.sleep(0.01)
             assert peer.connections == 3
-            reuse.unasked_at -= UNSOLICITED_MEMORY_S + 1.0
+            reuse.unsolicited_at -= UNSOLICITED_MEMORY_S + 1.0
             reuse.full_rest_s = 0.01
             assert (await sidecar.ask(request(X_Call_Id="later")))[0] == 200
             assert peer.connections == 3
@@ -124,7 +124,7 @@
     async def case() -> None:
         async with running_sidecar(answers_with(answer_to(request()) * 2)) as (sidecar, _):
             assert (await sidecar.ask(request())) == (200, b"c1")
-            assert sidecar.transport.pool.reuse.unasked_at is not None
+            assert sidecar.transport.pool.reuse.unsolicited_at is not None
 
     run(case())
 
@@ -144,9 +144,9 @@
         async with running_sidecar(answers_with(answer_to(request()))) as (sidecar, _):
             assert (await sidecar.ask(request()))[0] == 200
             (target,) = sidecar.transport.targets.values()
-            sidecar.transport.pool.settle_s = WAIT_S
+            sidecar.transport.pool.min_rest_s = WAIT_S
             assert target.would_dial()
-            sidecar.transport.pool.settle_s = 0.0
+            sidecar.transport.pool.min_rest_s = 0.0
             assert not target.would_dial()
 
     run(case())
@@ -161,7 +161,7 @@
             (peer,),
         ):
             if not full:
-                sidecar.tell([peer.member("s0") | {"up_since_ms": int(time.time() * 1000)}])
+                sidecar.set_members([peer.member("s0") | {"up_since_ms": int(time.time() * 1000)}])
             sidecar.transport.pool.reuse.full_rest_s = WAIT_S
             for _ in range(3):
                 assert (await sidecar.ask(request()))[0] == 200
@@ -181,9 +181,9 @@
             peer.writers[0].write(answer_to(request()))
             await wait_until(connection._unread)
             pool.reuse.full_rest_s = WAIT_S
-            pool.settle_s = 0.0
+            pool.min_rest_s = 0.0
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"c2")
-            assert pool.reuse.unasked_at is not None
+            assert pool.reuse.unsolicited_at is not None
 
     run(case())
 
@@ -192,14 +192,14 @@
     async def case() -> None:
         async with running_sidecar(RepeatsAnswers(0.0, doubled=0)) as (sidecar, (peer,)):
             pool = sidecar.transport.pool
-            pool.settle_s = 0.0
+            pool.min_rest_s = 0.0
             assert (await sidecar.ask(request()))[0] == 200
             (connection,) = pool.connections
             connection.transport.pause_reading()
             peer.writers[0].close()
             await wait_until(connection._unread)
             assert (await sidecar.ask(request(X_Call_Id="c2"))) == (200, b"c2")
-            assert pool.reuse.unasked_at is None
+            assert pool.reuse.unsolicited_at is None
 
     run(case())
 
@@ -255,7 +255,7 @@
     async def case() -> None:
         async with stalled_endpoint() as (sidecar, endpoint):
             pool = sidecar.transport.pool
-            pool.settle_s = 0.0
+            pool.min_rest_s = 0.0
             body = b"x" * 8_000
             first = request(X_Call_Id="first", Content_Length=str(len(body))).removesuffix(b"hi") + body
             answer_task = asyncio.create_task(endpoint.answer_first())
@@ -268,7 +268,7 @@
             assert endpoint.first_connection is not None
             endpoint.first_connection.send(answer_to(b"X-Call-Id: first"))
             assert await second_task == (200, b"second")
-            assert pool.reuse.unasked_at is not None
+            assert pool.reuse.unsolicited_at is not None
             later_task.cancel()
 
     run(case())
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -30,10 +30,10 @@
     """Set the deadline of all classes; returns the seconds from SIGTERM to SIGKILL."""
     engine = sidecar.engine
     request_classes = tuple(
-        replace(request_class, deadline=deadline_ms * MS, aim=min(request_class.aim, deadline_ms * MS))
-        for request_class in engine.settings.grades
+        replace(request_class, deadline=deadline_ms * MS, target=min(request_class.target, deadline_ms * MS))
+        for request_class in engine.settings.request_classes
     )
-    engine.settings = engine.balancer.settings = replace(engine.settings, grades=request_classes)
+    engine.settings = engine.balancer.settings = replace(engine.settings, request_classes=request_classes)
     return deadline_ms / 1000 + KILL_DELAY_S
 
 
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -57,7 +57,7 @@
     def quiet(self) -> bool:
         """Whether the module and the engine believe that nothing is under way."""
         engine = self.sidecar.engine
-        return not engine.calls and not engine.open_ids and not engine.balancer.held
+        return not engine.calls and not engine.open_ids and not engine.balancer.pending_requests
 
 
 @contextlib.asynccontextmanager
@@ -133,7 +133,7 @@
 def test_with_no_server_a_request_is_refused_at_once() -> None:
     async def case() -> None:
         async with stage() as made:
-            made.sidecar.transport.learn(ListKind.FULL, [])
+            made.sidecar.transport.apply_list(ListKind.FULL, [])
             decision = await made.decide(made.proxy.ask())
             assert (decision.status, decision.address) == (503, "")
             assert "refused" in decision.details
--- a/tests/grpcs/test_late_dials.py
+++ b/tests/grpcs/test_late_dials.py
@@ -206,7 +206,7 @@
 
     def quiet(self) -> bool:
         engine = self.sidecar.engine
-        return not engine.calls and not engine.balancer.held
+        return not engine.calls and not engine.balancer.pending_requests
 
     async def let_up(self) -> None:
         """All connections that are held come up, and what waits for them is seen to."""
--- a/tests/grpcs/test_mapping.py
+++ b/tests/grpcs/test_mapping.py
@@ -111,7 +111,7 @@
     assert routes.find("/p.S/N") is service
     assert routes.find("/p.T/M") is None
     strict = Routes((), "c").find("/p.T/M")
-    assert strict is not None and strict.grade == "c" and strict.streams
+    assert strict is not None and strict.class_name == "c" and strict.streams
 
 
 def test_a_flood_has_a_bound_that_refills() -> None:
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -105,7 +105,7 @@
             )
             for n, (server, cell) in enumerate(zip(self.servers, self.cells, strict=True))
         ]
-        self.sidecar.transport.learn(ListKind.FULL, list(entries))
+        self.sidecar.transport.apply_list(ListKind.FULL, list(entries))
 
     async def unary(self, request: bytes = b"hi", method: str = UNARY, **words: Any) -> Any:
         call = self.channel.unary_unary(method)(request, **({"timeout": 10.0} | words))
@@ -116,7 +116,7 @@
 
     def quiet(self) -> bool:
         engine = self.sidecar.engine
-        return not engine.calls and not engine.balancer.held
+        return not engine.calls and not engine.balancer.pending_requests
 
 
 @contextlib.asynccontextmanager
@@ -417,7 +417,7 @@
             server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler("t.Checks", handlers),))
             port = server.add_insecure_port("127.0.0.1:0")
             await server.start()
-            made.sidecar.transport.learn(ListKind.FULL, [(Endpoint(9), ("127.0.0.1", port))])
+            made.sidecar.transport.apply_list(ListKind.FULL, [(Endpoint(9), ("127.0.0.1", port))])
             call = made.channel.stream_stream("/t.Checks/Deaf")(timeout=1.0)
             with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
                 for _ in range(200):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,22 +28,22 @@
 START = 100 * S
 
 RETRYABLE = RequestClass(
-    aim=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, worth=1.0, late_value=0.25
+    target=500 * MS, deadline=2 * S, effect=Idempotency.RETRYABLE, value=1.0, late_value=0.25
 )
-FRAGILE = replace(RETRYABLE, effect=Idempotency.FRAGILE, worth=10.0)
-DEDUP_IN_CELL = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=3 * S)
-DEDUP_EVERYWHERE = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, window=1 * S)
+FRAGILE = replace(RETRYABLE, effect=Idempotency.FRAGILE, value=10.0)
+DEDUP_IN_CELL = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.CELL, dedup_window=3 * S)
+DEDUP_EVERYWHERE = replace(RETRYABLE, effect=Idempotency.DEDUP, scope=DedupScope.ALL, dedup_window=1 * S)
 
 SETTINGS = Settings(
-    grades=(RETRYABLE, FRAGILE, DEDUP_IN_CELL, DEDUP_EVERYWHERE),
+    request_classes=(RETRYABLE, FRAGILE, DEDUP_IN_CELL, DEDUP_EVERYWHERE),
     fleet_size=10,
     drain_grace=500 * MS,
     cold_share=0.2,
     ramp_time=10 * S,
     dial_timeout=250 * MS,
-    conn_idle=15 * S,
+    connection_idle_timeout=15 * S,
     max_attempts=4,
-    second_copies=True,
+    hedging=True,
     cancel=True,
 )
 
@@ -72,7 +72,7 @@
         """Send a request `after` ns; return all actions."""
         self.request_count += 1
         budget = fields.pop("budget", 2 * S)
-        request = Request(id=f"r{self.request_count}", grade=grade, budget=budget, **fields)
+        request = Request(id=f"r{self.request_count}", class_index=grade, budget=budget, **fields)
         return self.feed(request, after)
 
     def target(self, grade: int = 0, after: int = 10 * MS, **fields: Any) -> int:
--- a/tests/limits/test_further_attempts.py
+++ b/tests/limits/test_further_attempts.py
@@ -90,7 +90,7 @@
     for _ in range(int(MAX_TOKENS / 2) + 1):
         driver.serve(Outcome.DONE, after=1 * MS)
     send = sends(driver.ask(CELLED_CLASS, budget=20 * S))[0]
-    actions = driver.end(send, Outcome.RESET, after=DEDUP_IN_CELL.window)
+    actions = driver.end(send, Outcome.RESET, after=DEDUP_IN_CELL.dedup_window)
     assert not sends(actions)
 
 
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -169,7 +169,7 @@
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER), connections=32, client_places=16) as (sidecar, _):
             places = sidecar.listener.places
-            assert places.most == 16
+            assert places.limit == 16
             regulars = [await sidecar.connect() for _ in range(2)]
             guests = []
             for number in range(40):
@@ -179,7 +179,7 @@
                 for n, (reader, writer) in enumerate(regulars):
                     writer.write(request(X_Call_Id=f"u{number}-{n}"))
                     await reader.readuntil(b"hello")  # its connection has stayed open
-                held = sidecar.listener.held()
+                held = sidecar.listener.counted_connections()
                 assert held <= 16, number
                 await asyncio.sleep(0.06)
             assert places.ended_early >= 20
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -36,7 +36,7 @@
     now = START + 10 * S
     for _ in range(answers):
         now += S // 2
-        overload.judged(now, late=True)
+        overload.record_first_attempt(now, late=True)
     return now
 
 
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -28,7 +28,7 @@
     """A connection opened at the first time, with a request and its immediate answer at each later one."""
     connection = Connection(name, ConnectionHistory(times[0]))
     for at in times[1:]:
-        places.asks(connection.usage, at)
+        places.record_request(connection.usage, at)
         connection.usage.idle_since = at
     return connection
 
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -11,14 +11,14 @@
     for _ in range(rounds):
         for number in range(10):
             if number >= turned_away_of_ten:
-                budget.answered()
+                budget.record_answer()
                 continue
-            budget.turned_away()
+            budget.record_rejection()
             wanted += 1
             if budget.allows():
                 budget.spend()
                 made += 1
-                budget.answered()
+                budget.record_answer()
     return wanted, made
 
 
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -14,7 +14,7 @@
 
 
 def sidecar() -> Driver:
-    driver = Driver(fleet(8), replace(SETTINGS, grades=(PROMPT, LASTING)))
+    driver = Driver(fleet(8), replace(SETTINGS, request_classes=(PROMPT, LASTING)))
     for request_class in (PROMPT_CLASS, LASTING_CLASS):
         driver.serve(grade=request_class, budget=FIRST_ATTEMPT_TIMEOUT)
     return driver
@@ -41,7 +41,7 @@
     refuse_one(driver)
     driver.balancer.max_client_budgets[PROMPT_CLASS] = 2 * S  # clients use the whole deadline as timeout
     (send,) = sends(driver.ask(PROMPT_CLASS, budget=1_700 * MS))
-    assert send.limit == PROMPT.aim
+    assert send.timeout == PROMPT.target
 
 
 def test_one_whose_late_answer_has_worth_is_sent() -> None:
--- a/tests/limits/world.py
+++ b/tests/limits/world.py
@@ -41,25 +41,25 @@
 MS = 1_000_000
 S = 1_000_000_000
 CHECK = RequestClass(
-    aim=S,
+    target=S,
     deadline=3 * S,
     effect=Idempotency.DEDUP,
     scope=DedupScope.CELL,
-    window=6 * S,
-    worth=1.0,
+    dedup_window=6 * S,
+    value=1.0,
     late_value=0.25,
 )
 SETTINGS = Settings(
-    grades=(CHECK,),
+    request_classes=(CHECK,),
     fleet_size=2,
     drain_grace=S // 2,
     cold_share=0.2,
     ramp_time=10 * S,
     dial_timeout=S // 4,
-    conn_idle=15 * S,
+    connection_idle_timeout=15 * S,
     max_attempts=5,
     cancel=True,
-    warm_keys=True,
+    key_affinity=True,
 )
 
 
@@ -172,7 +172,7 @@
             self._next_arrival(number)
 
     def _balancer(self, number: int, sidecars: int) -> Balancer:
-        settings = replace(self.settings, fleet_size=sidecars, slot=number)
+        settings = replace(self.settings, fleet_size=sidecars, instance_index=number)
         return Balancer(settings, self.rng.getrandbits(32))
 
     # Time
@@ -270,8 +270,8 @@
         request.attempts[job.attempt] = job
         host = self.hosts[action.endpoint]
         self.sent[host.id].append(self.now)
-        if action.limit:
-            self.at(self.now + action.limit, lambda: self._end_attempt(job, Outcome.TIMED_OUT))
+        if action.timeout:
+            self.at(self.now + action.timeout, lambda: self._end_attempt(job, Outcome.TIMED_OUT))
         if host.down:
             self.at(self.now + MS, lambda: self._end_attempt(job, Outcome.CONNECT_FAILED))
         elif len(host.waiting) >= host.max_queue:
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -222,7 +222,7 @@
         asyncio.get_running_loop().set_exception_handler(
             lambda _, settings_document: made.errors.append(settings_document)
         )
-        sidecar.engine.says = made.says  # type: ignore[method-assign]
+        sidecar.engine.try_log = made.says  # type: ignore[method-assign]
         sidecar.discovery.move(("127.0.0.1", discovery.port))
         await wait_until(lambda: discovery.bad_answers >= 1)
         yield made
@@ -284,7 +284,7 @@
             discovery = made.discovery
             discovery.bad = answer(list_of([discovery.members[1]], 3))
             before = discovery.bad_answers
-            await wait_until(lambda: made.sidecar.discovery.fresh.behind == 2)
+            await wait_until(lambda: made.sidecar.discovery.fresh.stale_answers == 2)
             assert made.names() == {"s0", "s1"} and await made.served("c1")
             assert made.has_said("revision 3 is behind 11, passed over"), made.lines
             began = time.monotonic()
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -138,7 +138,7 @@
     world.say(Z, n1=fact(A, born=1, started=100))
     assert world.say(Z, n1=fact(A, born=1, started=100)) == []
     (resized,) = world.say(Z, n1=fact(A, born=1, started=101, units=2.0))  # a clock that was read anew
-    assert (resized.entry.started, resized.entry.units) == (100, 2.0)
+    assert (resized.entry.started, resized.entry.relative_capacity) == (100, 2.0)
 
 
 def test_a_node_that_moves_to_another_address_leaves_nothing_behind() -> None:
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -30,7 +30,7 @@
             await made.sees(3, 4)
             made.ensemble.set(f"{ROOT}/n1", payload(1, size=3.0))
             await made.sees(1, 3, 4)
-            assert made.entry(1).units == 3.0
+            assert made.entry(1).relative_capacity == 3.0
 
     run(case())
 
--- a/tests/ops/test_by_hand.py
+++ b/tests/ops/test_by_hand.py
@@ -30,8 +30,10 @@
 
 
 def make_balancer(count: int, started: int = 0) -> Balancer:
-    request_class = RequestClass(aim=S, deadline=3 * S, effect=Idempotency.RETRYABLE)
-    settings = Settings(grades=(request_class,), max_attempts=3, ramp_time=SLOW_START, cold_share=0.2)
+    request_class = RequestClass(target=S, deadline=3 * S, effect=Idempotency.RETRYABLE)
+    settings = Settings(
+        request_classes=(request_class,), max_attempts=3, ramp_time=SLOW_START, cold_share=0.2
+    )
     balancer = Balancer(settings, seed=5)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(n, started=started) for n in range(count))))
     return balancer
@@ -78,9 +80,11 @@
 
 def test_the_last_of_a_rack_out_leaves_a_lost_keyed_request_no_place() -> None:
     request_class = RequestClass(
-        aim=S, deadline=3 * S, effect=Idempotency.DEDUP, scope=DedupScope.CELL, window=6 * S
+        target=S, deadline=3 * S, effect=Idempotency.DEDUP, scope=DedupScope.CELL, dedup_window=6 * S
+    )
+    balancer = Balancer(
+        Settings(request_classes=(request_class,), max_attempts=5, ramp_time=SLOW_START), seed=5
     )
-    balancer = Balancer(Settings(grades=(request_class,), max_attempts=5, ramp_time=SLOW_START), seed=5)
     balancer.handle(
         0, Membership(ListKind.FULL, (Endpoint(0, cell=0), Endpoint(1, cell=0), Endpoint(2, cell=1)))
     )
--- a/tests/ops/test_cordons.py
+++ b/tests/ops/test_cordons.py
@@ -105,8 +105,8 @@
 def test_a_process_is_seen_while_it_lives_and_not_after(tmp_path: Path) -> None:
     script = (
         "import sys\n"
-        "from garnethaven.ops.shared import Shared\n"
-        f"shared = Shared({str(tmp_path)!r}, 'n0', print)\nshared.register()\n"
+        "from garnethaven.ops.shared import SharedCordons\n"
+        f"shared = SharedCordons({str(tmp_path)!r}, 'n0', print)\nshared.register()\n"
         "print('in', flush=True)\nsys.stdin.read()"
     )
     root = Path(__file__).parents[2]
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -23,7 +23,7 @@
         sidecar.engine,
         sidecar.transport,
         shared,
-        sidecar.config.names.grades,
+        sidecar.config.names.request_classes,
         lambda: not sidecar.listener.draining,
         lambda other_processes: None,
     )
@@ -116,7 +116,7 @@
             assert (await call(port, detach("s0")))[0] == 200
             members = [first.member("s0"), second.member("s1")]
             for listed in (members, members[1:], members):  # removed from discovery's list and added again
-                sidecar.tell(listed)
+                sidecar.set_members(listed)
                 for number in range(6):
                     assert (await sidecar.ask(request(X_Call_Id=f"{len(listed)}-{number}")))[0] == 200
             assert first.requests == [] and len(second.requests) == 18
@@ -198,11 +198,11 @@
             (first, second, third),
         ):
             ops, port = await open_ops(sidecar, tmp_path)
-            sidecar.tell([first.member("s0"), second.member("s1")])
+            sidecar.set_members([first.member("s0"), second.member("s1")])
             assert (await call(port, detach("s0")))[0] == 200
-            sidecar.tell([second.member("s1")])
+            sidecar.set_members([second.member("s1")])
             assert (await call(port, detach("s0")))[0] == 200  # not listed, but already cordoned
-            sidecar.tell([third.member("s0"), second.member("s1")])
+            sidecar.set_members([third.member("s0"), second.member("s1")])
             for number in range(6):
                 assert (await sidecar.ask(request(X_Call_Id=f"c{number}")))[0] == 200
             assert first.requests == third.requests == []
--- a/tests/recovery/test_coming_back.py
+++ b/tests/recovery/test_coming_back.py
@@ -27,7 +27,7 @@
 
 
 def since_back(world: OverloadSimulation, since: float, until: float) -> float:
-    last_return = (world.last_restart_at - world.began) / S
+    last_return = (world.last_restart_at - world.started_at) / S
     return world.in_time(last_return + since, last_return + until)
 
 
--- a/tests/recovery/test_standing_still.py
+++ b/tests/recovery/test_standing_still.py
@@ -15,10 +15,10 @@
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER)) as (sidecar, _):
             window = sidecar.engine.balancer.overload.window
-            window.most = 0.0  # the window has ended
+            window.limit = 0.0  # the window has ended
             await asyncio.sleep(0.1)
             time.sleep(stood_s)  # blocks the event loop
             await asyncio.sleep(0.1)
-            assert bool(window.most) is anew
+            assert bool(window.limit) is anew
 
     run(case())
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -87,7 +87,7 @@
 
 
 def test_a_try_that_a_server_had_no_place_for_cuts_it_too() -> None:
-    settings = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), max_attempts=2)
+    settings = Settings(request_classes=(RequestClass(target=S, deadline=3 * S),), max_attempts=2)
     balancer = Balancer(settings, 1)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(number) for number in range(4))))
     before = balancer.overload.window.limit
@@ -101,7 +101,7 @@
 
 
 def test_a_process_that_stood_still_begins_anew() -> None:
-    settings = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), fleet_size=24)
+    settings = Settings(request_classes=(RequestClass(target=S, deadline=3 * S),), fleet_size=24)
     balancer = Balancer(settings, 1)
     listed = tuple(Endpoint(number) for number in range(12))
     balancer.handle(0, Membership(ListKind.FULL, listed))
--- a/tests/state/test_ageing.py
+++ b/tests/state/test_ageing.py
@@ -31,7 +31,9 @@
 S = 1_000_000_000
 HOUR = 3600 * S
 HALF_LIFE = 6 * S
-SETTINGS = Settings(grades=(RequestClass(aim=S, deadline=3 * S),), ramp_time=HALF_LIFE, max_attempts=2)
+SETTINGS = Settings(
+    request_classes=(RequestClass(target=S, deadline=3 * S),), ramp_time=HALF_LIFE, max_attempts=2
+)
 LISTED = {"a": (97, 0), "b": (98, 5000)}
 
 
@@ -60,7 +62,9 @@
     stored = StoredServer("a", 0, 4.0, 0.7, 16.0)
     (learned,) = restore(make_statistics(stored), 2 * HALF_LIFE, HALF_LIFE, LISTED).servers
     assert learned.errors == pytest.approx(1.0)
-    assert learned.pace == 0.7 and learned.paces == pytest.approx(16.0 * 0.5 ** (12 / SERVER_HALF_LIFE_S))
+    assert learned.log_latency_ratio == 0.7 and learned.latency_samples == pytest.approx(
+        16.0 * 0.5 ** (12 / SERVER_HALF_LIFE_S)
+    )
     assert not restore(make_statistics(stored), HOUR, HALF_LIFE, LISTED).servers  # too old to count
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -32,7 +32,7 @@
 }
 LAUNCH = f"""frame nowNs=1000
 instance sidecarId=3
-launch entropy=42 facts={json.dumps(FACTS)}
+launch entropy=42 facts={json.dumps(SETTINGS_OBJECT)}
 roster rosterId=0 entries=2
 entry endpoint=51 campus=0 type=0 bay=0 health=up units=1 shade=blue
 entry endpoint=74 campus=0 type=0 bay=0 health=up units=1.5 lastStartNs=0
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -53,7 +53,7 @@
 
 
 def test_turns_follow_units() -> None:
-    driver = Driver((Endpoint(1, units=1.0), Endpoint(2, units=3.0)))
+    driver = Driver((Endpoint(1, relative_capacity=1.0), Endpoint(2, relative_capacity=3.0)))
     counts = Counter(driver.serve() for _ in range(40))
     assert counts[2] == pytest.approx(30, abs=1)
 
@@ -126,7 +126,7 @@
 
     Warm servers are taken to run at full capacity; a cold server may get 3 times its present capacity.
     """
-    fleet_settings = replace(SETTINGS, fleet_size=30, warm_keys=keyed)
+    fleet_settings = replace(SETTINGS, fleet_size=30, key_affinity=keyed)
     drivers = [
         Driver(fleet(warm_servers), fleet_settings, seed + number)
         for number in range(fleet_settings.fleet_size)
@@ -231,18 +231,18 @@
 
 def test_an_early_repeat_tells_how_long_the_client_has_waited() -> None:
     request_class = replace(RETRYABLE, late_value=0.0)
-    driver = Driver(fleet(3), replace(SETTINGS, grades=(request_class,)))
+    driver = Driver(fleet(3), replace(SETTINGS, request_classes=(request_class,)))
     driver.ask()
-    actions = driver.ask(budget=request_class.deadline - request_class.aim, repeat=True)
+    actions = driver.ask(budget=request_class.deadline - request_class.target, repeat=True)
     assert isinstance(actions[-1], Refuse)  # its target has passed: an answer would have no value
     # Impatient clients send first tries with a smaller time budget. Taken for late retries, they raised the
     # refused share further and further.
-    assert sends(driver.ask(budget=request_class.deadline - request_class.aim))
+    assert sends(driver.ask(budget=request_class.deadline - request_class.target))
 
 
 def test_work_that_can_earn_nothing_more_is_stopped() -> None:
-    driver = Driver(fleet(3), replace(SETTINGS, grades=(replace(RETRYABLE, late_value=0.0),)))
-    assert sends(driver.ask())[0].limit == RETRYABLE.target
+    driver = Driver(fleet(3), replace(SETTINGS, request_classes=(replace(RETRYABLE, late_value=0.0),)))
+    assert sends(driver.ask())[0].timeout == RETRYABLE.target
 
 
 def test_drains_are_kept_from_the_moment_they_are_known() -> None:
@@ -291,8 +291,8 @@
 
 
 def test_a_celled_request_is_not_resent_past_its_window() -> None:
-    request_class = replace(DEDUP_IN_CELL, window=10 * MS)
-    driver = Driver(fleet(8), replace(SETTINGS, grades=(request_class,)))
+    request_class = replace(DEDUP_IN_CELL, dedup_window=10 * MS)
+    driver = Driver(fleet(8), replace(SETTINGS, request_classes=(request_class,)))
     send = sends(driver.ask())[0]
     assert [type(action) for action in driver.end(send, Outcome.ERROR)] == [Fail]
 
@@ -307,7 +307,7 @@
 
 
 def test_keys_come_back_to_their_server_within_its_share() -> None:
-    key_settings = replace(SETTINGS, warm_keys=True)
+    key_settings = replace(SETTINGS, key_affinity=True)
     first_targets = Counter(Driver(fleet(12), key_settings, seed).target(key="acct/7") for seed in range(60))
     assert first_targets.most_common(1)[0][1] >= 20  # sidecars agree without communication
     driver = Driver(fleet(12), key_settings)
@@ -391,7 +391,7 @@
 
 
 def test_the_least_worth_is_refused_first() -> None:
-    driver = Driver(fleet(4), replace(SETTINGS, grades=(RETRYABLE, FRAGILE)))
+    driver = Driver(fleet(4), replace(SETTINGS, request_classes=(RETRYABLE, FRAGILE)))
     for _ in range(20):
         for grade in (0, 1):
             for send in sends(driver.ask(grade=grade)):
@@ -408,7 +408,7 @@
 
 def test_a_tenant_past_its_share_is_refused_first() -> None:
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
-    driver = Driver(fleet(4), replace(SETTINGS, tenants=tenants, over_share_worth=0.1))
+    driver = Driver(fleet(4), replace(SETTINGS, tenants=tenants, over_share_value_factor=0.1))
     refused: Counter[int] = Counter()
     over_share_counts: Counter[int] = Counter()
     for number in range(200):
@@ -532,18 +532,19 @@
 
 
 def test_discovery_is_asked_in_time_and_not_by_all_at_once() -> None:
-    fleet_settings = replace(SETTINGS, fleet_size=100, ask_discovery=True, ask_within=10 * S)
-    assert max(first_call_delays(fleet_settings)) <= fleet_settings.ask_within
+    fleet_settings = replace(SETTINGS, fleet_size=100, calls_discovery=True, discovery_call_span=10 * S)
+    assert max(first_call_delays(fleet_settings)) <= fleet_settings.discovery_call_span
     assert max(first_call_delays(fleet_settings)) - min(first_call_delays(fleet_settings)) > S
     assert max(first_call_delays(replace(fleet_settings, fleet_size=2))) < S // 2  # its list may be stale
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_whichever_of_a_fleet_begin_together_spread_their_first_calls_by_their_slots(seed: int) -> None:
-    fleet_settings = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S)
+    fleet_settings = replace(SETTINGS, fleet_size=24, calls_discovery=True, discovery_call_span=10 * S)
     instance_indexes = random.Random(seed).sample(range(24), 20)
     call_times = sorted(
-        max(first_call_delays(replace(fleet_settings, slot=slot), seeds=1)) for slot in instance_indexes
+        max(first_call_delays(replace(fleet_settings, instance_index=slot), seeds=1))
+        for slot in instance_indexes
     )
     backlog, last_call, max_backlog = 0, 0, 0
     for call in call_times:  # a discovery service that answers four calls a second; `backlog` is in ns
@@ -553,7 +554,9 @@
 
 
 def test_where_no_slot_is_told_first_calls_are_spread_by_luck() -> None:
-    fleet_settings = replace(SETTINGS, fleet_size=24, ask_discovery=True, ask_within=10 * S, slot=0)
+    fleet_settings = replace(
+        SETTINGS, fleet_size=24, calls_discovery=True, discovery_call_span=10 * S, instance_index=0
+    )
     assert len(set(first_call_delays(fleet_settings))) == 50
 
 
@@ -569,7 +572,7 @@
 
 
 def test_failed_discovery_calls_are_repeated_after_a_while() -> None:
-    driver = Driver(fleet(2), replace(SETTINGS, ask_discovery=True))
+    driver = Driver(fleet(2), replace(SETTINGS, calls_discovery=True))
     for _ in range(5):
         (timer,) = driver.feed(Membership(ListKind.FAILED))
         assert isinstance(timer, SetTimer) and timer.delay <= 4 * SETTINGS.discovery_call_span
@@ -585,7 +588,7 @@
 
 
 def test_the_strictest_class_is_fragile_for_unknown_grades() -> None:
-    driver = Driver(fleet(3), replace(SETTINGS, grades=(FRAGILE,)))
+    driver = Driver(fleet(3), replace(SETTINGS, request_classes=(FRAGILE,)))
     send = sends(driver.ask(grade=5))[0]
     assert [type(action) for action in driver.end(send, Outcome.RESET)] == [Fail]
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -289,7 +289,7 @@
         )
         (connection,) = sidecar.listener.connections
         assert connection.transport.get_write_buffer_size() <= 4 * RECEIVE_BUFFER_BYTES
-        assert sidecar.transport.pool.memory.held == STREAM_MEMORY_BYTES
+        assert sidecar.transport.pool.memory.used_bytes == STREAM_MEMORY_BYTES
         assert len((await read_answer(reader))[1]) == 16 * MB
 
     run(case())
@@ -329,7 +329,7 @@
         assert (await read_answer(reader))[0] == 408
         task.cancel()
         assert sidecar.engine.account.ended[CallResult.FAILED] == [1] and not sidecar.engine.calls
-        assert server.bodies == [] and sidecar.transport.pool.held() == 0
+        assert server.bodies == [] and sidecar.transport.pool.connection_count() == 0
 
     run(case())
 
@@ -362,7 +362,7 @@
         writer.write(request(X_Call_Id="c2"))
         await reader.readexactly(100_000)
         writer.transport.abort()
-        await wait_until(lambda: not sidecar.engine.calls and not sidecar.transport.pool.held())
+        await wait_until(lambda: not sidecar.engine.calls and not sidecar.transport.pool.connection_count())
         assert sidecar.engine.account.ended[CallResult.GONE] == [2]
 
     run(case())
@@ -384,18 +384,18 @@
     async def case() -> None:
         sidecar, (server,) = await start_sidecar(read_and_answer)
         memory = sidecar.transport.pool.memory
-        memory.grows(memory.most + 1)
+        memory.reserve(memory.max_bytes + 1)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY)) + BODY[: 2 * REPLAY_BUFFER_BYTES])
         assert (await read_answer(reader))[0] == 503 and server.heads == []
         assert (await sidecar.ask(request(X_Call_Id="short")))[0] == 200
-        memory.shrinks(memory.most + 1)
+        memory.release(memory.max_bytes + 1)
         reader, writer = await sidecar.connect()
         writer.write(upload(len(BODY), X_Call_Id="c2") + BODY[: 2 * REPLAY_BUFFER_BYTES])
         await wait_until(lambda: len(server.heads) == 2)
-        assert memory.held > 0
+        assert memory.used_bytes > 0
         writer.write(BODY[2 * REPLAY_BUFFER_BYTES :])
-        assert (await read_answer(reader))[0] == 200 and memory.held == 0
+        assert (await read_answer(reader))[0] == 200 and memory.used_bytes == 0
 
     run(case())
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -40,7 +40,9 @@
 
 
 def test_sizes_are_followed() -> None:
-    servers = tuple(Endpoint(number, units=4.0 if number % 10 == 0 else 1.0) for number in range(1, 201))
+    servers = tuple(
+        Endpoint(number, relative_capacity=4.0 if number % 10 == 0 else 1.0) for number in range(1, 201)
+    )
     driver = Driver(servers)
     counts: Counter[bool] = Counter()
     for _ in range(2600):
@@ -193,7 +195,10 @@
 
 
 def remove_local_zone(driver: Driver) -> None:
-    for first in (1, 40):  # in two events of fewer than MANY entries, which update the tree one by one
+    for first in (
+        1,
+        40,
+    ):  # in two events of fewer than LARGE_POOL_THRESHOLD entries, which update the tree one by one
         last = min(LOCAL_SERVERS, first + 38)
         removed = tuple(Endpoint(number, zone=0, state=State.REMOVED) for number in range(first, last + 1))
         driver.feed(Membership(ListKind.DELTA, removed), after=200 * MS)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -215,11 +215,11 @@
 def test_a_connection_settles_before_it_is_used_again() -> None:
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER)) as (sidecar, (peer,)):
-            sidecar.transport.pool.settle_s = WAIT_S
+            sidecar.transport.pool.min_rest_s = WAIT_S
             for n in range(3):
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
             assert peer.connections == 3
-            sidecar.transport.pool.settle_s = 0.0
+            sidecar.transport.pool.min_rest_s = 0.0
             assert await sidecar.ask(request(X_Call_Id="c3")) == (200, b"hello")
             assert peer.connections == 3
 
@@ -257,7 +257,7 @@
     async def case() -> None:
         early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
         async with running_sidecar(answers_with(early + ANSWER)) as (sidecar, (peer,)):
-            sidecar.transport.pool.settle_s = 0.0
+            sidecar.transport.pool.min_rest_s = 0.0
             for n in range(3):
                 assert await sidecar.ask(request(X_Call_Id=f"c{n}")) == (200, b"hello")
             assert peer.connections == 1
@@ -273,7 +273,7 @@
             writer.write(ANSWER)
 
         async with running_sidecar(once) as (sidecar, (peer,)):
-            sidecar.transport.pool.settle_s = 0.0
+            sidecar.transport.pool.min_rest_s = 0.0
             (server,) = sidecar.engine.balancer.servers.values()
             assert (await sidecar.ask(request()))[0] == 200
             unkeyed = request(Idempotency_Key="")
@@ -317,7 +317,7 @@
         async with running_sidecar(answers_with(ANSWER, may_answer)) as (sidecar, (peer,)):
             response = asyncio.create_task(sidecar.ask(request()))
             await wait_until(lambda: len(peer.requests) == 1)
-            sidecar.tell([])
+            sidecar.set_members([])
             may_answer.set()
             assert await response == (200, b"hello")
             await wait_until(lambda: peer.open == 0)
@@ -349,7 +349,7 @@
             for n in range(20):
                 await sidecar.ask(request(X_Call_Id=f"c{n}"))
             engine = sidecar.engine
-            assert not engine.calls and not engine.open_ids and not engine.balancer.held
+            assert not engine.calls and not engine.open_ids and not engine.balancer.pending_requests
             assert not any(getattr(argument, "attempts", None) for _, _, _, argument in engine.timers)
 
     run(case())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -72,11 +72,11 @@
     def __init__(self, seed: int, hedging: bool, calls_discovery: bool) -> None:
         self.settings = replace(
             SETTINGS,
-            grades=REQUEST_CLASSES,
-            second_copies=hedging,
-            ask_discovery=calls_discovery,
+            request_classes=REQUEST_CLASSES,
+            hedging=hedging,
+            calls_discovery=calls_discovery,
             probes=True,
-            warm_keys=True,
+            key_affinity=True,
         )
         self.balancer = Balancer(self.settings, seed)
         self.now = START
@@ -116,14 +116,14 @@
         unavailable_since = self.unavailable_since.get(action.endpoint)
         assert unavailable_since is None or self.now <= unavailable_since + self.settings.drain_grace
         running = [attempt for attempt in client.tries if attempt.outcome is None]
-        assert self.settings.second_copies or not running
+        assert self.settings.hedging or not running
         executed = [attempt for attempt in client.tries if attempt.outcome not in NEVER_RAN]
         if client.grade.effect is Idempotency.FRAGILE:
             assert not executed
         elif client.grade.effect is Idempotency.DEDUP and executed:
-            assert self.now <= executed[0].sent_at + client.grade.window
+            assert self.now <= executed[0].sent_at + client.grade.dedup_window
             assert self.group(client.grade, executed[0].endpoint) == self.group(client.grade, action.endpoint)
-        limit = action.limit or client.deadline - self.now
+        limit = action.timeout or client.deadline - self.now
         assert limit > 0
         ends_at = min(self.now + limit, client.deadline)
         client.tries.append(SentAttempt(action.endpoint, self.now, ends_at))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -84,7 +84,7 @@
     document = settings_object()
     document["grades"] = [dict(REQUEST_CLASS)]
     assert (
-        read_settings(document).request_classes[0].window == 0
+        read_settings(document).request_classes[0].dedup_window == 0
     )  # no retry of an attempt that may have been executed
 
 
