--- a/garnethaven/engine/engine.py
+++ b/garnethaven/engine/engine.py
@@ -436,7 +436,7 @@
         report: tuple[float, ...] = (),
         send_answer: Callable[[], None] | None = None,
     ) -> None:
-        """Report how an attempt ended to the module; `send_answer`, if set, first sends the answer to the client."""
+        """Report how an attempt ended; `send_answer`, if set, first sends the answer to the client."""
         call = attempt.call
         call.open_attempts -= 1
         if call.dedup_key and outcome in NEVER_RAN and self.keyed_sends is not None:
--- a/garnethaven/tables.py
+++ b/garnethaven/tables.py
@@ -1,7 +1,7 @@
 """Declaration of tables of the operator's file, with types, bounds, defaults and units.
 
-A table is a frozen msgspec struct whose fields are annotated with `field_meta` or `number_range`. Validation (`read`),
-the changes that a reload may apply (`merge_reloaded`) and the tables of the operators' pages
+A table is a frozen msgspec struct whose fields are annotated with `field_meta` or `number_range`. Validation
+(`read`), the changes that a reload may apply (`merge_reloaded`) and the tables of the operators' pages
 (`markdown_tables`) are all derived from the declaration. Only packages that the operator's file enables are
 imported, so msgspec is not imported without such a file.
 
