--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -29,7 +29,7 @@
             connection.stop_reading()
             await loop.sock_sendall(sock, request())
             assert await read_to_end(sock) == b""
-            await wait_until(lambda: connection.lingering_close.swallowed == len(request()))
+            await wait_until(lambda: connection.lingering_close.discarded_bytes == len(request()))
             assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset
             sock.close()
             await wait_until(lambda: not sidecar.listener.connections)
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -109,7 +109,7 @@
             fresh.revision = 50
             before = env.names()
             env.discovery.publish([env.servers[0].member("DRAINING")])
-            await wait_until(lambda: fresh.behind > 0)
+            await wait_until(lambda: fresh.stale_answers > 0)
             assert env.names() == before
             await wait_until(
                 lambda: fresh.revision == 0
--- a/tests/limits/test_unmarked_retries.py
+++ b/tests/limits/test_unmarked_retries.py
@@ -63,7 +63,7 @@
 
 def test_where_clients_mark_their_retries_an_unmarked_one_is_none() -> None:
     driver = sidecar()
-    driver.ask(LASTING_CLASS, budget=1_500 * MS, repeat=True)
+    driver.ask(LASTING_CLASS, budget=1_500 * MS, is_retry=True)
     refuse_one(driver)
     assert sends(driver.ask(PROMPT_CLASS, budget=1_400 * MS))
 
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -91,7 +91,7 @@
     listed = read([entry("s0", **changes), entry("s1")])
     states = {name_of(endpoint.id): endpoint.state for endpoint, _ in listed.entries}
     assert states == {"s0": State.DRAINING, "s1": State.UP}
-    assert all(0.0 < endpoint.units <= 1.0 for endpoint, _ in listed.entries)
+    assert all(0.0 < endpoint.relative_capacity <= 1.0 for endpoint, _ in listed.entries)
     assert "s0" in listed.problems() and "1" in listed.problems()
 
 
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -31,7 +31,7 @@
     await wait_until(lambda: len(small.names()) == len(small.servers))
     number = int.from_bytes(member["id"].encode(), "big")
     small.sidecar.engine.balancer.now = time.monotonic_ns()
-    return small.sidecar.engine.balancer.standing(number)[0]
+    return small.sidecar.engine.balancer.warmth_and_penalty(number)[0]
 
 
 @pytest.mark.parametrize("skew_s", [-3600.0, -10.0, 0.0, 10.0, 3600.0])
@@ -52,6 +52,6 @@
             await join(small, skew_s)
             server = next(one for one in small.sidecar.engine.balancer.pool if one.started)
             small.sidecar.engine.balancer.now = time.monotonic_ns() + int(RAMP_S * 1e9)
-            assert small.sidecar.engine.balancer.standing(server.id)[0] == 1.0
+            assert small.sidecar.engine.balancer.warmth_and_penalty(server.id)[0] == 1.0
 
     run(case())
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -233,7 +233,7 @@
     one.eager = 5
     outs = one.tick(table.now)
     questions = [UNPACK(out.body) for out in outs]
-    eager = [(out, ask) for out, ask in zip(outs, questions, strict=True) if ask.idle_since == NO_ROWS]
+    eager = [(out, ask) for out, ask in zip(outs, questions, strict=True) if ask.since == NO_ROWS]
     assert len(eager) == 1 and len(outs) == 3  # all the others, of whom two are asked as ever
     (out, ask) = eager[0]
     (answer,) = table.peers[out.at].came(table.now, ask, "a")
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -233,7 +233,7 @@
     request_class = replace(RETRYABLE, late_value=0.0)
     driver = Driver(fleet(3), replace(SETTINGS, request_classes=(request_class,)))
     driver.ask()
-    actions = driver.ask(budget=request_class.deadline - request_class.target, repeat=True)
+    actions = driver.ask(budget=request_class.deadline - request_class.target, is_retry=True)
     assert isinstance(actions[-1], Refuse)  # its target has passed: an answer would have no value
     # Impatient clients send first tries with a smaller time budget. Taken for late retries, they raised the
     # refused share further and further.
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -163,7 +163,7 @@
 
 
 def test_a_key_goes_to_few_of_many_servers() -> None:
-    driver = driver_of(256, warm_keys=True)
+    driver = driver_of(256, key_affinity=True)
     keyed: Counter[int] = Counter()
     for number in range(2000):
         key = "the-key" if number % 10 == 0 else f"k{number}"
