--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -1,8 +1,8 @@
-"""The endpoint list: read from discovery, kept up to date by a watch.
+"""The client of the discovery service: reads the endpoint list and keeps it up to date by a watch.
 
-`membership/call_schedule.py` decides when to call; `limits/lists.py` how long a watch waits, when what
-servers do contradicts the list, and which answer to believe; `membership/list_reader.py` reads a list. Here
-are the calls themselves.
+`membership/call_schedule.py` decides when to call; `limits/lists.py` decides how long a watch waits, when the
+behaviour of servers contradicts the list, and which answers to accept; `membership/list_reader.py` parses
+lists. This module makes the calls.
 """
 
 from __future__ import annotations
@@ -38,15 +38,16 @@
 from garnethaven.recovery.start_times import StartTimes
 from garnethaven.settings import numbered
 
-DIAL_S = 1.0
-MAX_CONNECTIONS = MAX_OPEN_CALLS + 1  # and one that is being closed
-RETRY_S = 0.5  # until a budget of the fleet is asked again whether a call may be spent
-# After a start the known list may be old, and what changed counts as known whether or not this process ran.
-# Many instances may start together: their first calls are drawn from this span in a fleet of `FULL_FLEET`.
+DIAL_TIMEOUT_S = 1.0
+MAX_CONNECTIONS = MAX_OPEN_CALLS + 1  # one more for a connection that is being closed
+BUDGET_RETRY_S = 0.5  # interval between checks whether the fleet's budget allows a call to discovery
+# After a start the persisted list may be old, and changes count as known whether or not this process was
+# running. Many instances may start together: in a fleet of `FULL_FLEET` or more, each draws the delay of its
+# first call from this span; in a smaller fleet the span is shorter in proportion.
 FIRST_CALL_SPAN_S = 0.5
-REPEATED_LINE_S = 10.0
-MAX_LINE_CHARACTERS = 500  # of what an answer may put into a line of the log
-HEARS_S = 0.02  # an answer that came while this process stood still is read before its call is given up
+REPEATED_LINE_INTERVAL_S = 10.0
+MAX_LOGGED_CHARACTERS = 500  # limit on text from an answer in one log line
+LATE_ANSWER_S = 0.02  # timeouts are delayed by this, to read answers that arrived during a suspension first
 EVIDENCE = {
     Outcome.CONNECT_FAILED: Evidence.REFUSED_DIAL,
     Outcome.RESET: Evidence.RESET,
@@ -55,9 +56,9 @@
 
 
 class ListCall(Exchange):
-    """One call to discovery; the schedule knows it by its number."""
+    """One call to discovery, identified in the schedule by its number."""
 
-    failure = "no answer in time"  # why it ended without an answer, for the log
+    failure = "no answer in time"  # reason logged if the call ends without an answer
 
     def __init__(self, discovery: Discovery, payload: bytes, action: BeginCall) -> None:
         super().__init__((payload,))
@@ -68,20 +69,20 @@
         self.kind = action.kind
 
     def answered(self, answer: Answer) -> None:
-        self.discovery.told(self, answer)
+        self.discovery.handle_answer(self, answer)
 
     def broken(self, written: bool) -> None:
         if self.oversized:
             self.failure = f"the answer is longer than the {self.body_limit} bytes that a list may have"
         elif self.refused:
-            self.failure = "no connection comes up"
+            self.failure = "cannot connect"
         else:
             self.failure = "the connection ended before the whole answer"
-        self.discovery.ended(self)
+        self.discovery.handle_unanswered(self)
 
 
 class Discovery:
-    """One instance's client of discovery, or of an agent to which lists are pushed."""
+    """The client of a discovery service, or of a local agent to which the service pushes lists."""
 
     def __init__(
         self,
@@ -93,12 +94,13 @@
     ) -> None:
         self.config = config
         self.engine = engine
-        self.learn = learn or transport.learn  # to the transport, or to a model of several sources
+        self.learn = learn or transport.learn  # the transport, or the merger of several sources
         self.transport = transport
         self.loop = loop
         self.pushed = not config.settings.ask_discovery
-        # One difference for the whole life: an endpoint whose start seemed to move would seem restarted.
-        # Where it is wrong, or the wall clock is stepped later, `start_times` bounds what follows.
+        # Wall-clock minus monotonic time, measured once: if it changed, start times would move and endpoints
+        # would look restarted. If it is wrong, or the wall clock is stepped later, `start_times` limits the
+        # error.
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         self.reader = ListReader(
             numbered(config.names.zones), numbered(config.names.kinds), self.clock_offset
@@ -107,10 +109,10 @@
             loop, limit=lambda: MAX_CONNECTIONS, idle_s=0.0, memory=AnswerMemory(config.memory_mb)
         )
         self.start_times = StartTimes()
-        self.answered_at: int | None = None  # local nanoseconds: when a sound answer came last
+        self.last_answer_at: int | None = None  # monotonic nanoseconds of the last valid answer
         self.max_list_bytes = max_list_bytes(config.memory_mb)
         self.pool.targets = lambda: (self.target,)
-        self.pool.settle_s = 0.0  # the next call must follow at once, and one answer is like the other
+        self.pool.settle_s = 0.0  # the next call must follow at once; all answers are alike
         self.address = config.discovery
         self.target = Target(self.pool, self.address)
         fleet_size, ask_within_s = config.settings.fleet_size, config.settings.ask_within / S
@@ -121,41 +123,41 @@
         else:
             timing = CallTiming.asked(overdue_s, ask_within_s, fleet_size)
         self.schedule = CallSchedule(timing, self.fresh.wait_s, Random(config.seed))
-        self.calls: dict[int, ListCall] = {}  # by number: those that have neither been answered nor ended
-        self.alarm: asyncio.TimerHandle | None = None  # when the schedule wants to advance
-        self.told_empty = False  # the list has no entry, and changes are all that the watch would tell
-        self.again: asyncio.TimerHandle | None = None  # when it is asked for again for that
-        self.owes_news = False  # the module asked and has not been answered
-        self.last_line = ""
-        self.last_line_at = 0.0
+        self.calls: dict[int, ListCall] = {}  # by number; calls neither answered nor ended
+        self.timer: asyncio.TimerHandle | None = None  # fires when the schedule is due
+        self.list_is_empty = False  # an empty list must be fetched again: a watch reports only changes
+        self.empty_list_timer: asyncio.TimerHandle | None = None  # until the next fetch of an empty list
+        self.engine_awaits_list = False  # the engine asked for a list and has not been given one
+        self.last_logged = ""
+        self.last_logged_at = 0.0
         self.calls_made = 0
-        self.extra_calls = 0  # of these, calls that may not wait for news
+        self.extra_calls = 0  # the calls among `calls_made` that are fetches, not watches
         engine.watch = self.watch
         engine.contradicts = self.contradicts
 
     def start(self, known: dict[str, Any]) -> None:
-        """Give the module the list of an earlier life, and have it confirmed."""
+        """Hand over the list persisted by a previous process (`known`), and schedule its confirmation."""
         try:
             listed = self.reader.read_list(known)
             self.fresh.revision, entries = listed.revision, listed.entries
         except ListError as problem:
-            self.engine.log(f"the known list cannot be read: {problem}")
+            self.engine.log(f"the persisted list cannot be read, starting with an empty one: {problem}")
             entries = []
         self._apply(ListKind.PERSISTED, entries, absent_at=None)
-        self._carry_out(self.schedule.start(self.loop.time(), self._first_call_in_s()))
+        self._execute(self.schedule.start(self.loop.time(), self._first_call_delay_s()))
 
-    def _first_call_in_s(self) -> float:
-        """Seconds from the start to the first call; an agent serves this instance alone."""
+    def _first_call_delay_s(self) -> float:
+        """Seconds from the start to the first call; 0 for an agent, which serves only this instance."""
         if self.pushed:
             return 0.0
         fleet_size = self.config.settings.fleet_size
         return self.schedule.rng.random() * FIRST_CALL_SPAN_S * min(1.0, (fleet_size - 1) / FULL_FLEET)
 
     def move(self, address: Address) -> None:
-        """Discovery has another address: leave the old one and have the full list from the new.
+        """Switch to another address of discovery and fetch the full list from it.
 
-        Versions of the one may mean nothing to the other. It is asked at once, also while the module waits
-        after a failure: what was asked of the old address says nothing of this one.
+        Revisions of the old address may mean nothing at the new one. The fetch starts at once, even during a
+        pause after a failure, because failures of the old address say nothing about the new one.
         """
         if address == self.address:
             return
@@ -163,74 +165,74 @@
         self.target.move(None)
         self.target = Target(self.pool, address)
         self.fresh.moved()
-        self._carry_out(self.schedule.move(self.loop.time()))
+        self._execute(self.schedule.move(self.loop.time()))
 
     def watch(self) -> None:
-        """The module wants a fresh list."""
-        self.owes_news = True  # the schedule sees to it that there are some
+        """Called by the engine to request a fresh list."""
+        self.engine_awaits_list = True  # the schedule already keeps a call open
 
-    # Calls out of turn
+    # Calls outside the schedule
 
     def contradicts(self, endpoint: int, outcome: Outcome) -> None:
-        """A listed server did what its place on the list does not explain: ask anew, if it is worth that."""
+        """Record an outcome at a listed server that contradicts the list; fetch the list if justified."""
         kind = EVIDENCE.get(outcome)
         delay = self.fresh.contradicted(self.loop.time(), endpoint, kind) if kind is not None else None
         if delay is not None:
-            self.loop.call_later(delay, self._ask_if_wanted)
+            self.loop.call_later(delay, self._fetch_if_needed)
 
-    def _ask_if_wanted(self) -> None:
+    def _fetch_if_needed(self) -> None:
         if not self.fresh.still_wanted():
             return
         spending = self.engine.spending
         if spending is None or spending.may_spend(Spend.DISCOVERY):
             self.ask_for_full_list()
         else:
-            self.loop.call_later(RETRY_S, self._ask_if_wanted)
+            self.loop.call_later(BUDGET_RETRY_S, self._fetch_if_needed)
 
     def ask_for_full_list(self) -> None:
-        """Ask for the full list beside the watch, unless such a call is out."""
-        self._carry_out(self.schedule.ask(self.loop.time(), full=True))
+        """Fetch the full list in parallel with the watch, unless a fetch is already open."""
+        self._execute(self.schedule.ask(self.loop.time(), full=True))
 
-    def _ask_again(self) -> None:
-        """Have the list again where it is empty, also after a call for it that failed."""
-        if self.told_empty and self.again is None:
-            self.again = self.loop.call_later(self.fresh.ask_again_s(), self._ask_if_empty)
+    def _retry_empty_list(self) -> None:
+        """Schedule another fetch while the list is empty, also after a fetch that failed."""
+        if self.list_is_empty and self.empty_list_timer is None:
+            self.empty_list_timer = self.loop.call_later(self.fresh.ask_again_s(), self._fetch_if_empty)
 
-    def _ask_if_empty(self) -> None:
-        self.again = None
-        if self.told_empty:
+    def _fetch_if_empty(self) -> None:
+        self.empty_list_timer = None
+        if self.list_is_empty:
             self.ask_for_full_list()
 
-    # Calls, as the schedule wants them
+    # Actions of the schedule
 
-    def _carry_out(self, actions: list[CallAction]) -> None:
+    def _execute(self, actions: list[CallAction]) -> None:
         for action in actions:
             if isinstance(action, BeginCall):
                 self._begin(action)
             else:
                 self._abandon(action)
-        self._set_alarm()
+        self._set_timer()
 
     def _abandon(self, action: AbandonCall) -> None:
         call = self.calls.pop(action.number)
         if action.timed_out:
             self._log(call.failure)
-        call.give_up()  # tells nobody: the schedule knows
+        call.give_up()  # not reported to the schedule, which requested it
 
-    def _set_alarm(self) -> None:
-        """Have the schedule advance when it is due."""
-        if self.alarm is not None:
-            self.alarm.cancel()
+    def _set_timer(self) -> None:
+        """Set the timer for when the schedule is due."""
+        if self.timer is not None:
+            self.timer.cancel()
         due = self.schedule.next_at
-        self.alarm = self.loop.call_at(due, self._due) if due is not None else None
+        self.timer = self.loop.call_at(due, self._timer_due) if due is not None else None
 
-    def _due(self) -> None:
-        # Answers that came while this process stood still are read before their calls are given up.
-        self.alarm = self.loop.call_later(HEARS_S, self._advance)
+    def _timer_due(self) -> None:
+        # Answers that arrived while this process was suspended are read before their calls time out.
+        self.timer = self.loop.call_later(LATE_ANSWER_S, self._advance)
 
     def _advance(self) -> None:
         self.schedule.watch_wait_s = self.fresh.wait_s
-        self._carry_out(self.schedule.advance(self.loop.time()))
+        self._execute(self.schedule.advance(self.loop.time()))
 
     def _begin(self, action: BeginCall) -> None:
         query = b"?after=%d&wait_ms=%d" % (self.fresh.revision, int(action.wait_s * 1000))
@@ -241,23 +243,23 @@
         self.calls[action.number] = call
         self.calls_made += 1
         self.extra_calls += action.kind is CallKind.FETCH
-        self.loop.call_soon(self._carry, call, self.target)  # its failure must find it in its place
+        self.loop.call_soon(self._send, call, self.target)  # a synchronous failure needs it in `calls`
 
-    def _carry(self, call: ListCall, target: Target) -> None:
+    def _send(self, call: ListCall, target: Target) -> None:
         if not call.over:
-            target.start(call, DIAL_S)
+            target.start(call, DIAL_TIMEOUT_S)
 
-    def ended(self, call: ListCall) -> None:
-        """A call has ended without an answer."""
+    def handle_unanswered(self, call: ListCall) -> None:
+        """Handle a call that ended without an answer."""
         if self.calls.pop(call.number, None) is not None:
             self._log(call.failure)
             self._failed(call, Failure.BROKEN)
 
     def _failed(self, call: ListCall, failure: Failure) -> None:
-        self._carry_out(self.schedule.failed(self.loop.time(), call.number, failure))
-        self._ask_again()
+        self._execute(self.schedule.failed(self.loop.time(), call.number, failure))
+        self._retry_empty_list()
 
-    def told(self, call: ListCall, answer: Answer) -> None:
+    def handle_answer(self, call: ListCall, answer: Answer) -> None:
         if self.calls.pop(call.number, None) is None:
             return
         now = self.loop.time()
@@ -267,44 +269,49 @@
             listed = self.reader.read_list(b"".join(answer.body))
         except ListError as problem:
             self._log(str(problem))
-            self._failed(call, Failure.TURNED_AWAY)
+            self._failed(call, Failure.REJECTED)
             return
         revision, complete, entries = listed.revision, listed.complete, listed.entries
         verdict = self.fresh.judge(now, revision, complete, len(entries))
-        self.told_empty = not entries and (verdict is Verdict.TAKE_AND_ASK or self.told_empty)
+        self.list_is_empty = not entries and (verdict is Verdict.TAKE_AND_ASK or self.list_is_empty)
         if verdict is Verdict.PASS_OVER:
-            self._log(f"revision {revision} is behind {self.fresh.revision}, passed over")
+            self._log(
+                f"revision {revision} is older than {self.fresh.revision}: ignored, the full list is fetched"
+            )
             self._failed(call, Failure.BEHIND)
             return
         if listed.flaws:
             self._log(listed.problems())
-        absent_at = self._absent_at(call)
-        # The next call goes out first: taking in a long list must not end the watch.
-        self._carry_out(self.schedule.answered(now, call.number, changed=bool(entries)))
+        absent_at = self._known_absent_at(call)
+        # The next call is sent first, so that applying a long list does not interrupt the watch.
+        self._execute(self.schedule.answered(now, call.number, changed=bool(entries)))
         if listed.hides_changes() and not call.full:
-            self._carry_out(self.schedule.ask(now, full=True))
+            self._execute(self.schedule.ask(now, full=True))
         if verdict is Verdict.TAKE_AND_ASK:
-            self._log("an empty list; asked for again")
-        if entries or complete or self.owes_news:
-            self.owes_news = False
+            self._log("empty list; fetching it again")
+        if entries or complete or self.engine_awaits_list:
+            self.engine_awaits_list = False
             self._apply(ListKind.FULL if complete else ListKind.DELTA, entries, absent_at)
-        self.answered_at = time.monotonic_ns()
-        self._ask_again()
+        self.last_answer_at = time.monotonic_ns()
+        self._retry_empty_list()
 
-    # Lists, as they count here
+    # Applying lists
 
-    def _absent_at(self, call: ListCall) -> int | None:
-        """Until when what an answer names for the first time was surely not listed (start_times.py)."""
+    def _known_absent_at(self, call: ListCall) -> int | None:
+        """Latest time at which an endpoint first named in this answer was certainly not listed.
+
+        Monotonic nanoseconds, or None before the first answer; see start_times.py.
+        """
         if call.kind is CallKind.WATCH and self.schedule.is_confirmed:
             return time.monotonic_ns()
-        return self.answered_at
+        return self.last_answer_at
 
     def _apply(self, kind: ListKind, entries: Entries, absent_at: int | None) -> None:
-        """Pass a list on, with the starts of its servers as far as they may be believed."""
+        """Hand a list to the engine, with start times corrected by `start_times`."""
         now = time.monotonic_ns()
         if kind is not ListKind.DELTA:
             self.start_times.leave_all_but((endpoint.id for endpoint, _ in entries), now)
-        judged: Entries = []
+        corrected: Entries = []
         for endpoint, address in entries:
             if endpoint.state is State.REMOVED:
                 self.start_times.leave(endpoint.id, now)
@@ -312,18 +319,18 @@
                 started = self.start_times.judge(endpoint.id, endpoint.started, now, absent_at)
                 if started != endpoint.started:
                     endpoint = replace(endpoint, started=started)
-            judged.append((endpoint, address))
+            corrected.append((endpoint, address))
         self.start_times.forget_old(now)
-        self.learn(kind, judged)
+        self.learn(kind, corrected)
 
     def _log(self, text: str) -> None:
-        """One line that names discovery's address; not again the same within `REPEATED_LINE_S`.
+        """Log a line with discovery's address, but the same one only once in `REPEATED_LINE_INTERVAL_S`.
 
-        Without that, a discovery that is down would take all of the lines that a second allows.
+        Without this limit, repeated failures of an unavailable discovery would use up the log's rate limit.
         """
         now = self.loop.time()
-        if text == self.last_line and now - self.last_line_at < REPEATED_LINE_S:
+        if text == self.last_logged and now - self.last_logged_at < REPEATED_LINE_INTERVAL_S:
             return
         host, port = self.address
-        if self.engine.says(f"discovery: {text[:MAX_LINE_CHARACTERS]} ({host}:{port})"):
-            self.last_line, self.last_line_at = text, now
+        if self.engine.says(f"discovery: {text[:MAX_LOGGED_CHARACTERS]} ({host}:{port})"):
+            self.last_logged, self.last_logged_at = text, now
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -284,7 +284,7 @@
             before = discovery.bad_answers
             await until(lambda: made.sidecar.discovery.fresh.behind == 2)
             assert made.names() == {"s0", "s1"} and await made.served("c1")
-            assert made.has_said("revision 3 is behind 11, passed over"), made.lines
+            assert made.has_said("revision 3 is older than 11: ignored, the full list is fetched"), made.lines
             began = time.monotonic()
             await until(lambda: made.names() == {"s1"})
             assert time.monotonic() - began < DRAIN_GRACE_S
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of calls to discovery, in pure time: no order of events leaves a stale list unquestioned."""
+"""The schedule of calls to discovery, on a simulated clock: no order of events leaves a stale list in use."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     Failure,
 )
 
-GRACE_SECONDS = 0.5  # of a drain
-QUEUE_SECONDS = 2.0  # after which an overloaded discovery turns a call away
+GRACE_SECONDS = 0.5  # grace period of a drain
+QUEUE_SECONDS = 2.0  # time after which an overloaded discovery rejects a call
 
 
 def schedule_of(fleet_size: int, ask_within_s: float = 10.0, seed: int = 1) -> CallSchedule:
@@ -38,12 +38,12 @@
 
 
 class Mode(Enum):
-    """How discovery treats the calls that come from now on."""
+    """How discovery treats the calls that begin from now on."""
 
     GOOD = "answers"
-    REFUSES = "resets each call, and those that are open"
-    SILENT = "never answers, nor do the calls that are open"
-    OVERLOADED = "turns each call away after a wait"
+    REFUSES = "resets each call, and the open ones"
+    SILENT = "never answers, not even the open calls"
+    OVERLOADED = "rejects each call after a wait"
 
 
 class Event(Enum):
@@ -51,7 +51,7 @@
     REFUSES = "refuses"
     SILENT = "silent"
     OVERLOADED = "overloaded"
-    FORGETS_WATCHES = "open watches fall silent"
+    FORGETS_WATCHES = "open watches are never answered"
     EVIDENCE = "servers contradict the list"
     MOVES = "discovery has another address"
 
@@ -59,61 +59,61 @@
 class Reply(Enum):
     ANSWER = "answer"
     BROKEN = "broken"
-    TURNED_AWAY = "turned away"
+    REJECTED = "answered with an error"
 
 
-FAILURES = {Reply.BROKEN: Failure.BROKEN, Reply.TURNED_AWAY: Failure.TURNED_AWAY}
+FAILURES = {Reply.BROKEN: Failure.BROKEN, Reply.REJECTED: Failure.REJECTED}
 
 
 @dataclass
 class World:
-    """One schedule before a discovery whose behaviour a test changes."""
+    """One schedule and a simulated discovery whose behaviour a test changes."""
 
     schedule: CallSchedule
     now: float = 0.0
     mode: Mode = Mode.GOOD
     good_since: float = 0.0
-    known_until: float = 0.0  # everything that changed before is known here
+    known_up_to: float = 0.0  # all changes before this time have been received
     live_watch: int | None = None
-    silent_watch_clock: float = 0.0  # until then the clock of a watch that fell silent holds
+    silent_watch_deadline: float = 0.0  # when a change missed by a silent watch must be known
     open_calls: dict[int, BeginCall] = field(default_factory=dict)
-    began: list[tuple[float, BeginCall]] = field(default_factory=list)
+    begun_calls: list[tuple[float, BeginCall]] = field(default_factory=list)
     replies: list[tuple[float, int, Reply]] = field(default_factory=list)
 
-    def carry_out(self, actions: list[CallAction]) -> None:
+    def execute(self, actions: list[CallAction]) -> None:
         for action in actions:
             if isinstance(action, AbandonCall):
                 self.open_calls.pop(action.number)
-                self._watch_ends(action.number)
+                self._watch_ended(action.number)
             else:
                 self.open_calls[action.number] = action
-                self.began.append((self.now, action))
-                self._receive(action)
+                self.begun_calls.append((self.now, action))
+                self._schedule_reply(action)
             assert len(self.open_calls) <= MAX_OPEN_CALLS
 
-    def _receive(self, call: BeginCall) -> None:
+    def _schedule_reply(self, call: BeginCall) -> None:
         if self.mode is Mode.REFUSES:
             heapq.heappush(self.replies, (self.now, call.number, Reply.BROKEN))
         elif self.mode is Mode.OVERLOADED:
-            heapq.heappush(self.replies, (self.now + QUEUE_SECONDS, call.number, Reply.TURNED_AWAY))
+            heapq.heappush(self.replies, (self.now + QUEUE_SECONDS, call.number, Reply.REJECTED))
         elif self.mode is Mode.GOOD:
             heapq.heappush(self.replies, (self.now + call.wait_s, call.number, Reply.ANSWER))
             if call.kind is CallKind.WATCH:
                 self.live_watch = call.number
-                self.known_until = self.now  # a watch tells at once what changed before it
+                self.known_up_to = self.now  # a watch reports earlier changes at once
 
-    def _watch_ends(self, number: int) -> None:
+    def _watch_ended(self, number: int) -> None:
         if number == self.live_watch:
             self.live_watch = None
-            self.known_until = self.now
+            self.known_up_to = self.now
 
-    def happens(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:
         if event is Event.EVIDENCE:
-            self.carry_out(self.schedule.ask(self.now, full=True))
+            self.execute(self.schedule.ask(self.now, full=True))
             return
         if event is Event.MOVES:
             self._lose_watch()
-            self.carry_out(self.schedule.move(self.now))
+            self.execute(self.schedule.move(self.now))
             return
         if event is Event.FORGETS_WATCHES:
             self._lose_watch()
@@ -128,19 +128,19 @@
             self.replies = [(self.now, number, Reply.BROKEN) for number in self.open_calls]
 
     def _lose_watch(self) -> None:
-        """The open watch tells nothing any more; the clock of a call that may wait holds."""
+        """The open watch stops reporting; the deadline of a call that may wait applies."""
         if self.live_watch is None:
             return
         call = self.open_calls[self.live_watch]
-        began_at = next(at for at, action in reversed(self.began) if action is call)
-        clock = began_at + call.wait_s + CHANGE_KNOWN_AFTER_WATCH_SECONDS
-        self.silent_watch_clock = max(self.silent_watch_clock, clock)
+        began_at = next(at for at, action in reversed(self.begun_calls) if action is call)
+        deadline = began_at + call.wait_s + CHANGE_KNOWN_AFTER_WATCH_SECONDS
+        self.silent_watch_deadline = max(self.silent_watch_deadline, deadline)
         self.replies = [reply for reply in self.replies if reply[1] != self.live_watch]
         heapq.heapify(self.replies)
-        self._watch_ends(self.live_watch)
+        self._watch_ended(self.live_watch)
 
     def run_until(self, end: float) -> None:
-        """Let time pass, with everything that is due; the clock of the rule is checked all the while."""
+        """Advance the time to `end` and handle all that is due; check the deadline at each step."""
         while True:
             due = [at for at in (self.schedule.next_at, self.replies[0][0] if self.replies else None) if at]
             at = min(due, default=end)
@@ -152,7 +152,7 @@
                 self._reply(*heapq.heappop(self.replies))
             else:
                 before = self.schedule.next_at
-                self.carry_out(self.schedule.advance(self.now))
+                self.execute(self.schedule.advance(self.now))
                 assert self.schedule.next_at != before, "the schedule does not advance"
         self.now = end
         self._check()
@@ -161,30 +161,32 @@
         call = self.open_calls.pop(number, None)
         if call is None:
             return
-        self._watch_ends(number)
+        self._watch_ended(number)
         if reply is Reply.ANSWER:
-            self.known_until = self.now
-            self.carry_out(self.schedule.answered(self.now, number, changed=False))
+            self.known_up_to = self.now
+            self.execute(self.schedule.answered(self.now, number, changed=False))
         else:
-            self.carry_out(self.schedule.failed(self.now, number, FAILURES[reply]))
+            self.execute(self.schedule.failed(self.now, number, FAILURES[reply]))
 
     def _check(self) -> None:
-        """What changed while discovery could be asked is known here before it counts as known."""
+        """A change that discovery had while reachable is received before it counts as known."""
         if self.live_watch is not None or self.mode is not Mode.GOOD:
             return
-        clock = max(self.known_until, self.good_since) + CHANGE_KNOWN_AFTER_SECONDS
-        clock = max(clock, self.silent_watch_clock)
-        assert self.now < clock + GRACE_SECONDS, f"unknown since {self.known_until}, clock {clock}"
+        deadline = max(self.known_up_to, self.good_since) + CHANGE_KNOWN_AFTER_SECONDS
+        deadline = max(deadline, self.silent_watch_deadline)
+        assert self.now < deadline + GRACE_SECONDS, (
+            f"changes since {self.known_up_to} missed, deadline {deadline}"
+        )
 
 
 def walk(schedule: CallSchedule, steps: tuple[tuple[float, Event], ...]) -> World:
     world = World(schedule)
-    world.carry_out(schedule.start(0.0, 0.3))
+    world.execute(schedule.start(0.0, 0.3))
     for delay, event in steps:
         world.run_until(world.now + delay)
-        world.happens(event)
+        world.apply(event)
     world.run_until(world.now + 0.01)
-    world.happens(Event.GOOD)
+    world.apply(Event.GOOD)
     world.run_until(world.now + 12.0)
     return world
 
@@ -216,32 +218,32 @@
 
 
 def begun(world: World, after: float = -1.0) -> list[tuple[float, CallKind]]:
-    return [(at, call.kind) for at, call in world.began if at > after]
+    return [(at, call.kind) for at, call in world.begun_calls if at > after]
 
 
 def test_a_start_fetches_what_changed_and_then_watches_at_once() -> None:
     world = World(schedule_of(214))
-    world.carry_out(world.schedule.start(0.0, 0.3))
-    assert not world.schedule.is_confirmed  # the known list is that of an earlier life
+    world.execute(world.schedule.start(0.0, 0.3))
+    assert not world.schedule.is_confirmed  # the list was persisted by a previous process
     world.run_until(1.0)
     assert begun(world) == [(0.3, CallKind.FETCH), (0.3 + FETCH_WAIT_SECONDS, CallKind.WATCH)]
     assert world.schedule.is_confirmed
 
 
 def test_a_call_in_the_queue_keeps_its_place() -> None:
-    """Calls may wait for up to 3 s: given up sooner, one would begin anew at the queue's end."""
+    """A call may wait for up to 3 s: if abandoned sooner, its successor starts at the end of the queue."""
     world = World(schedule_of(214), mode=Mode.SILENT)
-    world.carry_out(world.schedule.start(0.0, 0.0))
+    world.execute(world.schedule.start(0.0, 0.0))
     world.run_until(2.9)
     assert list(world.open_calls) == [1]
     world.open_calls.pop(1)
-    world.carry_out(world.schedule.answered(2.9, 1, changed=True))
+    world.execute(world.schedule.answered(2.9, 1, changed=True))
     assert [call.kind for call in world.open_calls.values()] == [CallKind.WATCH]
 
 
 def test_one_fetch_is_out_at_a_time_and_calls_that_are_turned_away_pause() -> None:
     world = World(schedule_of(214), mode=Mode.OVERLOADED)
-    world.carry_out(world.schedule.start(0.0, 0.0))
+    world.execute(world.schedule.start(0.0, 0.0))
     for second in range(60):
         world.run_until(second + 1.0)
         assert len(world.open_calls) <= 1
@@ -252,30 +254,30 @@
 
 
 def test_a_call_out_of_turn_that_fails_is_repeated_while_the_watch_beside_it_waits() -> None:
-    """A fleet of 214: the watch waits for 20 s, and a failed call for evidence was forgotten."""
+    """In a fleet of 214 a watch waits for 20 s; a fetch that fails meanwhile must be retried before that."""
     world = World(schedule_of(214))
-    world.carry_out(world.schedule.start(0.0, 0.0))
+    world.execute(world.schedule.start(0.0, 0.0))
     world.run_until(5.0)
     number = next(iter(world.open_calls))
-    world.carry_out(world.schedule.ask(5.0, full=True))
-    extra = max(world.open_calls)
-    world.open_calls.pop(extra)
-    world.replies = [reply for reply in world.replies if reply[1] != extra]
-    world.carry_out(world.schedule.failed(5.0, extra))
+    world.execute(world.schedule.ask(5.0, full=True))
+    fetch_number = max(world.open_calls)
+    world.open_calls.pop(fetch_number)
+    world.replies = [reply for reply in world.replies if reply[1] != fetch_number]
+    world.execute(world.schedule.failed(5.0, fetch_number))
     assert not world.schedule.is_confirmed
     world.run_until(5.0 + CHANGE_KNOWN_AFTER_SECONDS - GRACE_SECONDS)
     assert world.schedule.is_confirmed
-    assert number in world.open_calls  # and the watch was kept
+    assert number in world.open_calls  # the watch stays open
 
 
 def test_an_overdue_watch_is_asked_about_before_its_clock_is_over() -> None:
     world = World(schedule_of(214))
-    world.carry_out(world.schedule.start(0.0, 0.0))
+    world.execute(world.schedule.start(0.0, 0.0))
     world.run_until(1.0)
-    world.happens(Event.FORGETS_WATCHES)
+    world.apply(Event.FORGETS_WATCHES)
     world.run_until(60.0)
-    waited = [at for at, kind in begun(world, after=1.0) if kind is CallKind.FETCH]
-    assert waited and waited[0] <= world.schedule.watch_wait_s + CHANGE_KNOWN_AFTER_WATCH_SECONDS
+    fetches_at = [at for at, kind in begun(world, after=1.0) if kind is CallKind.FETCH]
+    assert fetches_at and fetches_at[0] <= world.schedule.watch_wait_s + CHANGE_KNOWN_AFTER_WATCH_SECONDS
 
 
 def test_what_lies_behind_is_asked_for_in_full_soon() -> None:
@@ -284,59 +286,59 @@
     assert isinstance(first, BeginCall) and not first.full
     assert schedule.failed(0.1, first.number, Failure.BEHIND) == []
     assert schedule.next_at is not None and schedule.next_at <= 0.6
-    (again,) = schedule.advance(0.6)
-    assert isinstance(again, BeginCall) and again.full
+    (retry,) = schedule.advance(0.6)
+    assert isinstance(retry, BeginCall) and retry.full
 
 
 @pytest.mark.parametrize("fails", [Event.REFUSES, Event.SILENT, Event.OVERLOADED])
 def test_an_agent_is_asked_within_a_drains_grace(fails: Event) -> None:
     fresh = FreshList(214, 10.0, pushed=True)
     world = World(CallSchedule(CallTiming.pushed(fresh.double_s), fresh.wait_s, Random(1)))
-    world.carry_out(world.schedule.start(0.0, 0.0))
+    world.execute(world.schedule.start(0.0, 0.0))
     world.run_until(3.0)
-    world.happens(fails)
+    world.apply(fails)
     world.run_until(9.0)
     gaps = [later - at for (at, _), (later, _) in itertools.pairwise(begun(world, after=3.0))]
     assert gaps and max(gaps) <= 0.4
 
 
 @dataclass
-class Queue:
-    """A discovery that works through calls in turn and turns away what would wait for too long."""
+class QueueingDiscovery:
+    """A discovery that handles calls in order and rejects those that would wait for too long."""
 
     calls_per_s: float
     patience_s: float
-    free_at: float = 0.0
+    idle_at: float = 0.0
 
-    def takes(self, now: float) -> tuple[float, Reply]:
-        begins = max(now, self.free_at)
+    def submit(self, now: float) -> tuple[float, Reply]:
+        begins = max(now, self.idle_at)
         if begins - now > self.patience_s:
-            return now + self.patience_s, Reply.TURNED_AWAY
-        self.free_at = begins + 1.0 / self.calls_per_s
-        return self.free_at, Reply.ANSWER
+            return now + self.patience_s, Reply.REJECTED
+        self.idle_at = begins + 1.0 / self.calls_per_s
+        return self.idle_at, Reply.ANSWER
 
 
 def first_answers(
-    fleet_size: int, starting: int, queue: Queue, seed: int, span_s: float = 0.5
+    fleet_size: int, starting: int, queue: QueueingDiscovery, seed: int, span_s: float = 0.5
 ) -> list[float]:
-    """When each of those that start together has its first answer."""
+    """Times of the first answer of each of `starting` instances that start together, sorted."""
     rng = Random(seed)
     schedules = [schedule_of(fleet_size, 10.0, rng.getrandbits(32)) for _ in range(starting)]
     answered: dict[int, float] = {}
     events: list[tuple[float, int, int, int, Reply | None]] = []
-    serial = itertools.count()
+    sequence = itertools.count()
 
-    def carry_out(instance: int, now: float, actions: list[CallAction]) -> None:
+    def execute(instance: int, now: float, actions: list[CallAction]) -> None:
         for action in actions:
-            if isinstance(action, BeginCall) and action.kind is CallKind.FETCH:  # the watch goes on with it
-                at, reply = queue.takes(now)
-                heapq.heappush(events, (at, next(serial), instance, action.number, reply))
+            if isinstance(action, BeginCall) and action.kind is CallKind.FETCH:  # a watch continues the fetch
+                at, reply = queue.submit(now)
+                heapq.heappush(events, (at, next(sequence), instance, action.number, reply))
         due = schedules[instance].next_at
         if due is not None:
-            heapq.heappush(events, (due, next(serial), instance, 0, None))
+            heapq.heappush(events, (due, next(sequence), instance, 0, None))
 
     for instance, schedule in enumerate(schedules):
-        carry_out(instance, 0.0, schedule.start(0.0, rng.random() * span_s * min(1.0, (fleet_size - 1) / 50)))
+        execute(instance, 0.0, schedule.start(0.0, rng.random() * span_s * min(1.0, (fleet_size - 1) / 50)))
     while len(answered) < starting:
         now, _, instance, number, reply = heapq.heappop(events)
         assert now < 60.0
@@ -345,16 +347,17 @@
             continue
         if reply is None:
             if schedule.next_at is not None and now >= schedule.next_at:
-                carry_out(instance, now, schedule.advance(now))
+                execute(instance, now, schedule.advance(now))
         elif reply is Reply.ANSWER:
             answered[instance] = now
         else:
-            carry_out(instance, now, schedule.failed(now, number, Failure.TURNED_AWAY))
+            execute(instance, now, schedule.failed(now, number, Failure.REJECTED))
     return sorted(answered.values())
 
 
 PATIENCES = pytest.mark.parametrize("patience_s", [1.2, 2.0, 3.0])
-CAPACITY = 2.6  # times one call of each instance in its time for asking; the least that was seen
+# Capacity of discovery, relative to one call of each instance per 10 s; the lowest that was measured.
+CAPACITY_FACTOR = 2.6
 
 
 @PATIENCES
@@ -363,34 +366,35 @@
     fleet_size: int, starting: int, patience_s: float
 ) -> None:
     for seed in range(5):
-        queue = Queue(CAPACITY * max(50, fleet_size) / 10.0, patience_s)
-        last = first_answers(fleet_size, starting, queue, seed)[-1]
-        assert last <= 1.6, (seed, last)  # before a zone's loss of 5 s counts as told
+        queue = QueueingDiscovery(CAPACITY_FACTOR * max(50, fleet_size) / 10.0, patience_s)
+        last_answer_at = first_answers(fleet_size, starting, queue, seed)[-1]
+        # 1.6 s is before the loss of a zone, 5 s long, counts as known.
+        assert last_answer_at <= 1.6, (seed, last_answer_at)
 
 
 @PATIENCES
 def test_most_of_a_fleet_that_starts_together_is_answered_and_nobody_is_left(patience_s: float) -> None:
-    """Seven in ten of 230: discovery needs 2.7 s for all, and lets calls wait for less than that or more."""
+    """70 % of 230 start: discovery needs 2.7 s for all; calls wait for less or for more than that."""
     for seed in range(5):
-        queue = Queue(CAPACITY * 23.0, patience_s)
+        queue = QueueingDiscovery(CAPACITY_FACTOR * 23.0, patience_s)
         answers = first_answers(230, 161, queue, seed)
         assert answers[-1] <= 8.0, (seed, answers[-1])
 
 
 @PATIENCES
 def test_a_fleet_that_was_turned_away_for_long_is_answered_once_discovery_is_back(patience_s: float) -> None:
-    """All have failed several times: it is down for 8 s, and turns calls away after their time."""
+    """Discovery is down for 8 s and rejects calls, so that every instance has failed several times."""
     for seed in range(3):
-        queue = Queue(CAPACITY * 23.0, patience_s, free_at=8.0)
+        queue = QueueingDiscovery(CAPACITY_FACTOR * 23.0, patience_s, idle_at=8.0)
         answers = first_answers(230, 230, queue, seed)
         assert answers[-1] <= 8.0 + 8.0, (seed, answers[-1])
 
 
 def test_two_calls_in_a_row_that_are_turned_away_leave_a_change_known_in_time() -> None:
-    """Discovery is down for long and comes back: it turns away two more calls, and answers the third.
+    """Discovery returns after a long outage, rejects two more calls and answers the third.
 
-    A change of the moment of the return, at whatever point between two calls that was, has to be known 6 s
-    later, with calls that wait for 0 to 1.25 s before they are turned away.
+    A change at the moment of the return, at any point between two calls, has to be known within 6 s, with
+    calls that wait for 0 to 1.25 s before they are rejected.
     """
     for queue_s, seed in itertools.product((0.0, 0.5, 1.0, 1.25), range(100)):
         assert latest_answer_after_a_return(queue_s, seed) <= CHANGE_KNOWN_AFTER_SECONDS, (queue_s, seed)
@@ -406,13 +410,13 @@
         if calls:
             starts.append(now)
             now += queue_s
-            actions = schedule.failed(now, calls[0].number, Failure.TURNED_AWAY)
+            actions = schedule.failed(now, calls[0].number, Failure.REJECTED)
             continue
         due = schedule.next_at
         assert due is not None
         now = max(now, due)
         actions = schedule.advance(now)
-    # The return is right after a call was turned away, or while one waits to be (it is one of the two).
-    after_its_end = [last - first for first, last in zip(starts, starts[3:], strict=False)]
-    in_its_wait = [last + queue_s - first for first, last in zip(starts, starts[2:], strict=False)]
-    return max(*after_its_end, *in_its_wait)
+    # Discovery returns right after it rejected a call, or while a call waits (which is then one of the two).
+    after_rejection = [last - first for first, last in zip(starts, starts[3:], strict=False)]
+    during_wait = [last + queue_s - first for first, last in zip(starts, starts[2:], strict=False)]
+    return max(*after_rejection, *during_wait)
