--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -281,11 +281,11 @@
             self._failed(call, Failure.BEHIND)
             return
         if listed.flaws:
-            self._log(listed.problems())
+            self._log(listed.describe_flaws())
         absent_at = self._known_absent_at(call)
         # The next call is sent first, so that applying a long list does not interrupt the watch.
         self._execute(self.schedule.answered(now, call.number, changed=bool(entries)))
-        if listed.hides_changes() and not call.full:
+        if listed.may_lack_changes() and not call.full:
             self._execute(self.schedule.ask(now, full=True))
         if verdict is Verdict.TAKE_AND_ASK:
             self._log("empty list; fetching it again")
--- a/garnethaven/membership/list_reader.py
+++ b/garnethaven/membership/list_reader.py
@@ -1,15 +1,15 @@
-"""Reading discovery's list: the JSON of an answer to typed entries. No I/O, no clock.
+"""Parses discovery's lists: the JSON of an answer into typed entries. No I/O, no clock.
 
-What can't be read of an entry is no licence to send there, and harms no other entry:
+An entry that can't be parsed completely gets no requests, and does not affect other entries:
 
-- An unknown phase is draining, and so is SERVING without an address or with a cell, size or start that
-  can't be.
-- An entry without an id is left out.
-- An endpoint that is listed twice is one entry: the stricter phase counts (DELETED, then DRAINING, then
-  SERVING), and of two with the same phase the one with the later start. A wrong SERVING may break a drain,
-  and a start that is too early may push a cold server over; the other way costs a share of one server.
+- An endpoint in an unknown phase is treated as draining, and so is one that is SERVING without an address or
+  with an invalid cell, size or start time.
+- An entry without an id is ignored.
+- Two entries of one endpoint become one entry: the stricter phase counts (DELETED, then DRAINING, then
+  SERVING), and of two with the same phase the later start. A wrong SERVING may break a drain, and a start
+  that is too early may overload a cold server; the opposite errors only cost a share of one server.
 
-Lists that hold such entries tell of them in `flaws`.
+Such entries are counted in `flaws` of the list.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 NANOSECONDS_PER_MS = 1_000_000
 MAX_ID_BYTES = 1024
-MAX_SIZE = 1e6  # of an endpoint, in units of the usual one
+MAX_SIZE = 1e6  # capacity of an endpoint, relative to a usual one
 MAX_START_MS = 1 << 62
-MAX_SHOWN_CHARACTERS = 100  # of an id in the log
+MAX_LOGGED_ENTRY_CHARACTERS = 100  # of an entry in the log
 STATES = {"SERVING": State.UP, "DRAINING": State.DRAINING, "DELETED": State.REMOVED}
 STRICTNESS = {State.UP: 0, State.DRAINING: 1, State.REMOVED: 2}
 
@@ -36,21 +36,21 @@
 
 
 class ListError(Exception):
-    """What discovery told is not a list of endpoints."""
+    """An answer of discovery is not a list of endpoints."""
 
 
 class Flaw(Enum):
-    """What is wrong with an entry, and what follows; the text is for the log."""
+    """A defect of an entry and its consequence; the text is logged."""
 
-    UNREADABLE = "left out, without an id"
-    UNKNOWN_PHASE = "of an unknown phase, taken for draining"
-    UNSOUND = "without an address or with a figure that can't be, taken for draining"
-    REPEATED = "of an endpoint that stands there already, the stricter phase counts"
+    UNREADABLE = "ignored, without an id"
+    UNKNOWN_PHASE = "of an unknown phase, treated as draining"
+    INVALID_VALUE = "without an address or with an invalid value, treated as draining"
+    REPEATED = "that repeat an endpoint, the stricter phase counts"
 
 
 @dataclass(slots=True)
 class FlawedEntries:
-    """How many entries of one list have one flaw, and the first of them."""
+    """The number of entries in a list with a certain flaw, and the first such entry."""
 
     count: int
     first: str
@@ -58,41 +58,41 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One list of discovery: the whole one where it is `complete`, else what changed up to `revision`."""
+    """A list from discovery: the full list if `complete`, else the changes up to `revision`."""
 
     revision: int
     complete: bool
     entries: Entries
     flaws: Mapping[Flaw, FlawedEntries] = field(default_factory=dict)
 
-    def hides_changes(self) -> bool:
-        """Whether these are changes of which one may have been lost: only a whole list tells."""
+    def may_lack_changes(self) -> bool:
+        """Whether a change may be missing from this partial list, so that the full list is needed."""
         return not self.complete and (Flaw.UNREADABLE in self.flaws or Flaw.REPEATED in self.flaws)
 
-    def problems(self) -> str:
-        """What is wrong with its entries, for the log; empty: nothing."""
+    def describe_flaws(self) -> str:
+        """The flaws of the entries as one line for the log; empty if there are none."""
         return "; ".join(
-            f"entries {flaw.value}: {flawed.count}, the first {flawed.first}"
+            f"entries {flaw.value}: {flawed.count}, the first is {flawed.first}"
             for flaw, flawed in self.flaws.items()
         )
 
 
 def number_of(endpoint: str) -> int:
-    """The balancer's number of an endpoint's id, the same at every sidecar."""
+    """The balancer's number for an endpoint id; the same in every sidecar."""
     return int.from_bytes(endpoint.encode(), "big")
 
 
 def name_of(number: int) -> str:
-    """The id of an endpoint, given its `number_of`."""
+    """The endpoint id for a number from `number_of`."""
     return number.to_bytes((number.bit_length() + 7) // 8, "big").decode(errors="surrogateescape")
 
 
 class ListReader:
-    """Reads lists in discovery's form.
+    """Parses lists in discovery's format.
 
-    `zones` and `kinds` number the names of localities and flavors. `clock_offset` is wall-clock time less
-    the local monotonic time, in nanoseconds; it stays the same for the life of the process, or an endpoint
-    would seem restarted.
+    `zones` and `kinds` map the names of localities and flavors to numbers. `clock_offset` is wall-clock time
+    minus local monotonic time, in nanoseconds; it must not change during the life of the process, or
+    endpoints would look restarted.
     """
 
     def __init__(self, zones: Mapping[str, int], kinds: Mapping[str, int], clock_offset: int) -> None:
@@ -100,17 +100,17 @@
         self.kinds = kinds
         self.clock_offset = clock_offset
 
-    def read_list(self, told: bytes | dict[str, Any]) -> EndpointList:
-        """Read an answer's body, or JSON that has been decoded already; raises ListError."""
+    def read_list(self, data: bytes | dict[str, Any]) -> EndpointList:
+        """Parse an answer's body, or JSON that is decoded already; raises ListError."""
         try:
-            facts = json.loads(told) if isinstance(told, bytes) else told
-            revision, members = facts["revision"], facts["members"]
-            complete = facts.get("complete", False)
+            fields = json.loads(data) if isinstance(data, bytes) else data
+            revision, members = fields["revision"], fields["members"]
+            complete = fields.get("complete", False)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
-            # Not its repr: that of a UnicodeDecodeError holds the whole answer.
+            # Not the repr: that of a UnicodeDecodeError contains the whole answer.
             raise ListError(f"cannot be read: {type(problem).__name__}: {problem}") from None
         if isinstance(revision, bool) or not isinstance(revision, int) or not isinstance(members, list):
-            raise ListError("no revision or no members")
+            raise ListError("'revision' is not an integer or 'members' is not a list")
         if not isinstance(complete, bool):
             raise ListError("'complete' is neither true nor false")
         entries, flaws = self._read_entries(members)
@@ -119,72 +119,72 @@
         return EndpointList(revision, complete, entries, flaws)
 
     def _read_entries(self, members: list[Any]) -> tuple[Entries, dict[Flaw, FlawedEntries]]:
-        """All entries that can be read, one for each endpoint."""
+        """All entries that can be parsed, one per endpoint, and the flaws found."""
         entries: dict[int, Entry] = {}
         flaws: dict[Flaw, FlawedEntries] = {}
 
-        def note(flaw: Flaw, member: object) -> None:
-            shown = repr(member)[:MAX_SHOWN_CHARACTERS] if flaw not in flaws else ""
-            flaws.setdefault(flaw, FlawedEntries(0, shown)).count += 1
+        def record(flaw: Flaw, member: object) -> None:
+            text = repr(member)[:MAX_LOGGED_ENTRY_CHARACTERS] if flaw not in flaws else ""
+            flaws.setdefault(flaw, FlawedEntries(0, text)).count += 1
 
         for member in members:
             name = _read_id(member)
             if name is None:
-                note(Flaw.UNREADABLE, member)
+                record(Flaw.UNREADABLE, member)
                 continue
             entry, flaw = self._read_entry(name, member)
             if flaw is not None:
-                note(flaw, name)
+                record(flaw, name)
             number = entry[0].id
             if number in entries:
-                note(Flaw.REPEATED, name)
+                record(Flaw.REPEATED, name)
                 entry = max(entry, entries[number], key=_strictness)
             entries[number] = entry
         return list(entries.values()), flaws
 
     def _read_entry(self, name: str, member: dict[str, Any]) -> tuple[Entry, Flaw | None]:
-        """One endpoint, and what is wrong with it."""
+        """The endpoint of one entry, and its flaw, if any."""
         address = parse_address(member.get("host_port"))
         known_phase = STATES.get(str(member.get("phase")))
         state = known_phase or State.DRAINING
         cell, size, up_since = member.get("cell", 0), member.get("size", 1.0), member.get("up_since_ms", 0)
-        sound = _is_whole(cell) and _is_size(size) and _is_whole(up_since) and 0 <= up_since <= MAX_START_MS
+        valid = _is_int(cell) and _is_size(size) and _is_int(up_since) and 0 <= up_since <= MAX_START_MS
         flaw = Flaw.UNKNOWN_PHASE if known_phase is None else None
-        if state is State.UP and (address is None or not sound):
-            state, flaw = State.DRAINING, Flaw.UNSOUND
+        if state is State.UP and (address is None or not valid):
+            state, flaw = State.DRAINING, Flaw.INVALID_VALUE
         endpoint = Endpoint(
             id=number_of(name),
             zone=self.zones.get(str(member.get("locality")), len(self.zones)),
             kind=self.kinds.get(str(member.get("flavor")), len(self.kinds)),
-            cell=cell if sound else 0,
+            cell=cell if valid else 0,
             state=state,
-            units=float(size) if sound else 1.0,
-            started=up_since * NANOSECONDS_PER_MS - self.clock_offset if sound and up_since else 0,
+            units=float(size) if valid else 1.0,
+            started=up_since * NANOSECONDS_PER_MS - self.clock_offset if valid and up_since else 0,
         )
         return (endpoint, address), flaw
 
 
 def _strictness(entry: Entry) -> tuple[int, int]:
-    """The order of two entries of one endpoint, the one that counts being the larger."""
+    """Sort key for entries of one endpoint; the entry with the largest key counts."""
     endpoint, _ = entry
     return STRICTNESS[endpoint.state], endpoint.started
 
 
 def _read_id(member: object) -> str | None:
-    """The id of an entry, if it has one that `number_of` and `name_of` can hold."""
+    """The id of an entry; None if it has none that `number_of` and `name_of` can convert."""
     name = member.get("id") if isinstance(member, dict) else None
     if not isinstance(name, str) or not name or name[0] == "\0":
         return None
     try:
         return name if len(name.encode()) <= MAX_ID_BYTES else None
-    except UnicodeEncodeError:  # half of a pair of surrogates
+    except UnicodeEncodeError:  # a lone surrogate
         return None
 
 
-def _is_whole(value: object) -> bool:
+def _is_int(value: object) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _is_size(value: object) -> bool:
-    """Whether an endpoint may have this size; no NaN and no infinity, which JSON's reader lets through."""
+    """Whether the value is a valid size; excludes NaN and infinity, which `json` accepts."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 < value <= MAX_SIZE
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -1,4 +1,4 @@
-"""Answers of discovery that are no list, or a list with entries that can't be: what becomes of each."""
+"""Handling of discovery's answers that are not lists, and of lists with invalid entries."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 )
 
 DRAIN_GRACE_S = 0.5
-TOLD_WITHIN_S = 6.0  # what discovery has counts as told after this, where it is asked
+KNOWN_AFTER_S = 6.0  # a change that discovery has counts as known after this time
 ROOT = Path(__file__).parents[2]
 
 
@@ -59,7 +59,7 @@
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + last
 
 
-# Reading
+# Parsing
 
 
 def read(members: list[Any], complete: object = True) -> Any:
@@ -92,7 +92,7 @@
     states = {name_of(endpoint.id): endpoint.state for endpoint, _ in listed.entries}
     assert states == {"s0": State.DRAINING, "s1": State.UP}
     assert all(0.0 < endpoint.units <= 1.0 for endpoint, _ in listed.entries)
-    assert "s0" in listed.problems() and "1" in listed.problems()
+    assert "s0" in listed.describe_flaws() and "1" in listed.describe_flaws()
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     listed = read([member, entry("s1")])
     assert [name_of(endpoint.id) for endpoint, _ in listed.entries] == ["s1"]
     assert listed.flaws[Flaw.UNREADABLE].count == 1
-    assert read([member], complete=False).hides_changes()
+    assert read([member], complete=False).may_lack_changes()
     with pytest.raises(ListError):
         read([member])
 
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("complete", [True, False])
-@pytest.mark.parametrize("turned", [False, True])
+@pytest.mark.parametrize("reverse", [False, True])
 @pytest.mark.parametrize(
     ("one", "other", "state", "started"),
     [
@@ -128,15 +128,15 @@
     ],
 )
 def test_of_an_endpoint_that_is_listed_twice_the_stricter_phase_and_the_later_start_count(
-    one: dict[str, Any], other: dict[str, Any], state: State, started: int, turned: bool, complete: bool
+    one: dict[str, Any], other: dict[str, Any], state: State, started: int, reverse: bool, complete: bool
 ) -> None:
-    twice = [entry(**one), entry(**other)]
-    listed = read([*(reversed(twice) if turned else twice), entry("s1")], complete)
+    repeated = [entry(**one), entry(**other)]
+    listed = read([*(reversed(repeated) if reverse else repeated), entry("s1")], complete)
     found = {name_of(endpoint.id): endpoint for endpoint, _ in listed.entries}
     assert len(listed.entries) == 2 and found["s1"].state is State.UP
     assert (found["s0"].state, found["s0"].started) == (state, started)
     assert listed.flaws[Flaw.REPEATED].count == 1
-    assert listed.hides_changes() is not complete
+    assert listed.may_lack_changes() is not complete
 
 
 def test_a_port_of_thousands_of_digits_is_no_address() -> None:
@@ -150,45 +150,45 @@
         with pytest.raises(ListError) as problem:
             reader.read_list(body)
         assert len(str(problem.value)) < 300
-    assert len(read([{"x": "y" * 100_000}, entry()]).problems()) < 300
+    assert len(read([{"x": "y" * 100_000}, entry()]).describe_flaws()) < 300
 
 
 # Over sockets
 
 
 class BadDiscovery(Peer):
-    """Tells s0 and s1 once, then `bad` for every call, and once `mended` that s0 drains."""
+    """Lists s0 and s1 once, then answers each call with `bad`; once `repaired`, lists s0 as draining."""
 
-    def __init__(self, members: list[dict[str, Any]], bad: bytes, ends: bool) -> None:
-        super().__init__(self._tell)
+    def __init__(self, members: list[dict[str, Any]], bad: bytes, closes: bool) -> None:
+        super().__init__(self._answer)
         self.members = members
         self.bad = bad
-        self.ends = ends  # the connection, behind each bad answer
-        self.mended = False
-        self.told = False
-        self.told_last = False
+        self.closes = closes  # whether the connection ends after each bad answer
+        self.repaired = False
+        self.listed = False
+        self.drain_listed = False
         self.bad_answers = 0
 
-    async def _tell(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if not self.told:
-            self.told = True
+    async def _answer(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if not self.listed:
+            self.listed = True
             writer.write(answer(list_of(self.members)))
-        elif self.mended:
-            if self.told_last:
+        elif self.repaired:
+            if self.drain_listed:
                 await silent(head, reader, writer)
-            self.told_last = True
+            self.drain_listed = True
             drains = [self.members[0] | {"phase": "DRAINING"}, *self.members[1:]]
             writer.write(answer(list_of(drains, 20)))
         else:
             self.bad_answers += 1
             writer.write(self.bad)
             await writer.drain()
-            if self.ends:
+            if self.closes:
                 raise ConnectionError
 
 
-class Watched:
-    """A sidecar that follows a bad discovery; what it logs, and what its loop has to say of errors."""
+class Followed:
+    """A sidecar that follows a faulty discovery, with its log lines and the errors of its event loop."""
 
     def __init__(self, sidecar: Sidecar, discovery: BadDiscovery, servers: list[Peer]) -> None:
         self.sidecar = sidecar
@@ -207,103 +207,106 @@
     async def served(self, call_id: str) -> bool:
         return (await self.sidecar.ask(request(X_Call_Id=call_id)))[0] == 200
 
-    def has_said(self, text: str) -> bool:
-        """Whether a line tells this, with discovery's address."""
+    def has_logged(self, text: str) -> bool:
+        """Whether a log line contains `text` and discovery's address."""
         address = f"(127.0.0.1:{self.discovery.port})"
         return any(text in line and address in line for line in self.lines)
 
 
 @contextlib.asynccontextmanager
-async def watched(bad: bytes, ends: bool = False) -> AsyncIterator[Watched]:
+async def followed(bad: bytes, closes: bool = False) -> AsyncIterator[Followed]:
     async with running(says(ANSWER), says(ANSWER)) as (sidecar, servers):
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
-        discovery = await BadDiscovery(members, bad, ends).start()
-        made = Watched(sidecar, discovery, servers)
-        asyncio.get_running_loop().set_exception_handler(lambda _, facts: made.errors.append(facts))
-        sidecar.engine.says = made.says  # type: ignore[method-assign]
+        discovery = await BadDiscovery(members, bad, closes).start()
+        node = Followed(sidecar, discovery, servers)
+        asyncio.get_running_loop().set_exception_handler(lambda _, facts: node.errors.append(facts))
+        sidecar.engine.says = node.says  # type: ignore[method-assign]
         sidecar.discovery.move(("127.0.0.1", discovery.port))
         await until(lambda: discovery.bad_answers >= 1)
-        yield made
-        assert not any("Traceback" in line for line in made.lines), made.lines
-        assert not made.errors
+        yield node
+        assert not any("Traceback" in line for line in node.lines), node.lines
+        assert not node.errors
         discovery.server.close()
 
 
-SOUND = list_of([entry("s9")], 11)
-LIST_BEYOND = list_of([entry(f"s{number:08}") for number in range(30_000)], 11)  # 2.6 MB where 2 MiB may be
-NOT_LISTS = {
+VALID_LIST = list_of([entry("s9")], 11)
+# 2.6 MB; the limit is 2 MiB.
+OVERSIZED_LIST = list_of([entry(f"s{number:08}") for number in range(30_000)], 11)
+INVALID_ANSWERS = {
     "a page": (answer(b"<html><body>Welcome</body></html>"), False, "cannot be read"),
     "no text": (answer(b"\xff\xfe" * 1000), False, "cannot be read"),
     "a redirect": (
-        answer(SOUND, b"302 Found", b"Location: http://127.0.0.1:1/api/targets"),
+        answer(VALID_LIST, b"302 Found", b"Location: http://127.0.0.1:1/api/targets"),
         False,
         "status 302",
     ),
     "no content": (b"HTTP/1.1 204 No Content\r\n\r\n", False, "status 204"),
-    "cut": (answer(SOUND)[:-40], True, "ended before the whole answer"),
-    "cut in a chunk": (chunked(SOUND, 30)[:-60], True, "ended before the whole answer"),
+    "cut": (answer(VALID_LIST)[:-40], True, "ended before the whole answer"),
+    "cut in a chunk": (chunked(VALID_LIST, 30)[:-60], True, "ended before the whole answer"),
     "cut, of no length": (
-        b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + SOUND[:-40],
+        b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + VALID_LIST[:-40],
         True,
         "cannot be read",
     ),
-    "stalls": (answer(SOUND)[:-40], False, "ended before the whole answer"),
-    "too long": (answer(LIST_BEYOND), False, "longer than the 2097152 bytes"),
-    "too long, in chunks": (chunked(LIST_BEYOND, 60_000), False, "longer than the 2097152 bytes"),
+    "stalls": (answer(VALID_LIST)[:-40], False, "ended before the whole answer"),
+    "too long": (answer(OVERSIZED_LIST), False, "longer than the 2097152 bytes"),
+    "too long, in chunks": (chunked(OVERSIZED_LIST, 60_000), False, "longer than the 2097152 bytes"),
     "no members": (answer(b'{"revision": 11, "complete": true}'), False, "cannot be read"),
     "neither whole nor not": (answer(list_of([], 11, "no")), False, "neither true nor false"),
     "no entries": (answer(list_of([1, 2, 3], 11)), False, "none of its 3 entries"),
 }
 
 
-@pytest.mark.parametrize("kind", NOT_LISTS)
+@pytest.mark.parametrize("kind", INVALID_ANSWERS)
 def test_an_answer_that_is_no_list_leads_to_another_call_and_the_old_list_serves_meanwhile(kind: str) -> None:
-    bad, ends, line = NOT_LISTS[kind]
+    bad, closes, line = INVALID_ANSWERS[kind]
 
     async def case() -> None:
-        async with watched(bad, ends) as made:
-            await until(lambda: made.discovery.bad_answers >= 3)
-            assert made.names() == {"s0", "s1"}
-            assert await made.served("c1")
-            assert made.has_said(line), made.lines
-            made.discovery.mended = True
-            mended_at = time.monotonic()
-            await until(lambda: made.names() == {"s1"})
-            stalled_s = STALL_S if kind == "stalls" else 0.0
-            assert time.monotonic() - mended_at < DRAIN_GRACE_S + stalled_s
-            assert await made.served("c2")
+        async with followed(bad, closes) as node:
+            await until(lambda: node.discovery.bad_answers >= 3)
+            assert node.names() == {"s0", "s1"}
+            assert await node.served("c1")
+            assert node.has_logged(line), node.lines
+            node.discovery.repaired = True
+            repaired_at = time.monotonic()
+            await until(lambda: node.names() == {"s1"})
+            stall_s = STALL_S if kind == "stalls" else 0.0
+            assert time.monotonic() - repaired_at < DRAIN_GRACE_S + stall_s
+            assert await node.served("c2")
 
     run(case())
 
 
 def test_a_revision_that_goes_back_is_passed_over_and_the_third_in_a_row_believed() -> None:
     async def case() -> None:
-        async with watched(answer(list_of([], 11, False))) as made:
-            discovery = made.discovery
+        async with followed(answer(list_of([], 11, False))) as node:
+            discovery = node.discovery
             discovery.bad = answer(list_of([discovery.members[1]], 3))
             before = discovery.bad_answers
-            await until(lambda: made.sidecar.discovery.fresh.behind == 2)
-            assert made.names() == {"s0", "s1"} and await made.served("c1")
-            assert made.has_said("revision 3 is older than 11: ignored, the full list is fetched"), made.lines
+            await until(lambda: node.sidecar.discovery.fresh.behind == 2)
+            assert node.names() == {"s0", "s1"} and await node.served("c1")
+            assert node.has_logged("revision 3 is older than 11: ignored, the full list is fetched"), (
+                node.lines
+            )
             began = time.monotonic()
-            await until(lambda: made.names() == {"s1"})
+            await until(lambda: node.names() == {"s1"})
             assert time.monotonic() - began < DRAIN_GRACE_S
             assert discovery.bad_answers >= before + 3
-            assert made.sidecar.discovery.fresh.revision == 3
+            assert node.sidecar.discovery.fresh.revision == 3
 
     run(case())
 
 
 def test_a_server_of_an_unknown_phase_gets_nothing_new() -> None:
     async def case() -> None:
-        async with watched(answer(list_of([], 10, False))) as made:
-            members = made.discovery.members
-            made.discovery.bad = answer(list_of([members[0] | {"phase": "WARMING"}], 11, False))
-            await until(lambda: made.names() == {"s1"})
-            assert made.has_said("unknown phase") and made.has_said("'s0'"), made.lines
+        async with followed(answer(list_of([], 10, False))) as node:
+            members = node.discovery.members
+            node.discovery.bad = answer(list_of([members[0] | {"phase": "WARMING"}], 11, False))
+            await until(lambda: node.names() == {"s1"})
+            assert node.has_logged("unknown phase") and node.has_logged("'s0'"), node.lines
             for number in range(4):
-                assert await made.served(f"c{number}")
-            assert not made.servers[0].requests
+                assert await node.served(f"c{number}")
+            assert not node.servers[0].requests
 
     run(case())
 
@@ -313,50 +316,55 @@
     complete: bool,
 ) -> None:
     async def case() -> None:
-        async with watched(answer(list_of([], 10, False))) as made:
-            members = made.discovery.members
-            twice = [members[0] | {"phase": "DRAINING"}, members[0], members[1]]
-            asked = len(made.discovery.requests)
-            made.discovery.bad = answer(list_of(twice, 11, complete))
-            await until(lambda: made.names() == {"s1"})
-            assert made.has_said("stands there already"), made.lines
-            await until(lambda: len(made.discovery.requests) >= asked + 4)
-            assert any(b"after=" not in head for head in made.discovery.requests[asked:]) is not complete
-            assert made.names() == {"s1"}
+        async with followed(answer(list_of([], 10, False))) as node:
+            members = node.discovery.members
+            repeated = [members[0] | {"phase": "DRAINING"}, members[0], members[1]]
+            calls_before = len(node.discovery.requests)
+            node.discovery.bad = answer(list_of(repeated, 11, complete))
+            await until(lambda: node.names() == {"s1"})
+            assert node.has_logged("that repeat an endpoint"), node.lines
+            await until(lambda: len(node.discovery.requests) >= calls_before + 4)
+            assert (
+                any(b"after=" not in head for head in node.discovery.requests[calls_before:]) is not complete
+            )
+            assert node.names() == {"s1"}
 
     run(case())
 
 
 def test_a_list_in_chunks_of_a_byte_is_taken() -> None:
     async def case() -> None:
-        async with watched(answer(list_of([], 10, False))) as made:
-            members = [made.discovery.members[1], *(entry(f"t{n}", phase="DRAINING") for n in range(1100))]
-            made.discovery.bad = chunked(list_of(members, 11), 1)
-            await until(lambda: made.names() == {"s1"})
-            assert len(made.sidecar.engine.balancer.servers) == 1101
-            assert await made.served("c1")
+        async with followed(answer(list_of([], 10, False))) as node:
+            members = [
+                node.discovery.members[1],
+                *(entry(f"t{n}", phase="DRAINING") for n in range(1100)),
+            ]
+            node.discovery.bad = chunked(list_of(members, 11), 1)
+            await until(lambda: node.names() == {"s1"})
+            assert len(node.sidecar.engine.balancer.servers) == 1101
+            assert await node.served("c1")
 
     run(case())
 
 
 def test_two_megabytes_of_members_without_an_id_take_none_of_the_others_away() -> None:
     async def case() -> None:
-        async with watched(answer(list_of([], 10, False))) as made:
+        async with followed(answer(list_of([], 10, False))) as node:
             junk = [{"host_port": f"127.0.0.1:{1024 + n % 60000}", "phase": "SERVING"} for n in range(30_000)]
-            made.discovery.bad = answer(list_of([made.discovery.members[1], *junk], 11))
-            assert 1_500_000 < len(made.discovery.bad) < 2 * 1024 * 1024
-            await until(lambda: made.names() == {"s1"})
-            assert made.has_said("without an id: 30000"), made.lines
-            assert await made.served("c1")
+            node.discovery.bad = answer(list_of([node.discovery.members[1], *junk], 11))
+            assert 1_500_000 < len(node.discovery.bad) < 2 * 1024 * 1024
+            await until(lambda: node.names() == {"s1"})
+            assert node.has_logged("without an id: 30000"), node.lines
+            assert await node.served("c1")
 
     run(case())
 
 
-# The program itself, where discovery is asked
+# The whole program, in the mode in which it calls discovery
 
 
 async def answered(port: int, call_id: str) -> bool:
-    """Whether a request to the program there is served."""
+    """Whether the program at this port serves a request."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request(X_Call_Id=call_id))
     head, _ = await read_message(reader)
@@ -366,12 +374,12 @@
 
 @pytest.mark.parametrize("kind", ["a page", "a redirect", "cut", "too long"])
 def test_the_program_names_the_address_asks_on_and_ends_well(kind: str, tmp_path: Path) -> None:
-    bad, ends, line = NOT_LISTS[kind]
+    bad, closes, line = INVALID_ANSWERS[kind]
 
     async def case() -> None:
         servers = [await Peer(says(ANSWER)).start() for _ in range(2)]
         members = [server.member(f"s{number}") for number, server in enumerate(servers)]
-        discovery = await BadDiscovery(members, bad, ends).start()
+        discovery = await BadDiscovery(members, bad, closes).start()
         settings = facts() | {"membershipMode": "ask"}
         settings["rules"]["askWithinNs"] = 10**9
         port = PORTS.take()
@@ -393,10 +401,10 @@
             await ready(port)
             await until(lambda: discovery.bad_answers >= 3)
             assert await answered(port, "c1")
-            discovery.mended = True
-            mended_at = time.monotonic()
-            await until(lambda: discovery.told_last)
-            assert time.monotonic() - mended_at < TOLD_WITHIN_S
+            discovery.repaired = True
+            repaired_at = time.monotonic()
+            await until(lambda: discovery.drain_listed)
+            assert time.monotonic() - repaired_at < KNOWN_AFTER_S
             await asyncio.sleep(DRAIN_GRACE_S)
             before = len(servers[0].requests)
             for number in range(4):
@@ -404,8 +412,8 @@
             assert len(servers[0].requests) == before
         finally:
             program.send_signal(signal.SIGTERM)
-            _, said = await program.communicate()
-        lines = said.decode()
+            _, stderr = await program.communicate()
+        lines = stderr.decode()
         assert any(line in text and f"(127.0.0.1:{discovery.port})" in text for text in lines.splitlines()), (
             lines
         )
