--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -1,55 +1,57 @@
-"""What may be believed of a key-value registry that is followed through breaks. No I/O, no clock.
+"""Keeps a copy of a key-value registry consistent across connection losses. No I/O, no clock.
 
-A registry numbers its changes: each has a *revision* (etcd's revision, Consul's index), and each answer tells
-up to which one it goes. Held here are the entries as of one revision R, so that every statement is about all
-of the registry at one moment. What a source hears is an event here; what it should do next is an order.
+A registry numbers its changes: each has a *revision* (etcd's revision, Consul's index), and each answer
+states the revision up to which it is complete. `CatchUp` holds the entries as of one revision R, so that the
+copy always shows the whole registry at one moment. What a source receives is an event here; what the source
+must do next is returned as orders.
 
-| standing | holds | means |
+| standing | copy | meaning |
 | --- | --- | --- |
-| reading | nothing | nothing whole has been heard yet |
-| following | all as of R | what comes next is heard |
-| broken | all as of R | contact is lost: the last list serves, for as long as that lasts |
-| catching up | all as of R | contact is back, but what happened in the gap is not known yet |
-| uncertain | all as of R | an answer lay behind R, without a proof that the registry itself went back |
+| reading | none | no complete snapshot has been received yet |
+| following | all as of R | changes are received as they happen |
+| broken | all as of R | contact is lost: the last list stays in use, however long that lasts |
+| catching up | all as of R | contact is back, but the changes during the gap are not known yet |
+| uncertain | all as of R | an answer was older than R, without proof that the registry itself went back |
 
 | event | standing | next | orders |
 | --- | --- | --- | --- |
 | opened | reading | reading | read all |
-| opened | any other | catching up | watch after R where the registry keeps its history, else read all |
-| snapshot at r >= R | any | following | tell the difference, contact is good, watch after r |
+| opened | any other | catching up | watch after R if the registry keeps its history, else read all |
+| snapshot at r >= R | any | following | report the difference, contact is good, watch after r |
 | snapshot at r < R, unproven | any | uncertain | read all, proven |
-| snapshot at r < R, proven | any | following | the same as at r >= R: the history began anew |
-| watching, at h >= R | catching up | following once R >= h | contact is good, once it is following |
+| snapshot at r < R, proven | any | following | as at r >= R: the history of the registry restarted |
+| watching, at h >= R | catching up | following once R >= h | contact is good, once following |
 | watching, or quiet, at h < R | any | uncertain | read all, proven |
-| changes up to r > R | following, catching up | the same | tell them |
-| changes up to r <= R | any | the same | none: told twice or out of order |
+| changes up to r > R | following, catching up | the same | report them |
+| changes up to r <= R | any | the same | none: duplicate or out of order |
 | quiet up to r >= R | following, catching up | following | contact is good |
 | doubted | any other than reading | uncertain | read all, proven |
 | compacted | any | catching up | read all, proven |
 | lost | any | broken; reading stays reading | contact is lost |
 
-*Proven* is an answer for which the registry's leader vouches (etcd's linearizable reads, Consul's consistent
-mode). Only a proven answer may move R backwards.
+A *proven* answer is confirmed by the registry's leader (etcd's linearizable reads, Consul's consistent mode).
+Only a proven answer may decrease R.
 
-A removal is always found, and only then believed:
+Every removal is detected, and nothing else is taken for one:
 
-1. A removal that is heard has a revision above R; all that came before it has been heard, for changes come in
-   the order of their revisions and R moves only to where an answer has told everything.
-2. A removal in a gap is heard when the watch goes on after R; or, where history is gone, the key is *absent*
-   from a snapshot at r >= R. The key was there at R, so it ended in between: absence is proof.
-3. A snapshot behind R proves nothing: the key may have been made after it. It is not believed, either way,
-   unless it is proven; then R itself is no longer of this history, and the snapshot is all there is.
+1. A reported removal has a revision above R, and everything before it has been received, because changes
+   arrive in the order of their revisions and R advances only to where an answer is complete.
+2. A removal during a gap is reported when the watch continues after R; or, where history is gone, the key is
+   *absent* from a snapshot at r >= R. The key existed at R, so absence proves that it was removed in between.
+3. A snapshot older than R proves nothing, because the key may have been created after it. It is ignored
+   unless it is proven; then R no longer belongs to the registry's history, and the snapshot replaces the
+   copy.
 4. Silence is never a removal.
 
-No key comes back that had ended: every answer that could still hold it lies behind R.
+A removed key never reappears: every answer that could still contain it is older than R.
 
-A registry that answers for one name at a time (ephemeral nodes: the names as a list, each node by itself) has
-no one revision for all that is held. `Names` keeps the same two statements for each name: a name that is
-absent from a list that was asked for after it was held has ended, and a node that was made no later than its
-own known end is told by a host that lags. Its standings are those above, by the same words.
+A registry that answers for one name at a time (ephemeral nodes: the names as a list, each node separately)
+has no single revision for the whole copy. `Names` ensures the same for each name: a name that is absent from
+a list requested after the name was recorded has been removed, and a node created no later than the known
+removal of its name comes from a lagging host. Its standings are the same.
 
-Bounds: `ENTRIES_MOST` entries. Beyond it the rest, in the order of the keys, is left out and counted, so that
-a registry that is used for something else as well can't take this program's memory.
+Bounds: at most `ENTRIES_MOST` entries. Further ones, in the order of the keys, are left out and counted, so
+that a registry that is also used for other purposes can't exhaust this program's memory.
 """
 
 from __future__ import annotations
@@ -60,10 +62,10 @@
 from typing import Generic, TypeVar
 
 ENTRIES_MOST = 20_000
-ENDED_MOST = 20_000  # ends of names that are remembered; beyond it the oldest could be told of again
+ENDED_MOST = 20_000  # removals of names that are remembered; a name whose removal is forgotten may reappear
 
 
-class Standing(Enum):
+class SyncState(Enum):
     READING = "reading"
     FOLLOWING = "following"
     BROKEN = "broken"
@@ -73,9 +75,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One key's value. `created` tells lives apart: a key that was removed and put back has another.
+    """The value of a key, and the revisions of its creation and of its last change.
 
-    Sources keep no more of a value than it takes to see that it is too large: what is held is bounded.
+    A key that was removed and created again has another `created`. Sources truncate a value just beyond the
+    maximum length, so that the memory for entries is bounded.
     """
 
     value: bytes
@@ -88,137 +91,143 @@
 
 @dataclass(slots=True, frozen=True)
 class Read:
-    """Read all there is; `proven`: from the registry's leader."""
+    """Read a snapshot of the registry; `proven`: confirmed by the registry's leader."""
 
     proven: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Ask for all changes after a revision."""
+    """Request all changes after a revision."""
 
     after: int
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """These keys have changed; None: removed."""
+    """Report changed keys; None: removed."""
 
     entries: Mapping[str, Entry | None]
-    whole: bool = False  # after it, all that is held has been told
+    whole: bool = False  # from a snapshot: the whole copy has been reported after this
 
 
 @dataclass(slots=True, frozen=True)
 class Contact:
-    """Whether what is held is as the registry has it, as far as can be known."""
+    """Report whether the copy is up to date, as far as can be known."""
 
     good: bool
 
 
 Order = Read | Watch | Tell | Contact
 
-LIVE = (Standing.FOLLOWING, Standing.CATCHING_UP)
+CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
 
 class CatchUp:
-    """`keeps_history`: the registry can tell the changes after a revision (etcd), not only all there is."""
+    """The copy of a registry and its standing; see the tables above.
+
+    `keeps_history`: the registry can send the changes after a revision (etcd), not only snapshots.
+    """
 
     def __init__(self, keeps_history: bool) -> None:
         self.keeps_history = keeps_history
-        self.standing = Standing.READING
+        self.standing = SyncState.READING
         self.revision = 0
         self.entries: dict[str, Entry] = {}
-        self.left_out = 0  # entries beyond the bound, at the last snapshot
-        self.behind = 0  # answers that lay behind what is held
-        self.began_anew = 0  # times that the registry's history began anew
-        self.head = 0  # the revision up to which a gap reaches
+        self.left_out = 0  # entries beyond the bound in the last snapshot
+        self.behind = 0  # number of answers older than the copy
+        self.began_anew = 0  # number of restarts of the registry's history
+        self.gap_end = 0  # revision up to which a gap must be filled
 
     # Contact
 
     def opened(self) -> list[Order]:
-        """An endpoint can be asked."""
-        if self.standing is Standing.READING:
+        """An endpoint is connected."""
+        if self.standing is SyncState.READING:
             return [Read()]
-        self.standing = Standing.CATCHING_UP
+        self.standing = SyncState.CATCHING_UP
         return [Watch(self.revision)] if self.keeps_history else [Read()]
 
     def lost(self) -> list[Order]:
-        if self.standing is not Standing.READING:
-            self.standing = Standing.BROKEN
+        if self.standing is not SyncState.READING:
+            self.standing = SyncState.BROKEN
         return [Contact(False)]
 
     # Answers
 
     def snapshot(self, revision: int, entries: Mapping[str, Entry], proven: bool) -> list[Order]:
-        """All there is, as of a revision."""
+        """A snapshot of the registry as of a revision."""
         if revision < self.revision:
             if not proven:
-                return self._lies_behind()
+                return self._handle_outdated()
             self.behind += 1
             self.began_anew += 1
-        kept = dict(entries)
-        if len(kept) > ENTRIES_MOST:
-            kept = {key: kept[key] for key in sorted(kept)[:ENTRIES_MOST]}
-        self.left_out = len(entries) - len(kept)
-        changed: dict[str, Entry | None] = {key: None for key in self.entries if key not in kept}
-        changed |= {key: entry for key, entry in kept.items() if self.entries.get(key) != entry}
-        self.entries, self.revision = kept, revision
-        self.standing = Standing.FOLLOWING
+        retained = dict(entries)
+        if len(retained) > ENTRIES_MOST:
+            retained = {key: retained[key] for key in sorted(retained)[:ENTRIES_MOST]}
+        self.left_out = len(entries) - len(retained)
+        changed: dict[str, Entry | None] = {key: None for key in self.entries if key not in retained}
+        changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
+        self.entries, self.revision = retained, revision
+        self.standing = SyncState.FOLLOWING
         return [Tell(changed, whole=True), Contact(True), Watch(revision)]
 
-    def watching(self, head: int) -> list[Order]:
-        """A watch has been opened; the registry was at `head` then."""
-        if self.standing not in LIVE:
+    def watching(self, current_revision: int) -> list[Order]:
+        """A watch was opened when the registry was at `current_revision`."""
+        if self.standing not in CONNECTED_STATES:
             return []
-        if head < self.revision:
-            return self._lies_behind()
-        self.head = head
-        return self._caught_up()
+        if current_revision < self.revision:
+            return self._handle_outdated()
+        self.gap_end = current_revision
+        return self._check_caught_up()
 
     def changes(self, revision: int, entries: Iterable[tuple[str, Entry | None]]) -> list[Order]:
-        """All changes after what was heard before, up to a revision; in the order in which they happened."""
-        if self.standing not in LIVE or revision <= self.revision:
+        """All changes since the last event, up to a revision, in the order in which they happened."""
+        if self.standing not in CONNECTED_STATES or revision <= self.revision:
             return []
-        told: dict[str, Entry | None] = {}
+        reported: dict[str, Entry | None] = {}
         for key, entry in entries:
             if entry is None:
-                if self.entries.pop(key, None) is not None or key in told:
-                    told[key] = None
+                if self.entries.pop(key, None) is not None or key in reported:
+                    reported[key] = None
             elif entry.modified > self.revision and (key in self.entries or len(self.entries) < ENTRIES_MOST):
-                self.entries[key] = told[key] = entry
+                self.entries[key] = reported[key] = entry
         self.revision = revision
-        return [Tell(told), *self._caught_up()] if told else self._caught_up()
+        return [Tell(reported), *self._check_caught_up()] if reported else self._check_caught_up()
 
     def quiet(self, revision: int) -> list[Order]:
-        """Nothing else has happened up to a revision: what is held is as the registry has it."""
-        if self.standing not in LIVE:
+        """There are no further changes up to a revision: the copy is up to date."""
+        if self.standing not in CONNECTED_STATES:
             return []
         if revision < self.revision:
-            return self._lies_behind()
+            return self._handle_outdated()
         self.revision = revision
-        return self._caught_up()
+        return self._check_caught_up()
 
     def compacted(self) -> list[Order]:
-        """What happened after the revision that is held can't be told any more."""
-        self.standing = Standing.CATCHING_UP
+        """The registry no longer has the changes after the revision of the copy."""
+        self.standing = SyncState.CATCHING_UP
         return [Read(proven=True)]
 
     def doubted(self) -> list[Order]:
-        """An answer came from an endpoint that has lost its leader, or has not heard of it for too long."""
-        if self.standing is Standing.READING:
+        """An answer came from an endpoint that has had no contact with its leader for too long."""
+        if self.standing is SyncState.READING:
             return [Read(proven=True)]
-        self.standing = Standing.UNCERTAIN
+        self.standing = SyncState.UNCERTAIN
         return [Contact(False), Read(proven=True)]
 
-    def _lies_behind(self) -> list[Order]:
-        """An endpoint that lags, or a history that began anew: only the registry's leader can tell."""
+    def _handle_outdated(self) -> list[Order]:
+        """An answer was older than the copy: the endpoint lags, or the registry's history restarted.
+
+        Only the registry's leader can tell which.
+        """
         self.behind += 1
-        self.standing = Standing.UNCERTAIN
+        self.standing = SyncState.UNCERTAIN
         return [Contact(False), Read(proven=True)]
 
-    def _caught_up(self) -> list[Order]:
-        if self.standing is Standing.CATCHING_UP and self.revision >= self.head:
-            self.standing = Standing.FOLLOWING
+    def _check_caught_up(self) -> list[Order]:
+        if self.standing is SyncState.CATCHING_UP and self.revision >= self.gap_end:
+            self.standing = SyncState.FOLLOWING
             return [Contact(True)]
         return []
 
@@ -226,87 +235,92 @@
 Value = TypeVar("Value")
 
 
-class Lives(Generic[Value]):
-    """Since when each key's present life is known, and what was made of its value.
+class CreationTracker(Generic[Value]):
+    """Tracks since when the current creation of each key is known, and parses the values.
 
-    A registry of keys does not tell when a key was made. What stands in the very first snapshot may be of any
-    age, and is no news of a start. What comes later is a start now, unless it says better itself: too cold
-    costs a share of one server for a while, too warm may push it over.
+    A registry of keys does not report when a key was created. Keys in the first snapshot may be of any age
+    and count as no start. A key that appears later counts as a server start at that time, unless its value
+    gives a start time: a server taken for too cold loses a share of its load for a while, one taken for too
+    warm may be overloaded.
     """
 
-    def __init__(self, make: Callable[[str, Entry, int], Value | None]) -> None:
-        self.make = make
-        # Of each key's present life its creation, and since when it is known: wall clock, 0 where it was
-        # there before anything was known.
-        self.seen: dict[str, tuple[int, int]] = {}
-        self.began = False
-
-    def take(self, told: Tell, wall_ms: int) -> dict[str, Value | None]:
-        """What follows for each key that changed; None: it has gone, or its value is of no use."""
-        made: dict[str, Value | None] = {}
-        for key, entry in told.entries.items():
+    def __init__(self, parse: Callable[[str, Entry, int], Value | None]) -> None:
+        self.parse = parse
+        # By key: `created` of its current creation, and the wall-clock milliseconds since when that is known;
+        # 0 for a key of the first snapshot.
+        self.creations: dict[str, tuple[int, int]] = {}
+        self.has_snapshot = False
+
+    def update(self, changes: Tell, wall_ms: int) -> dict[str, Value | None]:
+        """The parsed value of each key that changed; None: it was removed, or its value is unusable."""
+        parsed: dict[str, Value | None] = {}
+        for key, entry in changes.entries.items():
             if entry is None:
-                self.seen.pop(key, None)
-                made[key] = None
+                self.creations.pop(key, None)
+                parsed[key] = None
                 continue
-            known = self.seen.get(key)
+            known = self.creations.get(key)
             if known is None or known[0] != entry.created:
-                known = self.seen[key] = entry.created, wall_ms if self.began else 0
-            made[key] = self.make(key, entry, known[1])
-        self.began = self.began or told.whole
-        return made
+                known = self.creations[key] = entry.created, wall_ms if self.has_snapshot else 0
+            parsed[key] = self.parse(key, entry, known[1])
+        self.has_snapshot = self.has_snapshot or changes.whole
+        return parsed
 
 
 class Names:
-    """Which names are held, by the revision of their making, and which have ended."""
+    """The current and the removed names of a registry that answers for one name at a time."""
 
     def __init__(self) -> None:
-        self.held: dict[str, int] = {}
-        self.ended: dict[str, int] = {}
-        self.standing = Standing.READING
-        self.was_whole = False
+        self.held: dict[str, int] = {}  # revision of creation, by current name
+        self.ended: dict[str, int] = {}  # the same, by removed name
+        self.standing = SyncState.READING
+        self.has_full_list = False
 
     # Contact
 
     def opened(self) -> None:
-        """An endpoint can be asked; all that is held has to be told anew."""
-        self.standing = Standing.CATCHING_UP if self.was_whole else Standing.READING
+        """An endpoint is connected; all names must be listed and read again."""
+        self.standing = SyncState.CATCHING_UP if self.has_full_list else SyncState.READING
 
     def lost(self) -> None:
-        if self.was_whole:
-            self.standing = Standing.BROKEN
+        if self.has_full_list:
+            self.standing = SyncState.BROKEN
 
     def whole(self) -> None:
-        """All names have been told since contact came back."""
-        self.was_whole = True
-        self.standing = Standing.FOLLOWING
+        """All names have been received since contact came back."""
+        self.has_full_list = True
+        self.standing = SyncState.FOLLOWING
 
     # Names
 
-    def takes(self, name: str, made: int) -> bool:
-        """Hold a name that was told of; False where that is older than its known end: the endpoint lags."""
-        if made <= self.ended.get(name, 0):
-            self.standing = Standing.UNCERTAIN
+    def takes(self, name: str, created: int) -> bool:
+        """Record a name; False if its creation is older than its known removal: the endpoint lags.
+
+        `created` is the revision of the node's creation.
+        """
+        if created <= self.ended.get(name, 0):
+            self.standing = SyncState.UNCERTAIN
             return False
-        self.held[name] = made
+        self.held[name] = created
         return True
 
     def drop(self, name: str) -> None:
-        """What is told of a name is of no use; that is no end."""
+        """Drop a name without recording a removal: its node is missing or unusable."""
         self.held.pop(name, None)
 
     def end(self, name: str) -> None:
-        made = self.held.pop(name, None)
-        if made is None:
+        """Record the removal of a name."""
+        created = self.held.pop(name, None)
+        if created is None:
             return
         self.ended.pop(name, None)
-        self.ended[name] = made
+        self.ended[name] = created
         if len(self.ended) > ENDED_MOST:
             del self.ended[next(iter(self.ended))]
 
     def absent(self, listed: set[str]) -> list[str]:
-        """The names that have ended, for a list without them came after they were held."""
-        gone = [name for name in self.held if name not in listed]
-        for name in gone:
+        """Remove the names that a list requested after they were recorded lacks; returns them."""
+        removed = [name for name in self.held if name not in listed]
+        for name in removed:
             self.end(name)
-        return gone
+        return removed
--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from garnethaven.membership.catchup import Entry, Lives, Tell
+from garnethaven.membership.catchup import CreationTracker, Entry, Tell
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import Payload, PayloadError
 
@@ -21,13 +21,13 @@
     def __init__(self, prefix: str, payload: Payload) -> None:
         self.prefix = prefix
         self.payload = payload
-        self.lives: Lives[Fact] = Lives(self._read)
+        self.creations: CreationTracker[Fact] = CreationTracker(self._read)
         self.flaws: Counter[str] = Counter()  # entries that could not be used, by reason, since the start
         self.told: dict[tuple[str, int], None] = {}  # the oldest first
         self.unsaid: list[str] = []  # lines for the log
 
     def take(self, told: Tell, wall_ms: int) -> dict[str, Fact | None]:
-        made = self.lives.take(told, wall_ms)
+        made = self.creations.update(told, wall_ms)
         return {self.prefix + key: fact for key, fact in made.items()}
 
     def _read(self, key: str, entry: Entry, since_ms: int) -> Fact | None:
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("complete", [True, False])
-@pytest.mark.parametrize("reverse", [False, True])
+@pytest.mark.parametrize("turned", [False, True])
 @pytest.mark.parametrize(
     ("one", "other", "state", "started"),
     [
@@ -128,10 +128,10 @@
     ],
 )
 def test_of_an_endpoint_that_is_listed_twice_the_stricter_phase_and_the_later_start_count(
-    one: dict[str, Any], other: dict[str, Any], state: State, started: int, reverse: bool, complete: bool
+    one: dict[str, Any], other: dict[str, Any], state: State, started: int, turned: bool, complete: bool
 ) -> None:
     repeated = [entry(**one), entry(**other)]
-    listed = read([*(reversed(repeated) if reverse else repeated), entry("s1")], complete)
+    listed = read([*(reversed(repeated) if turned else repeated), entry("s1")], complete)
     found = {name_of(endpoint.id): endpoint for endpoint, _ in listed.entries}
     assert len(listed.entries) == 2 and found["s1"].state is State.UP
     assert (found["s0"].state, found["s0"].started) == (state, started)
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -1,4 +1,4 @@
-"""Every removal is found and none that had ended comes back: an exhaustive walk, and each case by itself."""
+"""Every removal is detected and no removed key reappears: an exhaustive walk, and each case separately."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from garnethaven.membership.catchup import (
     CatchUp,
     Contact,
+    CreationTracker,
     Entry,
-    Lives,
     Names,
     Order,
     Read,
-    Standing,
+    SyncState,
     Tell,
     Watch,
 )
 
 KEYS = "abc"
-Op = tuple[str, bool]  # a key, and whether it is put (or removed)
+Op = tuple[str, bool]  # a key, and whether it is put (else it is removed)
 
 
 @dataclass
 class Registry:
-    """The truth, and all of its history."""
+    """The registry's actual state and its complete history."""
 
     revision: int = 1
     entries: dict[str, Entry] = field(default_factory=dict)
     history: list[tuple[int, str, Entry | None]] = field(default_factory=list)
-    old: dict[int, dict[str, Entry]] = field(default_factory=dict)
+    snapshots: dict[int, dict[str, Entry]] = field(default_factory=dict)
     compacted: int = 0
 
     def do(self, op: Op) -> None:
@@ -45,92 +45,94 @@
         else:
             del self.entries[key]
         self.history.append((self.revision, key, self.entries.get(key)))
-        self.old[self.revision] = dict(self.entries)
+        self.snapshots[self.revision] = dict(self.entries)
 
     def since(self, revision: int) -> list[tuple[int, str, Entry | None]]:
-        return [one for one in self.history if one[0] > revision]
+        return [change for change in self.history if change[0] > revision]
 
 
 class Follower:
-    """Carries out the orders against the registry, as a source does, and keeps what was told."""
+    """Executes the orders against the registry, as a source does, and keeps what was reported."""
 
     def __init__(self, registry: Registry, keeps_history: bool) -> None:
         self.registry = registry
         self.core = CatchUp(keeps_history)
-        self.told: dict[str, Entry] = {}
-        self.watches_after: int | None = None
-        self.lags_to: int | None = None  # the next unproven answer is of this old revision
+        self.reported: dict[str, Entry] = {}
+        self.watched_after: int | None = None
+        self.lagging_revision: int | None = None  # the next unproven answer has this old revision
         self.good = False
 
-    def carry_out(self, orders: list[Order]) -> None:
+    def execute(self, orders: list[Order]) -> None:
         registry = self.registry
-        waiting = list(orders)
+        pending = list(orders)
         for _ in range(20):
-            if not waiting:
+            if not pending:
                 return
-            order = waiting.pop(0)
+            order = pending.pop(0)
             if isinstance(order, Tell):
                 for key, entry in order.entries.items():
                     if entry is None:
-                        del self.told[key]  # an end that was never told of is an error
+                        del self.reported[key]  # the removal of an unreported key is an error
                     else:
-                        self.told[key] = entry
+                        self.reported[key] = entry
             elif isinstance(order, Contact):
                 self.good = order.good
             elif isinstance(order, Read):
                 at, entries = registry.revision, registry.entries
-                if self.lags_to is not None and not order.proven:
-                    at, entries = self.lags_to, registry.old.get(self.lags_to, {})
-                    self.lags_to = None
-                waiting += self.core.snapshot(at, entries, order.proven)
+                if self.lagging_revision is not None and not order.proven:
+                    at, entries = self.lagging_revision, registry.snapshots.get(self.lagging_revision, {})
+                    self.lagging_revision = None
+                pending += self.core.snapshot(at, entries, order.proven)
             elif isinstance(order, Watch):
                 if self.core.keeps_history and order.after < registry.compacted:
-                    waiting += self.core.compacted()
+                    pending += self.core.compacted()
                     continue
-                self.watches_after = order.after
+                self.watched_after = order.after
                 if self.core.keeps_history:
-                    waiting += self.core.watching(registry.revision)
+                    pending += self.core.watching(registry.revision)
                     for revision, key, entry in registry.since(order.after):
-                        waiting += self.core.changes(revision, [(key, entry)])
-                elif order.after < registry.revision:  # a blocking read returns at once
-                    waiting += self.core.snapshot(registry.revision, registry.entries, proven=False)
-        assert not waiting, "the orders never end"
+                        pending += self.core.changes(revision, [(key, entry)])
+                elif order.after < registry.revision:  # a blocking query returns at once
+                    pending += self.core.snapshot(registry.revision, registry.entries, proven=False)
+        assert not pending, "the orders never end"
 
-    def hears_late(self) -> None:
-        """Everything that ever happened, out of order, on the open watch: nothing follows."""
+    def receive_out_of_order(self) -> None:
+        """Receive the whole history again, out of order, on the open watch: this has no effect."""
         if self.core.keeps_history:
             for revision, key, entry in reversed(self.registry.history):
-                self.carry_out(self.core.changes(revision, [(key, entry)]))
+                self.execute(self.core.changes(revision, [(key, entry)]))
 
-    def hears(self, op: Op) -> None:
-        """A change, as the open watch tells it: alone, or as all there is."""
+    def receive(self, op: Op) -> None:
+        """Receive a change as the open watch reports it: by itself or as a snapshot."""
         key, _ = op
         revision = self.registry.revision
         if self.core.keeps_history:
-            self.carry_out(self.core.changes(revision, [(key, self.registry.entries.get(key))]))
+            self.execute(self.core.changes(revision, [(key, self.registry.entries.get(key))]))
         else:
-            self.carry_out(self.core.snapshot(revision, self.registry.entries, proven=False))
+            self.execute(self.core.snapshot(revision, self.registry.entries, proven=False))
 
 
 def histories(length: int) -> Iterator[list[Op]]:
-    """All of this many changes over three keys, up to the names of the keys."""
+    """All histories of `length` changes over three keys, except for permutations of the keys."""
 
-    def go(ops: list[Op], there: frozenset[str], named: int) -> Iterator[list[Op]]:
+    def go(ops: list[Op], present: frozenset[str], used_keys: int) -> Iterator[list[Op]]:
         if len(ops) == length:
             yield ops
             return
-        for key in KEYS[: named + 1]:
-            known = max(named, KEYS.index(key) + 1)
-            yield from go([*ops, (key, True)], there | {key}, min(known, len(KEYS) - 1) if known < 3 else 3)
-            if key in there:
-                yield from go([*ops, (key, False)], there - {key}, known)
+        for key in KEYS[: used_keys + 1]:
+            key_count = max(used_keys, KEYS.index(key) + 1)
+            yield from go(
+                [*ops, (key, True)], present | {key}, min(key_count, len(KEYS) - 1) if key_count < 3 else 3
+            )
+            if key in present:
+                yield from go([*ops, (key, False)], present - {key}, key_count)
 
     yield from go([], frozenset(), 0)
 
 
 @pytest.mark.parametrize("keeps_history", [True, False])
 def test_every_removal_is_found_and_no_key_comes_back(keeps_history: bool) -> None:
-    """Three keys, six events; a break over each span, compaction, answers from behind or told twice."""
+    """Three keys, six changes; a break over each span, compaction, outdated and duplicate answers."""
     walked = removals_in_gaps = 0
     for ops in histories(6):
         for first in range(7):
@@ -148,36 +150,40 @@
 def walk(ops: list[Op], first: int, last: int, compacts: bool, lags: int, keeps_history: bool) -> None:
     registry = Registry()
     follower = Follower(registry, keeps_history)
-    follower.carry_out(follower.core.opened())
+    follower.execute(follower.core.opened())
     for number, op in enumerate(ops):
         if number == first:
-            follower.carry_out(follower.core.lost())
+            follower.execute(follower.core.lost())
             assert not follower.good
         if number == last:
-            back(follower, compacts, lags)
+            reconnect(follower, compacts, lags)
         registry.do(op)
         if not first <= number < last:
-            follower.hears(op)
-            follower.hears(op)  # told twice: nothing happens
-            follower.hears_late()
+            follower.receive(op)
+            follower.receive(op)  # a duplicate has no effect
+            follower.receive_out_of_order()
             if number >= last or number < first:
-                assert follower.told == registry.entries or first == last == number + 1, (ops, first, last)
+                assert follower.reported == registry.entries or first == last == number + 1, (
+                    ops,
+                    first,
+                    last,
+                )
     if last == len(ops):
         if first == len(ops):
-            follower.carry_out(follower.core.lost())
-        back(follower, compacts, lags)
-    assert follower.good and follower.core.standing is Standing.FOLLOWING
-    assert follower.told == registry.entries == follower.core.entries, (ops, first, last, compacts, lags)
+            follower.execute(follower.core.lost())
+        reconnect(follower, compacts, lags)
+    assert follower.good and follower.core.standing is SyncState.FOLLOWING
+    assert follower.reported == registry.entries == follower.core.entries, (ops, first, last, compacts, lags)
 
 
-def back(follower: Follower, compacts: bool, lags: int) -> None:
-    """Contact comes back; history may be gone, or the first answer may lie behind."""
+def reconnect(follower: Follower, compacts: bool, lags: int) -> None:
+    """Contact comes back; history may be compacted, or the first answer may be outdated."""
     registry = follower.registry
     if compacts:
         registry.compacted = registry.revision
     if lags and registry.revision - lags >= 1:
-        follower.lags_to = registry.revision - lags
-    follower.carry_out(follower.core.opened())
+        follower.lagging_revision = registry.revision - lags
+    follower.execute(follower.core.opened())
 
 
 def entry(created: int, modified: int = 0) -> Entry:
@@ -197,7 +203,7 @@
     assert core.lost() == [Contact(False)]
     assert set(core.entries) == {"a"}
     assert core.opened() == [Watch(10)]
-    assert core.standing is Standing.CATCHING_UP
+    assert core.standing is SyncState.CATCHING_UP
 
 
 def test_contact_is_good_only_when_the_gap_has_been_told() -> None:
@@ -222,7 +228,7 @@
 def test_an_unproven_answer_from_behind_is_not_believed_either_way() -> None:
     core = followed(False, a=entry(3))
     assert core.snapshot(9, {"b": entry(2)}, proven=False) == [Contact(False), Read(proven=True)]
-    assert core.standing is Standing.UNCERTAIN
+    assert core.standing is SyncState.UNCERTAIN
     assert set(core.entries) == {"a"}
     assert core.behind == 1
 
@@ -239,7 +245,7 @@
     core.lost()
     core.opened()
     assert core.watching(9) == [Contact(False), Read(proven=True)]
-    assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is not believed
+    assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
     assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [Contact(True), Watch(11)]
     assert core.quiet(8) == [Contact(False), Read(proven=True)]
 
@@ -248,7 +254,7 @@
     core = followed(a=entry(3))
     orders = core.changes(12, [("a", None), ("a", entry(12))])
     assert orders == [Tell({"a": entry(12)})]
-    assert core.changes(13, [("z", None)]) == []  # a key that was never told of
+    assert core.changes(13, [("z", None)]) == []  # a key that was never reported
 
 
 def test_what_comes_after_a_watch_was_given_up_is_not_taken() -> None:
@@ -281,90 +287,91 @@
 
 
 def test_since_when_a_life_is_known() -> None:
-    lives: Lives[int] = Lives(lambda key, entry, since_ms: since_ms)
-    assert lives.take(Tell({"a": entry(3)}, whole=True), 1000) == {"a": 0}  # there before anything was known
-    assert lives.take(Tell({"b": entry(11)}), 2000) == {"b": 2000}
-    assert lives.take(Tell({"b": entry(11, 12), "a": entry(3, 13)}), 3000) == {"b": 2000, "a": 0}
-    assert lives.take(Tell({"a": entry(14)}), 4000) == {"a": 4000}  # removed and put back: a new life
-    assert lives.take(Tell({"a": None}), 5000) == {"a": None}
-    assert lives.take(Tell({"a": entry(14)}), 6000) == {"a": 6000}
+    tracker: CreationTracker[int] = CreationTracker(lambda key, entry, since_ms: since_ms)
+    assert tracker.update(Tell({"a": entry(3)}, whole=True), 1000) == {"a": 0}  # of unknown age
+    assert tracker.update(Tell({"b": entry(11)}), 2000) == {"b": 2000}
+    assert tracker.update(Tell({"b": entry(11, 12), "a": entry(3, 13)}), 3000) == {"b": 2000, "a": 0}
+    assert tracker.update(Tell({"a": entry(14)}), 4000) == {"a": 4000}  # removed and created again
+    assert tracker.update(Tell({"a": None}), 5000) == {"a": None}
+    assert tracker.update(Tell({"a": entry(14)}), 6000) == {"a": 6000}
 
 
 # Registries that answer for one name at a time
 
 
 class Host:
-    """What one host of such a registry knows: it may lag behind what the truth is."""
+    """One host of such a registry, which may lag behind the actual state."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.at = 0  # 0: up to date, else the old revision that it is at
+        self.at = 0  # the old revision at which the host is; 0: up to date
 
     def entries(self) -> dict[str, Entry]:
-        return self.registry.old.get(self.at, {}) if self.at else self.registry.entries
+        return self.registry.snapshots.get(self.at, {}) if self.at else self.registry.entries
 
 
-def read_by_names(names: Names, host: Host, told: set[str], during: Op | None) -> bool:
-    """List, and read each node by itself; something may happen in between. False: the host lags."""
+def read_by_names(names: Names, host: Host, reported: set[str], during: Op | None) -> bool:
+    """List the names and read each node; `during` happens in between. False: the host lags."""
     names.opened()
     listed = set(host.entries())
-    told -= set(names.absent(listed))
+    reported -= set(names.absent(listed))
     if during is not None:
         host.registry.do(during)
         if not during[1]:
-            names.end(during[0])  # its event
-            told.discard(during[0])
+            names.end(during[0])  # the watch event of the removal
+            reported.discard(during[0])
     for name in sorted(listed):
         there = host.entries().get(name)
         if there is None:
             names.drop(name)
-            told.discard(name)
+            reported.discard(name)
         elif not names.takes(name, there.created):
             return False
         else:
-            told.add(name)
+            reported.add(name)
     names.whole()
     return True
 
 
 def test_by_names_too_every_removal_is_found_and_none_comes_back() -> None:
-    """Histories of five changes, a break over each span, one change while it reads, a host at each age."""
+    """Histories of five changes; a break over each span, one change during the read, a host at each age."""
     walked = lagged = 0
     for ops in histories(5):
         for first in range(1, 5):
             for last in range(first, 5):
                 for behind in range(0, last - first + 2):
                     registry = Registry()
-                    names, told, host = Names(), set[str](), Host(registry)
+                    names, reported, host = Names(), set[str](), Host(registry)
                     for op in ops[:first]:
                         registry.do(op)
-                    assert read_by_names(names, host, told, None)
-                    gone_before = set(names.ended)
+                    assert read_by_names(names, host, reported, None)
+                    removed_before = set(names.ended)
                     for op in ops[first:last]:
                         registry.do(op)
                         if not behind:
                             continue
-                        if op[1]:  # its event came and was read, and then the host went
+                        if op[1]:  # the event was received before the host was lost
                             assert names.takes(op[0], registry.entries[op[0]].created)
-                            told.add(op[0])
+                            reported.add(op[0])
                         else:
                             names.end(op[0])
-                            told.discard(op[0])
+                            reported.discard(op[0])
                     names.lost()
                     lagging = Host(registry)
                     lagging.at = max(1, registry.revision - behind) if behind else 0
                     if set(names.held) & set(registry.entries) - set(lagging.entries()):
-                        continue  # its session's zxid would turn it away: it lacks what was seen
-                    risen_from = set(names.ended) - set(registry.entries)
-                    if behind and not read_by_names(names, lagging, told, None):
+                        continue  # the session's zxid rejects a host that lacks entries seen before
+                    removed_names = set(names.ended) - set(registry.entries)
+                    if behind and not read_by_names(names, lagging, reported, None):
                         lagged += 1
-                        assert names.standing is Standing.UNCERTAIN
-                    assert not told & risen_from, (ops, first, last, behind)  # none came back
-                    assert read_by_names(names, host, told, ops[last])
-                    assert told == names.held.keys()
-                    late = {ops[last][0]} if ops[last][1] else set()  # made while it read: its event tells it
-                    assert told | late == set(registry.entries) | late, (ops, first, last, behind)
-                    assert gone_before <= set(names.ended) | set(registry.entries)
+                        assert names.standing is SyncState.UNCERTAIN
+                    assert not reported & removed_names, (ops, first, last, behind)  # none reappeared
+                    assert read_by_names(names, host, reported, ops[last])
+                    assert reported == names.held.keys()
+                    # A name created during the read is reported by its own event.
+                    late = {ops[last][0]} if ops[last][1] else set()
+                    assert reported | late == set(registry.entries) | late, (ops, first, last, behind)
+                    assert removed_before <= set(names.ended) | set(registry.entries)
                     walked += 1
     assert walked > 3_000 and lagged > 100
 
@@ -372,12 +379,12 @@
 def test_standings_of_names() -> None:
     names = Names()
     names.lost()
-    assert names.standing is Standing.READING
+    assert names.standing is SyncState.READING
     for call, standing in (
-        (names.whole, Standing.FOLLOWING),
-        (names.lost, Standing.BROKEN),
-        (names.opened, Standing.CATCHING_UP),
-        (names.whole, Standing.FOLLOWING),
+        (names.whole, SyncState.FOLLOWING),
+        (names.lost, SyncState.BROKEN),
+        (names.opened, SyncState.CATCHING_UP),
+        (names.whole, SyncState.FOLLOWING),
     ):
         call()
         assert names.standing is standing
