--- a/garnethaven/membership/merger.py
+++ b/garnethaven/membership/merger.py
@@ -1,7 +1,7 @@
-"""Where all sources meet: the model's changes are handed to the transport and the module, in batches.
+"""Merges the facts of all sources and passes the resulting changes on in batches.
 
-Loop and timers are here; which changes there are is decided in model.py, when they are handed over in
-batches.py.
+This module holds the event loop and the timers; model.py computes the changes, and batches.py decides when
+they are passed on.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from garnethaven.membership.model import Fact, Member, Model
 from garnethaven.membership.table import DISCOVERY
 
-MANY_PART, MANY_LEAST = 0.25, 2  # of the servers, and how many at least: worth a line
+# A removal of this share of the servers, and of at least this many, is logged.
+MASS_REMOVAL_SHARE, MASS_REMOVAL_MIN = 0.25, 2
 Entries = list[tuple[Endpoint, Address | None]]
 Learn = Callable[[ListKind, Entries], None]
 
 
 class Merger:
-    """Takes facts from sources, and tells `learn` what follows from them."""
+    """Takes facts from sources and passes the resulting list changes to `learn`."""
 
     def __init__(
         self,
@@ -37,20 +38,20 @@
         self.batches = Batches()
         self.timer: asyncio.TimerHandle | None = None
         self.handed_over = 0
-        self.changed: list[Callable[[], None]] = []  # called after each hand-over
+        self.changed: list[Callable[[], None]] = []  # callbacks, called after each flush
 
     # Sources
 
     def snapshot(self, name: str, facts: Mapping[str, Fact]) -> None:
         self.model.snapshot(name, facts, self.loop.time())
-        self._soon()
+        self._schedule_flush()
 
     def change(self, name: str, facts: Mapping[str, Fact | None]) -> None:
         self.model.change(name, facts, self.loop.time())
-        self._soon()
+        self._schedule_flush()
 
     def from_discovery(self, kind: ListKind, entries: Entries) -> None:
-        """Discovery's lists, in the place of the transport's own `learn`."""
+        """Take a list from discovery; replaces the transport's `learn` there."""
         facts: dict[str, Fact | None] = {
             str(entry.id): Fact(address, entry) if address is not None else None
             for entry, address in entries
@@ -63,41 +64,41 @@
             known = {key: fact for key, fact in facts.items() if fact is not None}
             self.model.snapshot(DISCOVERY, known, self.loop.time())
         self.model.regained(DISCOVERY)
-        self.flush()  # the module waits for discovery's answer, also where nothing has changed
+        self.flush()  # the engine waits for discovery's answer, even if nothing changed
 
-    # Handing over
+    # Passing changes on
 
-    def _soon(self) -> None:
-        if not self.model.pending() or self.timer is not None:
+    def _schedule_flush(self) -> None:
+        if not self.model.has_changes() or self.timer is not None:
             return
-        wait = self.batches.wait_s(self.loop.time())
-        if wait <= 0.0:
+        delay = self.batches.wait_s(self.loop.time())
+        if delay <= 0.0:
             self.flush()
         else:
-            self.timer = self.loop.call_later(wait, self.flush)
+            self.timer = self.loop.call_later(delay, self.flush)
 
     def flush(self) -> None:
-        """Hand over all changes now."""
+        """Pass all pending changes on now."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        began = self.loop.time()
-        before = len(self.model.members)
-        changed = self.model.taken()
+        started_at = self.loop.time()
+        count_before = len(self.model.members)
+        changed = self.model.take_changes()
         self.learn(ListKind.DELTA, [(member.entry, member.address) for member in changed])
-        self._note_many(changed, before)
+        self._log_mass_removal(changed, count_before)
         self.handed_over += 1
-        self.batches.done(began, self.loop.time())
-        for tell in self.changed:
-            tell()
-
-    def _note_many(self, changed: list[Member], before: int) -> None:
-        """Many ends at once are believed as one is; a human may want to know."""
-        gone = [member for member in changed if member.entry.state is State.REMOVED]
-        if len(gone) >= MANY_LEAST and len(gone) >= MANY_PART * before:
-            owners = ", ".join(sorted({member.source for member in gone}))
+        self.batches.done(started_at, self.loop.time())
+        for callback in self.changed:
+            callback()
+
+    def _log_mass_removal(self, changed: list[Member], total: int) -> None:
+        """Log a removal of many servers at once, which takes effect like any other."""
+        removed = [member for member in changed if member.entry.state is State.REMOVED]
+        if len(removed) >= MASS_REMOVAL_MIN and len(removed) >= MASS_REMOVAL_SHARE * total:
+            sources = ", ".join(sorted({member.source for member in removed}))
             self.log(
-                f"{owners}: {len(gone)} of {before} servers have vanished at once; nothing more is sent there"
+                f"{sources}: {len(removed)} of {total} servers have vanished at once; they get no more requests"
             )
 
     def close(self) -> None:
--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -1,34 +1,35 @@
-"""One list of servers from several sources, with a reason for each entry. No I/O, no clock.
-
-Theory. A *source* tells *facts*, each under a key of its own (a name, a node's path): an address, what is
-known of the server there, and its place in the order of that source's creations. A server is an address;
-whoever tells of the same address tells of the same server, and all instances number it alike, by its
-address.
-
-- *Within a source* the newest fact of an address counts. A server that came back quickly stands there twice
-  until its old session ends, and the end of the old one must not take the new one away.
-- *Between sources* the first in precedence that tells of an address owns it; only its owner makes a server
-  usable. A source further down may drop it: while an estate moves from one registry to another, all are
-  dropped there.
-- *Gone is gone*. What its owner no longer tells of is gone at once, though sources further down still tell
-  of it: what they say is older than the end. It comes back when any source says something new: a fact that
-  differs from the one that it told before the end.
-- *Unless it moves*. Where the operator says that servers move from one source to another, an end in the one
-  changes the owner, if the other tells of the address and is in contact: the server was never gone, and its
-  start is the one that was known, unless the new fact proves another.
-- *A zone may have its own precedence*: the zone that the first of its sources tells counts.
-- *DRAINING anywhere wins*, whoever says it, as long as it is the newest that its source says of that address.
-- *A start anew* is cold. A fact of another creation is another life, unless both tell the same start time,
-  which proves that the process never stopped. Of several starts the latest counts: too cold costs a share
-  of one server, too warm may push it over.
-- *Lost contact* says nothing of servers: the last facts stay, and their age is stated.
-
-| an entry's reason | means |
+"""Merges servers from several sources into one list, with a reason for each entry. No I/O, no clock.
+
+A *source* reports *facts*, each under a key of its own (a name, a node's path): an address, what is known of
+the server there, and the position of the fact in the source's order of creations. A server is identified by
+its address: sources that report the same address report the same server, and all instances derive the same
+number from the address.
+
+- *Within a source* the newest fact of an address counts. A server that returned quickly is listed twice until
+  its old session expires, and the removal of the old fact must not remove the new one.
+- *Between sources* the first in precedence that lists an address owns it; only the owner makes a server
+  usable. A source with lower precedence may drop it: during a migration from one registry to another, all
+  servers are dropped there.
+- *Removals take effect at once*, even if sources with lower precedence still list the server, because their
+  facts are older than the removal. The server returns when a source reports something new: a fact that
+  differs from the one that the source reported before the removal.
+- *Moves*: where the operator declares that servers move from one source to another, a removal in the first
+  changes the owner, if the second lists the address and is in contact. The server is not removed in between
+  and keeps its known start time, unless the new fact proves another.
+- *A zone may have its own precedence*: the zone in the fact of the first source counts.
+- *DRAINING wins*, whichever source reports it, as long as it is in that source's newest fact of the address.
+- *A restarted server is cold*. A fact of another creation means a new process, unless both facts have the
+  same start time reported by the server, which proves that the process never stopped. Of several start times
+  the latest counts: a server assumed too cold costs a share of its capacity, one assumed too warm may be
+  overloaded.
+- *Lost contact* says nothing about servers: the last facts stay in use, and their age is reported.
+
+| reason of an entry | meaning |
 | --- | --- |
-| listed | its owner tells of it |
-| draining | some source says so |
-| vanished | its owner told of it and does no longer |
-| unlisted | nobody tells of it any more |
+| listed | its owner lists it |
+| draining | some source reports that it drains |
+| vanished | its owner listed it and no longer does |
+| unlisted | no source lists it any more |
 """
 
 from __future__ import annotations
@@ -50,12 +51,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Fact:
-    """What a source says under one key. `entry.id` is not used; the address numbers the server."""
+    """What a source reports under one key. `entry.id` is not used: the address determines the number."""
 
     address: Address
     entry: Endpoint
-    born: int = 0  # the order of creations in its source; the largest is the newest
-    proof: int = 0  # the start that the server itself tells (any unit, one for a source); 0: none
+    born: int = 0  # position in the source's order of creations; the largest is the newest
+    proof: int = 0  # start time reported by the server itself, in the source's unit; 0: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,17 +70,17 @@
 
 
 @dataclass(slots=True)
-class Source:
-    """One source's facts, and the newest of each address."""
+class SourceFacts:
+    """The facts of one source, by key and by address."""
 
     name: str
     facts: dict[str, Fact] = field(default_factory=dict)
     keys: dict[Address, set[str]] = field(default_factory=dict)
     lost_at: float | None = None
-    told_at: float | None = None
+    updated_at: float | None = None
 
-    def put(self, key: str, fact: Fact | None) -> set[Address]:
-        """Set or drop one fact; the addresses that this touches."""
+    def set_fact(self, key: str, fact: Fact | None) -> set[Address]:
+        """Set or drop one fact; returns the addresses that this affects."""
         touched: set[Address] = set()
         before = self.facts.pop(key, None)
         if before is not None:
@@ -102,24 +103,23 @@
 
 
 @dataclass(slots=True)
-class Life:
-    """What is remembered of one address: whose it is, and since when it has run."""
+class ServerRecord:
+    """What is stored for one address: its owner and the start time of its server."""
 
     owner: str
     fact: Fact
     started: int
-    ended: bool = False  # its owner has dropped it
-    stale: dict[str, Fact] = field(default_factory=dict)  # what others told at that moment
+    removed: bool = False  # dropped by its owner
+    stale_facts: dict[str, Fact] = field(default_factory=dict)  # the facts of the other sources at that time
 
 
 class Model:
-    """`precedence` names all sources, the first one being believed first.
+    """The merged list of servers. `precedence` names all sources, in descending precedence.
 
-    Feed it with `snapshot`, `change`, `lost` and `regained`; `taken` gives what has changed for the module
-    since.
+    Input comes by `snapshot`, `change`, `lost` and `regained`; `take_changes` returns the resulting changes.
     """
 
-    FORGOTTEN_MOST = 20_000  # addresses that are remembered after their end, against churn without an end
+    MAX_REMOVED_RECORDS = 20_000  # bounds memory under endless churn
 
     def __init__(
         self,
@@ -127,32 +127,32 @@
         moves: Iterable[tuple[str, str]] = (),
         zones: Mapping[int, tuple[str, ...]] | None = None,
     ) -> None:
-        self.sources = {name: Source(name) for name in precedence}
+        self.sources = {name: SourceFacts(name) for name in precedence}
         self.moves = frozenset(moves)
         self.zones = zones or {}
-        self.moved = 0  # servers that changed their owner without an end
-        self.lives: dict[Address, Life] = {}
+        self.moved = 0  # number of servers that changed their owner without a removal
+        self.records: dict[Address, ServerRecord] = {}
         self.members: dict[Address, Member] = {}
         self.dirty: set[Address] = set()
 
-    # What sources say
+    # Input from sources
 
     def snapshot(self, name: str, facts: Mapping[str, Fact], now: float) -> None:
-        """All that the source knows; what it told before and is not here has vanished."""
+        """Replace all facts of a source; earlier facts that are missing here are dropped."""
         source = self.sources[name]
         for key in [key for key in source.facts if key not in facts]:
-            self.dirty |= source.put(key, None)
+            self.dirty |= source.set_fact(key, None)
         self.change(name, facts, now)
 
     def change(self, name: str, facts: Mapping[str, Fact | None], now: float) -> None:
-        """Some facts anew; None drops one."""
+        """Set some facts of a source; None drops one."""
         source = self.sources[name]
-        source.told_at = now
+        source.updated_at = now
         for key, fact in facts.items():
-            self.dirty |= source.put(key, fact)
+            self.dirty |= source.set_fact(key, fact)
 
     def lost(self, name: str, now: float) -> None:
-        """Contact with the source is lost: nothing is dropped."""
+        """Contact with a source is lost: its facts stay."""
         source = self.sources[name]
         if source.lost_at is None:
             source.lost_at = now
@@ -161,110 +161,110 @@
         self.sources[name].lost_at = None
 
     def age_s(self, name: str, now: float) -> float:
-        """How long the source has been out of contact, in seconds; 0 while it is not."""
+        """Seconds since contact with the source was lost; 0 while there is contact."""
         lost_at = self.sources[name].lost_at
         return now - lost_at if lost_at is not None else 0.0
 
     # The merged list
 
-    def pending(self) -> bool:
+    def has_changes(self) -> bool:
         return bool(self.dirty)
 
-    def urgent(self) -> bool:
-        """Whether something that is in use may have ended: such news must not wait."""
+    def affects_members(self) -> bool:
+        """Whether a pending change concerns a current member."""
         return any(address in self.members for address in self.dirty)
 
-    def taken(self) -> list[Member]:
-        """The members that changed since it was last asked; gone ones as REMOVED."""
+    def take_changes(self) -> list[Member]:
+        """The members that changed since the last call; removed ones in the state REMOVED."""
         changed: list[Member] = []
         dirty, self.dirty = self.dirty, set()
         for address in sorted(dirty):
-            before, after = self.members.get(address), self._judge(address)
+            before, after = self.members.get(address), self._merge(address)
             if after is None or after.entry.state is State.REMOVED:
                 self.members.pop(address, None)
                 if before is not None:
-                    gone = replace(before.entry, state=State.REMOVED)
+                    removed = replace(before.entry, state=State.REMOVED)
                     reason = after.reason if after is not None else Reason.UNLISTED
-                    changed.append(Member(gone, address, before.source, reason))
+                    changed.append(Member(removed, address, before.source, reason))
             elif after != before:
                 self.members[address] = after
                 changed.append(after)
         self._forget()
         return changed
 
-    def _judge(self, address: Address) -> Member | None:
-        """The member that stands at an address now."""
-        told = {name: fact for name, source in self.sources.items() if (fact := source.newest(address))}
-        life = self.lives.get(address)
-        if life is not None and not life.ended and life.owner not in told:
-            heir = self._heir(life, told)
-            if heir is not None:
+    def _merge(self, address: Address) -> Member | None:
+        """The current member at an address; in the state REMOVED if its owner dropped it; None if unknown."""
+        facts = {name: fact for name, source in self.sources.items() if (fact := source.newest(address))}
+        record = self.records.get(address)
+        if record is not None and not record.removed and record.owner not in facts:
+            successor = self._successor(record, facts)
+            if successor is not None:
                 self.moved += 1
-                fact = told[heir]
-                stays = not fact.proof or not life.fact.proof or fact.proof == life.fact.proof
-                started = life.started if stays else max(fact.entry.started, life.started)
-                # From here on this fact is the one whose life it is.
-                life = self.lives[address] = Life(heir, fact, started)
-        if life is not None and life.owner not in told:
-            if not life.ended:
-                life.ended, life.stale = True, dict(told)
-            told = {name: fact for name, fact in told.items() if life.stale.get(name) != fact}
-            if not told:
-                ended = replace(life.fact.entry, id=number_of(address), state=State.REMOVED)
-                return Member(ended, address, life.owner, Reason.VANISHED)
-        if not told:
+                fact = facts[successor]
+                same_process = not fact.proof or not record.fact.proof or fact.proof == record.fact.proof
+                started = record.started if same_process else max(fact.entry.started, record.started)
+                # From here on the successor's fact identifies the process.
+                record = self.records[address] = ServerRecord(successor, fact, started)
+        if record is not None and record.owner not in facts:
+            if not record.removed:
+                record.removed, record.stale_facts = True, dict(facts)
+            facts = {name: fact for name, fact in facts.items() if record.stale_facts.get(name) != fact}
+            if not facts:
+                removed_entry = replace(record.fact.entry, id=number_of(address), state=State.REMOVED)
+                return Member(removed_entry, address, record.owner, Reason.VANISHED)
+        if not facts:
             return None
-        owner = self._owner(told)
-        fact = told[owner]
-        started = self._started(life, owner, told)
-        self.lives[address] = Life(owner, fact, started)
-        draining = any(one.entry.state is not State.UP for one in told.values())
+        owner = self._owner(facts)
+        fact = facts[owner]
+        started = self._started(record, owner, facts)
+        self.records[address] = ServerRecord(owner, fact, started)
+        draining = any(other.entry.state is not State.UP for other in facts.values())
         state = State.DRAINING if draining else State.UP
         reason = Reason.DRAINING if draining else Reason.LISTED
         entry = replace(fact.entry, id=number_of(address), state=state, started=started)
         return Member(entry, address, owner, reason)
 
-    def _owner(self, told: Mapping[str, Fact]) -> str:
-        first = next(iter(told))
-        order = self.zones.get(told[first].entry.zone, ())
-        return next((name for name in order if name in told), first)
+    def _owner(self, facts: Mapping[str, Fact]) -> str:
+        first = next(iter(facts))
+        order = self.zones.get(facts[first].entry.zone, ())
+        return next((name for name in order if name in facts), first)
 
-    def _heir(self, life: Life, told: Mapping[str, Fact]) -> str | None:
-        """The source that a server has moved to, of those that tell of it."""
-        for name in told:
-            if (life.owner, name) in self.moves and self.sources[name].lost_at is None:
+    def _successor(self, record: ServerRecord, facts: Mapping[str, Fact]) -> str | None:
+        """The source to which a server has moved, if any of those that list it."""
+        for name in facts:
+            if (record.owner, name) in self.moves and self.sources[name].lost_at is None:
                 return name
         return None
 
-    def _started(self, life: Life | None, owner: str, told: Mapping[str, Fact]) -> int:
-        """When the server at this address started, as far as the cold rule may believe it.
+    def _started(self, record: ServerRecord | None, owner: str, facts: Mapping[str, Fact]) -> int:
+        """The start time of the server at an address, for slow start.
 
-        A source that servers move to tells of old ones as of new: only a start that it proves counts.
+        A source to which servers move lists running servers as new ones, so it counts only with a proof.
         """
-        fact = told[owner]
+        fact = facts[owner]
         others = [
-            one.entry.started
-            for name, one in told.items()
-            if one is not fact and (one.proof or (owner, name) not in self.moves)
+            other.entry.started
+            for name, other in facts.items()
+            if other is not fact and (other.proof or (owner, name) not in self.moves)
         ]
-        if life is None:
+        if record is None:
             return max(fact.entry.started, *others, 0)
-        before = life.fact
+        before = record.fact
         if fact.proof and fact.proof == before.proof:
-            return life.started  # the process itself tells that it never stopped
-        known = fact.born != 0 or fact.entry.started == before.entry.started
-        if known and (fact.born, fact.proof) == (before.born, before.proof):
-            return max(life.started, *others, 0)
+            return record.started  # the process proves that it never stopped
+        same_creation = fact.born != 0 or fact.entry.started == before.entry.started
+        if same_creation and (fact.born, fact.proof) == (before.born, before.proof):
+            return max(record.started, *others, 0)
         return max(fact.entry.started, *others, 0)
 
     def _forget(self) -> None:
-        """Drop the oldest ends where there are too many; a server that comes back then is judged as new."""
-        spare = len(self.lives) - len(self.members) - self.FORGOTTEN_MOST
-        if spare > 0:
-            for address in [known for known in self.lives if known not in self.members][:spare]:
-                del self.lives[address]
+        """Drop the oldest records of removed servers above the bound; one that returns then counts as new."""
+        excess = len(self.records) - len(self.members) - self.MAX_REMOVED_RECORDS
+        if excess > 0:
+            for address in [address for address in self.records if address not in self.members][:excess]:
+                del self.records[address]
 
 
 def number_of(address: Address) -> int:
-    """The module's number of an address: the same at every instance."""
+    """The balancer's number for an address: the same at every instance."""
     return int.from_bytes("{}:{}".format(*address).encode(), "big")
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -257,4 +257,4 @@
 
 
 def test_so_many_processes_are_known_without_a_word_of_the_operator() -> None:
-    assert Peers().members_most >= 1024 and Model.FORGOTTEN_MOST >= 1024
+    assert Peers().members_most >= 1024 and Model.MAX_REMOVED_RECORDS >= 1024
