--- a/garnethaven/membership/__init__.py
+++ b/garnethaven/membership/__init__.py
@@ -1,4 +1,1 @@
-"""Who the servers are, from any number of sources: one model, and a source that follows ephemeral nodes.
-
-Imported only where the operator's file switches it on.
-"""
+"""The list of servers: from discovery, and from registries, which are imported only if enabled."""
--- a/garnethaven/membership/announcing.py
+++ b/garnethaven/membership/announcing.py
@@ -1,4 +1,4 @@
-"""This program's own entry in a key-value registry: one task that keeps it, at one endpoint after another."""
+"""This program's own entry in a key-value registry, kept by one task at one endpoint after another."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 from garnethaven.addresses import Address
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 
-SIGNS = 3  # of life, in the time without one that ends the entry
+SIGNS = 3  # keepalives in the time after which the registry removes an entry without one
 
 
 class Announcing:
-    """On a connection of its own: a slow watch must not cost the entry. `name` is what the log calls it."""
+    """Registers this program and keeps the registration alive; `name` identifies it in the log.
+
+    It uses a connection of its own, so that a slow watch can't cause the loss of the entry.
+    """
 
     def __init__(
         self,
@@ -32,25 +35,25 @@
         self.say = say
         self.task: asyncio.Task[None] | None = loop.create_task(self._run())
 
-    # Each kind's own
+    # Implemented for each kind of registry
 
     @property
     def there(self) -> bool:
-        """Whether the entry is in the registry, as far as this program knows."""
+        """Whether the entry is in the registry, according to the last answer."""
         raise NotImplementedError
 
     async def keep(self, address: Address) -> None:
-        """Make the entry at an endpoint and keep it alive; raises EndpointLostError or OSError."""
+        """Create the entry at an endpoint and keep it alive; raises EndpointLostError or OSError."""
         raise NotImplementedError
 
     async def take_back(self) -> None:
-        """End the entry now; raises EndpointLostError."""
+        """Remove the entry; raises EndpointLostError."""
         raise NotImplementedError
 
     # The task
 
     def wanted_still(self) -> bool:
-        """False once it is withdrawn: nothing may make the entry again while it is taken back."""
+        """Whether the entry shall be kept; False from the withdrawal on, so that it is not created again."""
         return self.task is not None
 
     async def _run(self) -> None:
@@ -60,11 +63,11 @@
                 await self.keep(self.hosts.next())
             except (EndpointLostError, OSError) as problem:
                 refused = getattr(problem, "refused", False)
-                self.say(f"{self.name} can't be kept: {problem}")
+                self.say(f"{self.name} can't be registered, retrying: {problem}")
             await asyncio.sleep(self.hosts.wait_s(refused))
 
     async def withdraw(self) -> None:
-        """Take the entry back, and wait until that is known, for as long as the settings allow."""
+        """Remove the entry and wait for the confirmation, at most for the time in the settings."""
         task, self.task = self.task, None
         if self.there:
             with contextlib.suppress(TimeoutError, EndpointLostError):
@@ -73,7 +76,7 @@
             task.cancel()
 
     def stop(self) -> None:
-        """Without a word to the registry: the entry ends by itself."""
+        """Stop without a message to the registry, which removes the entry after its timeout."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
--- a/garnethaven/membership/batches.py
+++ b/garnethaven/membership/batches.py
@@ -1,25 +1,28 @@
-"""When to hand changes of the list to the decision module. No I/O, no clock.
+"""When to pass changes of the list on to the balancer. No I/O, no clock.
 
-Each hand-over costs it time in proportion to the whole list, whatever changed. Fifty changes a second of
-5,000 servers, each on its own, would take a large part of the loop. So a change after a calm is handed over
-at once, and the next ones wait for as long as the last one cost times `SHARE`, but never beyond
-`WAIT_MOST_S`: an end that is known must act well within the grace of drains.
+Each time, the balancer needs time in proportion to the whole list, however few servers changed. Fifty
+separate changes a second in a list of 5,000 servers would take a large part of the event loop's time. So the
+first change after a quiet time is passed on at once, and later ones are delayed by the duration of the last
+batch times `IDLE_RATIO`, but at most by `MAX_DELAY_S`: a known removal must take effect well within the grace
+period of drains.
 """
 
 from __future__ import annotations
 
-SHARE = 9.0  # the rest of the time for one part of handing over: a tenth of the loop
-WAIT_MOST_S = 0.1
+IDLE_RATIO = 9.0  # idle time per time spent on a batch: batches take at most a tenth of the loop's time
+MAX_DELAY_S = 0.1
 
 
 class Batches:
+    """Delays the next batch in proportion to the duration of the last one."""
+
     def __init__(self) -> None:
         self.ready_at = 0.0
 
     def wait_s(self, now: float) -> float:
-        """How long a change that is known now waits; 0: it is handed over at once."""
-        return min(WAIT_MOST_S, max(0.0, self.ready_at - now))
+        """Seconds by which a change received at `now` is delayed; 0: it is passed on at once."""
+        return min(MAX_DELAY_S, max(0.0, self.ready_at - now))
 
-    def done(self, began: float, ended: float) -> None:
-        """A hand-over took this long."""
-        self.ready_at = ended + (ended - began) * SHARE
+    def done(self, started_at: float, ended_at: float) -> None:
+        """A batch was passed on between these times."""
+        self.ready_at = ended_at + (ended_at - started_at) * IDLE_RATIO
--- a/garnethaven/membership/cache.py
+++ b/garnethaven/membership/cache.py
@@ -1,8 +1,8 @@
-"""A file that keeps a source's last list over a restart, for a start while the registry is down.
+"""A file that keeps a source's last list across a restart, for a start while the registry is down.
 
-What it holds was true once: the first list of the registry replaces it as a whole. A file that is missing,
-broken or of another form is none; it can't be trusted to be complete. Written aside and renamed, at most
-once a second; a write that fails is tried again after as long.
+The content may be outdated: the first list from the registry replaces it as a whole. A file that is missing,
+damaged or in another format is ignored, because it might be incomplete. Writes go to a temporary file that is
+renamed, at most once a second; a failed write is retried after the same time.
 """
 
 from __future__ import annotations
@@ -17,13 +17,16 @@
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import MS
 
-FORM = 1
+FORMAT = 1
 EVERY_S = 1.0
-FILE_MOST = 64 * 1024 * 1024
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class Cache:
-    """`clock_offset` is its source's: local nanoseconds and this are wall-clock ones."""
+    """The cache file of one source.
+
+    `clock_offset`, shared with the source, is wall-clock minus local monotonic time, in nanoseconds.
+    """
 
     def __init__(
         self, path: str, loop: asyncio.AbstractEventLoop, log: Callable[[str], None], clock_offset: int
@@ -34,18 +37,18 @@
         self.clock_offset = clock_offset
         self.facts: Mapping[str, Fact] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.problem = ""  # of the last write, told once
+        self.last_problem = ""  # of the last write; logged once
         self.closed = False
 
     def read(self) -> dict[str, Fact]:
-        """What was kept; nothing where there is no sound file."""
+        """The stored facts by key; empty if there is no valid file."""
         try:
-            if self.path.stat().st_size > FILE_MOST:
+            if self.path.stat().st_size > MAX_FILE_BYTES:
                 raise ValueError("too large")
-            told = json.loads(self.path.read_bytes())
-            if told["form"] != FORM:
-                raise ValueError(f"form {told['form']}")
-            return {key: self._fact(value) for key, value in told["facts"].items()}
+            content = json.loads(self.path.read_bytes())
+            if content["form"] != FORMAT:
+                raise ValueError(f"unknown format {content['form']}")
+            return {key: self._decode(value) for key, value in content["facts"].items()}
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
@@ -53,7 +56,7 @@
             return {}
 
     def keep(self, facts: Mapping[str, Fact]) -> None:
-        """Write what is known, soon; `facts` may go on changing."""
+        """Write `facts` after at most `EVERY_S`, in their state at that time."""
         self.facts = facts
         if self.timer is None:
             self.timer = self.loop.call_later(EVERY_S, self._write)
@@ -66,38 +69,38 @@
 
     def _write(self) -> None:
         self.timer = None
-        told = {"form": FORM, "facts": {key: self._told(fact) for key, fact in self.facts.items()}}
-        aside = self.path.with_name(self.path.name + ".new")
+        content = {"form": FORMAT, "facts": {key: self._encode(fact) for key, fact in self.facts.items()}}
+        temporary = self.path.with_name(self.path.name + ".new")
         try:
-            aside.write_text(json.dumps(told))
-            os.replace(aside, self.path)
+            temporary.write_text(json.dumps(content))
+            os.replace(temporary, self.path)
         except OSError as problem:
-            self._fails(f"registry: {self.path} can't be written: {problem}")
+            self._write_failed(f"registry: {self.path} can't be written, retrying: {problem}")
         else:
-            self.problem = ""
+            self.last_problem = ""
 
-    def _fails(self, problem: str) -> None:
-        """Tell of a problem once, and write again soon."""
-        if problem != self.problem:
+    def _write_failed(self, problem: str) -> None:
+        """Log a problem unless it is the same as the last one, and schedule another write."""
+        if problem != self.last_problem:
             self.log(problem)
-        self.problem = problem
+        self.last_problem = problem
         if not self.closed:
             self.keep(self.facts)
 
-    def _told(self, fact: Fact) -> list[object]:
+    def _encode(self, fact: Fact) -> list[object]:
         entry = fact.entry
         started_ms = (entry.started + self.clock_offset) // MS if entry.started else 0
         state = entry.state.value
-        facts: list[object] = [*fact.address, entry.zone, entry.kind, entry.cell, state, entry.units]
-        return [*facts, started_ms, fact.born, fact.proof]
+        fields: list[object] = [*fact.address, entry.zone, entry.kind, entry.cell, state, entry.units]
+        return [*fields, started_ms, fact.born, fact.proof]
 
-    def _fact(self, told: list[object]) -> Fact:
-        host, port, zone, kind, cell, state, units, started_ms, born, proof = told
+    def _decode(self, fields: list[object]) -> Fact:
+        host, port, zone, kind, cell, state, units, started_ms, born, proof = fields
         numbers = (port, zone, kind, cell, started_ms, born, proof)
         if not isinstance(host, str) or not all(isinstance(number, int) for number in numbers):
-            raise ValueError("an entry can't be read")
+            raise ValueError("an entry has fields of wrong types")
         if not isinstance(units, int | float) or not 0 < int(port) < 65536:  # type: ignore[call-overload]
-            raise ValueError("an entry can't be read")
+            raise ValueError("an entry has an invalid size or port")
         started = max(1, int(started_ms) * MS - self.clock_offset) if started_ms else 0  # type: ignore[call-overload]
         entry = Endpoint(0, zone, kind, cell, State(state), float(units), started)  # type: ignore[arg-type]
         return Fact((host, port), entry, born, proof)  # type: ignore[arg-type]
--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -1,7 +1,7 @@
-"""The servers of a key-value registry: entries to facts, and word of those that can't be used. No I/O.
+"""Converts the entries of a key-value registry to facts, and reports unusable entries. No I/O.
 
-A key under the prefix is a server; its value is one of the forms of payloads.py. What can't be read harms
-only itself: it is told of once for each of its versions, and left out.
+Each key under the prefix is a server; its value has one of the formats of payloads.py. An entry that can't be
+parsed is left out, without effect on others, and logged once for each of its versions.
 """
 
 from __future__ import annotations
@@ -12,45 +12,46 @@
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import Payload, PayloadError
 
-FLAWS_MOST = 4_096  # versions that are remembered as told; beyond it the oldest may be told of again
+FLAWS_MOST = 4_096  # remembered versions of logged entries; a forgotten version may be logged again
 
 
 class Entries:
-    """`prefix` stands before each key of a fact, so that two places never meet."""
+    """Converts entries to facts. `prefix` is put before each key, so that the keys of two places differ."""
 
     def __init__(self, prefix: str, payload: Payload) -> None:
         self.prefix = prefix
         self.payload = payload
         self.creations: CreationTracker[Fact] = CreationTracker(self._read)
-        self.flaws: Counter[str] = Counter()  # entries that could not be used, by reason, since the start
-        self.told: dict[tuple[str, int], None] = {}  # the oldest first
-        self.unsaid: list[str] = []  # lines for the log
+        self.flaws: Counter[str] = Counter()  # number of unusable entries since the start, by reason
+        self.logged_versions: dict[tuple[str, int], None] = {}  # key and revision, oldest first
+        self.unlogged: list[str] = []  # messages that are not logged yet
 
-    def take(self, told: Tell, wall_ms: int) -> dict[str, Fact | None]:
-        made = self.creations.update(told, wall_ms)
-        return {self.prefix + key: fact for key, fact in made.items()}
+    def take(self, changes: Tell, wall_ms: int) -> dict[str, Fact | None]:
+        """The facts of the changed keys; None: the key was removed or its value is unusable."""
+        facts = self.creations.update(changes, wall_ms)
+        return {self.prefix + key: fact for key, fact in facts.items()}
 
     def _read(self, key: str, entry: Entry, since_ms: int) -> Fact | None:
         try:
             return self.payload.read(entry.value, entry.created, since_ms)
         except PayloadError as flaw:
-            self._note(key, entry, str(flaw))
+            self._record_flaw(key, entry, str(flaw))
             return None
 
-    def _note(self, key: str, entry: Entry, reason: str) -> None:
+    def _record_flaw(self, key: str, entry: Entry, reason: str) -> None:
         version = (key, entry.modified)
-        if version in self.told:
+        if version in self.logged_versions:
             return
-        self.told[version] = None
-        if len(self.told) > FLAWS_MOST:
-            del self.told[next(iter(self.told))]
+        self.logged_versions[version] = None
+        if len(self.logged_versions) > FLAWS_MOST:
+            del self.logged_versions[next(iter(self.logged_versions))]
         self.flaws[reason] += 1
-        self.unsaid.append(f"{key[:100]!r}: {reason}")
+        self.unlogged.append(f"{key[:100]!r}: {reason}")
 
     def say(self) -> str:
-        """One line for what has not been said yet; empty: nothing."""
-        unsaid, self.unsaid = self.unsaid, []
-        if not unsaid:
+        """One line of the messages that are not logged yet; empty if there are none."""
+        unlogged, self.unlogged = self.unlogged, []
+        if not unlogged:
             return ""
-        more = f" and {len(unsaid) - 3} more" if len(unsaid) > 3 else ""
-        return "; ".join(unsaid[:3]) + more
+        rest = f" and {len(unlogged) - 3} more" if len(unlogged) > 3 else ""
+        return "; ".join(unlogged[:3]) + rest
--- a/garnethaven/membership/feature.py
+++ b/garnethaven/membership/feature.py
@@ -1,4 +1,4 @@
-"""The table `[membership]` at work: the sources beside discovery, and what they tell of themselves."""
+"""The feature of the table `[membership]`: sources of servers beside discovery, and their figures."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
             self.sources.start()
 
     def renew(self, wanted: Membership) -> list[str]:
-        """Registries are taken over; whether there are any, and which, waits for a restart."""
+        """Apply changed settings of registries; enabling or disabling a registry needs a restart."""
         before = self.table.registries()
         if set(before) != set(wanted.registries()):
             return ["membership"]
--- a/garnethaven/membership/merger.py
+++ b/garnethaven/membership/merger.py
@@ -98,7 +98,7 @@
         if len(removed) >= MASS_REMOVAL_MIN and len(removed) >= MASS_REMOVAL_SHARE * total:
             sources = ", ".join(sorted({member.source for member in removed}))
             self.log(
-                f"{sources}: {len(removed)} of {total} servers have vanished at once; they get no more requests"
+                f"{sources}: {len(removed)} of {total} servers have vanished at once; they get no requests"
             )
 
     def close(self) -> None:
--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -261,7 +261,7 @@
         """Drop the oldest records of removed servers above the bound; one that returns then counts as new."""
         excess = len(self.records) - len(self.members) - self.MAX_REMOVED_RECORDS
         if excess > 0:
-            for address in [address for address in self.records if address not in self.members][:excess]:
+            for address in [removed for removed in self.records if removed not in self.members][:excess]:
                 del self.records[address]
 
 
--- a/garnethaven/membership/sources.py
+++ b/garnethaven/membership/sources.py
@@ -1,4 +1,4 @@
-"""The registries that the operator's table switches on, with the merger that they feed."""
+"""The registries enabled in the operator's table, and the merger that combines their servers."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from garnethaven.membership.table import Membership
 from garnethaven.settings import numbered
 
-Names = tuple[Mapping[str, int], Mapping[str, int]]  # the module's numbers of zones and of kinds
+Names = tuple[Mapping[str, int], Mapping[str, int]]  # numbers of zones and of kinds, by name
 
 
 class Source(Protocol):
-    """One registry that is followed. Its errors are logged, at a bounded rate, and never raised."""
+    """A registry that is followed. Errors are logged, at a limited rate, and never raised."""
 
     def start(self) -> None: ...
     def registers(self, address: Address) -> None: ...
@@ -37,14 +37,17 @@
     names: Names,
     log: Callable[[str], None],
 ) -> Source:
-    """The source of a registry's kind; each is in a package of its own, imported where it is switched on."""
+    """Create the source for a kind of registry; its package is imported only if it is enabled."""
     module = importlib.import_module(f"garnethaven.membership.{name}.source")
-    made: Source = module.SOURCE(settings, merger, loop, seed, names, log)
-    return made
+    source: Source = module.SOURCE(settings, merger, loop, seed, names, log)
+    return source
 
 
 class Sources:
-    """Made before discovery starts, for its lists go through the merger too; `start` opens connections."""
+    """The merger and all enabled registries.
+
+    Created before discovery starts, because its lists pass through the merger too; `start` opens connections.
+    """
 
     def __init__(
         self,
@@ -56,17 +59,19 @@
     ) -> None:
         self.settings = settings
         self.address = config.listen
-        names = numbered(config.names.zones), numbered(config.names.kinds)
-        zones = {names[0].get(zone, len(names[0])): order for zone, order in settings.zones.items()}
+        numbers = numbered(config.names.zones), numbered(config.names.kinds)
+        zones = {
+            numbers[0].get(zone, len(numbers[0])): precedence for zone, precedence in settings.zones.items()
+        }
         model = Model(settings.precedence, [(move.before, move.after) for move in settings.moves], zones)
         self.merger = Merger(model, loop, learn, log)
         self.registries = {
-            name: source_of(name, table, self.merger, loop, config.seed, names, log)
+            name: source_of(name, table, self.merger, loop, config.seed, numbers, log)
             for name, table in settings.registries().items()
         }
 
     def start(self) -> None:
-        """The program is ready: follow the registries, and register where that is wanted."""
+        """Register this program where the settings ask for it, and start to follow the registries."""
         for source in self.registries.values():
             source.registers(self.address)
             source.start()
@@ -75,7 +80,7 @@
         await asyncio.gather(*(source.withdraw() for source in self.registries.values()))
 
     def reload(self, settings: Membership) -> None:
-        """Follow what the tables say now; the same kinds of registries as before."""
+        """Apply new settings; the kinds of enabled registries must be unchanged."""
         self.settings = settings
         for name, table in settings.registries().items():
             self.registries[name].reload(table, self.address)
@@ -86,7 +91,7 @@
         self.merger.close()
 
     def figures(self) -> dict[str, object]:
-        """What is known of each registry, and how many servers stand in the merged list."""
+        """Figures of each registry and of the merged list, for the operator."""
         model = self.merger.model
-        told: dict[str, object] = {"members": len(model.members), "moved": model.moved}
-        return told | {name: source.figures() for name, source in self.registries.items()}
+        figures: dict[str, object] = {"members": len(model.members), "moved": model.moved}
+        return figures | {name: source.figures() for name, source in self.registries.items()}
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -1,4 +1,4 @@
-"""What every source of a registry does with what it hears: to the model, the log and the cache."""
+"""Connects one registry source to the model, the log and the cache."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import MS, Payload, Rules
 
-LINE_S = 5.0  # between two log lines of one kind
+LOG_INTERVAL_S = 5.0  # minimum interval between two log lines of one kind
 
 
 class Telling:
-    """One registry's side of the model. Until it is `settled` an earlier list serves: kept, or of before."""
+    """The output of one registry source. Until it is `settled`, an earlier list stays in use.
+
+    That list comes from the cache file or, after a reload, from the registry followed before.
+    """
 
     def __init__(
         self,
@@ -32,61 +35,62 @@
         self.names = names
         self.log = log
         self.clock_offset = time.time_ns() - time.monotonic_ns()
-        self.said_at: dict[str, float] = {}
-        self.settled = False  # whether what an earlier life or another place told has been replaced
+        self.logged_at: dict[str, float] = {}
+        self.settled = False  # whether a full read has replaced the earlier list
         self.cache = Cache(cache, loop, log, self.clock_offset) if cache else None
 
     def recall(self) -> None:
-        """The list of an earlier life, if one was kept, serves until the registry is heard."""
+        """Use the cached list, if there is one, until the registry has been read."""
         if self.cache is not None:
             known = self.cache.read()
             if known:
                 self.merger.change(self.name, known)
-            self.merger.changed.append(self._keep)
+            self.merger.changed.append(self._save)
 
     def payload(self, rules: Rules) -> Payload:
-        return Payload(rules, *self.names, self._local)
+        return Payload(rules, *self.names, self._to_local_ns)
 
-    def _local(self, wall_ms: int) -> int:
-        """Local nanoseconds of a wall-clock time; one that is to come counts as now: the coldest there is."""
+    def _to_local_ns(self, wall_ms: int) -> int:
+        """Monotonic nanoseconds of a wall-clock time; a future time counts as now, the coldest start."""
         return max(1, min(wall_ms * MS - self.clock_offset, time.monotonic_ns()))
 
     def wall_ms(self) -> int:
-        """The wall clock as it went on since the start: a step of it is no change of the time."""
+        """Wall-clock milliseconds, unaffected by steps of the clock after the start."""
         return (time.monotonic_ns() + self.clock_offset) // MS
 
     def facts(self) -> Mapping[str, Fact]:
-        """What the model holds of this registry."""
+        """The facts of this registry in the model."""
         return self.merger.model.sources[self.name].facts
 
-    def left_over(self, now: Container[str]) -> dict[str, Fact | None]:
-        """Ends of what was told before and is not there now; once, when all has been read first."""
+    def left_over(self, current: Container[str]) -> dict[str, Fact | None]:
+        """Removals of earlier facts whose keys are not in `current`; empty except at the first full read."""
         if self.settled:
             return {}
         self.settled = True
-        return {key: None for key in self.facts() if key not in now}
+        return {key: None for key in self.facts() if key not in current}
 
     def contact(self, good: bool) -> None:
+        """Record whether the list is known to be up to date."""
         if good:
             self.merger.model.regained(self.name)
         else:
             self.merger.model.lost(self.name, self.loop.time())
 
     def age_s(self) -> float:
-        """How long it has not been sure that the list is the registry's, in seconds."""
+        """Seconds since the list was last known to be up to date; 0 while it is."""
         return self.merger.model.age_s(self.name, self.loop.time())
 
     def say(self, kind: str, text: str) -> None:
-        """One line; one of each kind in `LINE_S`."""
+        """Log a line, at most one of each kind in `LOG_INTERVAL_S`."""
         now = self.loop.time()
-        if now - self.said_at.get(kind, -LINE_S) >= LINE_S:
-            self.said_at[kind] = now
+        if now - self.logged_at.get(kind, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
+            self.logged_at[kind] = now
             self.log(text)
 
     def close(self) -> None:
         if self.cache is not None:
             self.cache.close()
 
-    def _keep(self) -> None:
+    def _save(self) -> None:
         if self.cache is not None and self.settled:
             self.cache.keep(self.facts())
--- a/tests/membership/test_cache.py
+++ b/tests/membership/test_cache.py
@@ -1,4 +1,4 @@
-"""The file that keeps a registry's last list, while its folder fails."""
+"""The cache file of a registry's list, when writes to its folder fail."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 def test_a_list_that_could_not_be_written_is_written_later_without_another_change(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real, left, said = os.replace, 3, list[str]()
+    os_replace, failures_left, logged = os.replace, 3, list[str]()
 
-    def full(*words: Any) -> None:
-        nonlocal left
-        if left > 0:
-            left -= 1
+    def fail_when_full(*args: Any) -> None:
+        nonlocal failures_left
+        if failures_left > 0:
+            failures_left -= 1
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        real(*words)
+        os_replace(*args)
 
-    monkeypatch.setattr(os, "replace", full)
+    monkeypatch.setattr(os, "replace", fail_when_full)
     monkeypatch.setattr(module, "EVERY_S", 0.02)
 
     async def case() -> None:
         path = str(tmp_path / "list")
-        cache = Cache(path, asyncio.get_running_loop(), said.append, 0)
+        cache = Cache(path, asyncio.get_running_loop(), logged.append, 0)
         cache.keep({"s-1": FACT})
-        await until(lambda: left == 0)
+        await until(lambda: failures_left == 0)
         await until(lambda: os.path.exists(path))
-        assert list(Cache(path, asyncio.get_running_loop(), said.append, 0).read()) == ["s-1"]
-        assert len(said) == 1, said
+        assert list(Cache(path, asyncio.get_running_loop(), logged.append, 0).read()) == ["s-1"]
+        assert len(logged) == 1, logged
 
     run(case(), 5.0)
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program with the table on: sends follow the registry, SIGHUP, registration, the planned end."""
+"""The whole program with `[membership]`: requests follow the registry, SIGHUP, registration, shutdown."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Stage:
-    """The program in this process, before peers that are nodes of a registry."""
+    """The program, run in this process, with peers that are nodes of a registry."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -40,12 +40,12 @@
             self.ensemble.make(f"/checks/p{number}", data, session)
         self.discovery = await Lists([peer.member("d") for peer in listed]).start()
         self.write("/checks")
-        told = config_file(
+        config_path = config_file(
             self.folder / "config",
             listen=f"127.0.0.1:{self.port}",
             discovery=f"127.0.0.1:{self.discovery.port}",
         )
-        config = program.read_config({"NODE_CONFIG": str(told)})
+        config = program.read_config({"NODE_CONFIG": str(config_path)})
         operator = read_operator(str(self.file))
         self.sidecar = Sidecar(config, operator, asyncio.get_running_loop())
         await self.sidecar.start()
@@ -57,7 +57,7 @@
             '[membership.zookeeper.register]\npath = "/me"\n'
         )
 
-    def appear(self, path: str, peer: Peer) -> None:
+    def add_node(self, path: str, peer: Peer) -> None:
         self.ensemble.make(path, json.dumps(peer.member("x")).encode(), self.ensemble.begin(40_000))
 
     async def ask(self, call_id: str) -> int:
@@ -93,11 +93,11 @@
         stage.ensemble.make(
             "/other/x", json.dumps(peers[0].member("x")).encode(), stage.ensemble.begin(40_000)
         )
-        left = set(targets)
+        targets_before = set(targets)
         stage.write("/other")
         program.reload(stage.sidecar, str(stage.file))
-        # The old directory has settled long ago: only the other's list says that the move is done.
-        await until(lambda: len(targets) == 1 and set(targets) != left)
+        # Both directories hold one server: only a different target shows that the move is complete.
+        await until(lambda: len(targets) == 1 and set(targets) != targets_before)
         assert [await stage.ask(f"c{n}") for n in range(6)] == [200] * 6
         assert len(peers[0].requests) == before + 6
         stage.write("/other", "form = 3\n")
@@ -137,12 +137,12 @@
     async def case() -> None:
         peers = [await Peer(says(ANSWER)).start() for _ in range(2)]
         stage = Stage(tmp_path)
-        await stage.start(peers[:1], peers)  # the first is told by both
+        await stage.start(peers[:1], peers)  # the first is listed by both
         targets = stage.sidecar.transport.targets
         stage.sidecar.discovery.watch()
         await until(lambda: len(targets) == 2)
         stage.ensemble.expire(stage.sessions[0].id)
-        await until(lambda: len(targets) == 1)  # gone, though discovery still tells of it
+        await until(lambda: len(targets) == 1)  # removed, though discovery still lists it
         assert [await stage.ask(f"a{n}") for n in range(4)] == [200] * 4
         assert not peers[0].requests
         await stage.end()
@@ -162,23 +162,24 @@
         order: list[str] = []
         drain = stage.sidecar.listener.drain
 
-        def noted() -> None:
+        def record_and_drain() -> None:
             order.append("node gone" if "/me" not in nodes else "node there")
             drain()
 
-        stage.sidecar.listener.drain = noted  # type: ignore[method-assign]
+        stage.sidecar.listener.drain = record_and_drain  # type: ignore[method-assign]
         await stage.end()
         assert order == ["node gone"]
-        assert len(stage.ensemble.sessions) == 1  # the peer's: our own was closed, not left to expire
+        # Only the peer's session is left: the program closed its own instead of letting it expire.
+        assert len(stage.ensemble.sessions) == 1
 
     run(case())
 
 
 def test_the_rig_in_short_breaks_no_rule() -> None:
-    code, figures, said = play("ephemeral", "--seed", "3", "--seconds", "9")
-    assert code in (0, 1), said
-    assert figures["sent"] > 1000, said
-    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (said, figures)
+    code, figures, stderr = play("ephemeral", "--seed", "3", "--seconds", "9")
+    assert code in (0, 1), stderr
+    assert figures["sent"] > 1000, stderr
+    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (stderr, figures)
     assert figures["missing"] == figures["doubled"] == 0
     assert figures["sessions_killed"] == figures["vanished"] == 26
     assert figures["latest_send_ms"] <= 500.0
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -1,4 +1,4 @@
-"""Long lists: what a program with little memory and few descriptors makes of 1,100 servers, or 15,000."""
+"""Long lists: 1,100 or 15,000 servers within limits on memory and file descriptors."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 ROOT = Path(__file__).parents[2]
 SERVERS = 1_100
-LISTENERS = 20  # that all servers' addresses lead to: this process has descriptors of its own to spare
+LISTENERS = 20  # listening sockets shared by all servers, to limit the descriptors of this process
 CHANGES = 12
 REPLACED = 50  # servers in each change
 CLIENTS = 40
-PAUSE_S = 0.1  # of a client between an answer and its next request
-PIECE_BYTES = 4_000
+PAUSE_S = 0.1  # pause of a client between an answer and its next request
+CHUNK_BYTES = 4_000
 
 
 def members_of(first: int, count: int, ports: list[int]) -> list[dict[str, Any]]:
-    """Entries as long as usual ones."""
+    """Entries of usual length."""
     return [
         {
             "id": f"s-{number:08x}",
@@ -62,68 +62,68 @@
     ]
 
 
-class WholeLists(Peer):
-    """A discovery that tells its whole list for every call, after each of its changes, in pieces."""
+class FullListDiscovery(Peer):
+    """A discovery that answers each call with the next version of its full list, written in pieces."""
 
     def __init__(self, ports: list[int], count: int, changes: int, indent: int | None) -> None:
-        super().__init__(self._tell)
+        super().__init__(self._answer)
         self.ports = ports
         self.count = count
         self.changes = changes
         self.indent = indent
         self.revision = 100
 
-    async def _tell(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _answer(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.revision - 100 >= self.changes:
             await silent(head, reader, writer)
         first = REPLACED * (self.revision - 100)
         self.revision += 1
-        told = {
+        content = {
             "revision": self.revision,
             "complete": True,
             "members": members_of(first, self.count, self.ports),
         }
-        body = json.dumps(told, indent=self.indent).encode()
+        body = json.dumps(content, indent=self.indent).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-        for at in range(0, len(body), PIECE_BYTES):
-            writer.write(body[at : at + PIECE_BYTES])
+        for at in range(0, len(body), CHUNK_BYTES):
+            writer.write(body[at : at + CHUNK_BYTES])
             await writer.drain()
             await asyncio.sleep(0)
-        await asyncio.sleep(0.1)  # requests are served between two changes
+        await asyncio.sleep(0.1)  # time to serve requests between two changes
 
-    def told_all(self) -> bool:
+    def is_done(self) -> bool:
         return self.revision - 100 >= self.changes
 
 
 class Program:
-    """A sidecar as a process of its own; what it uses is read from the system."""
+    """A sidecar in a separate process; its memory and descriptors are read from /proc."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int) -> None:
         self.process = process
         self.port = port
-        self.most_descriptors = 0
+        self.max_descriptors = 0
 
     def peak_mb(self) -> float:
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         (line,) = (line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) / 1024
 
-    def look(self) -> None:
-        held = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
-        self.most_descriptors = max(self.most_descriptors, held)
+    def sample_descriptors(self) -> None:
+        open_count = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
+        self.max_descriptors = max(self.max_descriptors, open_count)
 
-    async def ask(self, client: str, until_over: asyncio.Event) -> list[bytes]:
-        """Requests one after the other on one connection; their status lines."""
+    async def ask(self, client: str, stop: asyncio.Event) -> list[bytes]:
+        """Send requests one after the other until `stop` is set; returns their status lines."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         statuses = []
-        while not until_over.is_set():
+        while not stop.is_set():
             writer.write(request(X_Call_Id=f"{client}-{len(statuses)}", Idempotency_Key=f"k{client}"))
             head, _ = await read_message(reader)
             statuses.append(head.split(b"\r\n")[0])
             if b"connection: close" in head.lower():
                 writer.close()
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            self.look()
+            self.sample_descriptors()
             await asyncio.sleep(PAUSE_S)
         writer.close()
         return statuses
@@ -148,8 +148,8 @@
         yield Program(process, port)
     finally:
         process.send_signal(signal.SIGTERM)
-        _, said = await process.communicate()
-    assert b"Traceback" not in said and process.returncode == 0, said.decode()
+        _, stderr = await process.communicate()
+    assert b"Traceback" not in stderr and process.returncode == 0, stderr.decode()
 
 
 def settings_of(fleet_size: int) -> dict[str, Any]:
@@ -167,26 +167,27 @@
     async def case() -> None:
         servers = [await Peer(says(ANSWER)).start() for _ in range(LISTENERS)]
         ports = [server.port for server in servers]
-        discovery = await WholeLists(ports, SERVERS, CHANGES, indent).start()
+        discovery = await FullListDiscovery(ports, SERVERS, CHANGES, indent).start()
         known = {"revision": 90, "complete": True, "members": members_of(0, SERVERS, ports)}
         settings = settings_of(SERVERS)
-        async with program(tmp_path / "c.json", discovery, limits, settings=settings, known=known) as made:
-            over = asyncio.Event()
+        async with program(tmp_path / "c.json", discovery, limits, settings=settings, known=known) as sidecar:
+            stop = asyncio.Event()
             clients = []
-            for number in range(CLIENTS):  # one by one: a program that has just begun takes a few at first
-                clients.append(asyncio.create_task(made.ask(f"c{number}", over)))
+            # Staggered, because a program that has just started accepts only a few connections.
+            for number in range(CLIENTS):
+                clients.append(asyncio.create_task(sidecar.ask(f"c{number}", stop)))
                 await asyncio.sleep(0.01)
-            await until(discovery.told_all)
+            await until(discovery.is_done)
             await asyncio.sleep(1.0)
-            over.set()
+            stop.set()
             statuses = [status for client in clients for status in await client]
-            peak_mb = made.peak_mb()
-            print(f"{len(statuses)} requests, peak {peak_mb:.1f} MB, {made.most_descriptors} descriptors")
+            peak_mb = sidecar.peak_mb()
+            print(f"{len(statuses)} requests, peak {peak_mb:.1f} MB, {sidecar.max_descriptors} descriptors")
             assert len(statuses) > CLIENTS * 5
             assert set(statuses) == {b"HTTP/1.1 200 OK"}
             assert peak_mb < limits["memory_mb"]
-            assert made.most_descriptors < limits["sockets"]
-            assert len(discovery.requests) == CHANGES + 1  # each list was taken at its first telling
+            assert sidecar.max_descriptors < limits["sockets"]
+            assert len(discovery.requests) == CHANGES + 1  # each list was accepted the first time
         for peer in (*servers, discovery):
             peer.server.close()
 
@@ -198,15 +199,16 @@
 
     async def case() -> None:
         servers = [await Peer(says(ANSWER)).start() for _ in range(LISTENERS)]
-        discovery = await WholeLists([server.port for server in servers], 15_000, 2, None).start()
-        async with program(tmp_path / "c.json", discovery, limits, settings=settings_of(SERVERS)) as made:
-            await until(lambda: len(discovery.requests) == 3)  # both were taken: the next watch is out
-            over = asyncio.Event()
-            asking = asyncio.create_task(made.ask("c", over))
+        discovery = await FullListDiscovery([server.port for server in servers], 15_000, 2, None).start()
+        async with program(tmp_path / "c.json", discovery, limits, settings=settings_of(SERVERS)) as sidecar:
+            # Both lists were accepted, and the next watch is open.
+            await until(lambda: len(discovery.requests) == 3)
+            stop = asyncio.Event()
+            asking = asyncio.create_task(sidecar.ask("c", stop))
             await asyncio.sleep(0.5)
-            over.set()
+            stop.set()
             assert set(await asking) == {b"HTTP/1.1 200 OK"}
-            peak_mb = made.peak_mb()
+            peak_mb = sidecar.peak_mb()
             print(f"peak {peak_mb:.1f} MB")
             assert peak_mb < limits["memory_mb"]
         for peer in (*servers, discovery):
@@ -217,17 +219,18 @@
 
 @pytest.mark.parametrize("memory_mb", [20, 32, 64, 65, 192, 2048])
 def test_the_longest_list_grows_with_the_memory_and_is_never_under_two_megabytes(memory_mb: int) -> None:
-    most = max_list_bytes(memory_mb)
-    assert most == max(MIN_LIST_BYTES, memory_mb * MB // 32)
-    assert most < memory_mb * MB * ANSWERS_PART  # or the budget for answers would break it off first
+    max_bytes = max_list_bytes(memory_mb)
+    assert max_bytes == max(MIN_LIST_BYTES, memory_mb * MB // 32)
+    # Otherwise the budget for answers would be exceeded first.
+    assert max_bytes < memory_mb * MB * ANSWERS_PART
     entry = json.dumps(members_of(15_000, 1, [65_535])[0], indent=2)
-    assert most > SERVERS * len(entry) * 2  # half of it left to longer names
+    assert max_bytes > SERVERS * len(entry) * 2  # half of it is left for longer names
 
 
 def test_each_of_eleven_hundred_bad_entries_of_a_registry_is_told_of_once() -> None:
     entries = Entries("", Payload(Rules(), {}, {}, lambda wall_ms: wall_ms))
     bad = Tell({f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True)
-    for _ in range(2):  # as after a reconnect, which reads all of them anew
+    for _ in range(2):  # as after a reconnect, which reads all of them again
         entries.take(bad, 0)
     assert entries.flaws.total() == SERVERS
 
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -1,4 +1,4 @@
-"""Starts of servers as wall clocks tell them that are wrong: slow start goes by what this process saw."""
+"""Start times from wrong wall clocks: slow start relies on what this process observed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def cold_settings(small: Estate) -> None:
-    """Servers start at `COLD` of their capacity and are warm after `RAMP_S`."""
+    """Set slow start: servers begin at `COLD` of their capacity and are warm after `RAMP_S`."""
     balancer = small.sidecar.engine.balancer
     settings = balancer.settings
     object.__setattr__(settings, "cold_share", COLD)
@@ -23,7 +23,7 @@
 
 
 async def join(small: Estate, skew_s: float) -> float:
-    """The warmth of a server that starts now, by a clock that is `skew_s` ahead, once it is known."""
+    """Add a server that starts now, with a clock that is `skew_s` ahead; returns its warmth once listed."""
     (server,) = await small.add(1)
     member: dict[str, Any] = server.member()
     member["up_since_ms"] = int((time.time() + skew_s) * 1000)
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -1,4 +1,4 @@
-"""A registry on loopback and the sources that follow it, with what the decision module would be told."""
+"""A ZooKeeper ensemble on loopback, and the program's sources that follow it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     # Servers
 
     def appear(self, *numbers: int, **changes: Any) -> None:
-        """Nodes of these servers, each of a session of its own."""
+        """Create the nodes of these servers, each in a session of its own."""
         for number in numbers:
             session = self.sessions[number] = self.ensemble.begin(40_000)
             self.ensemble.make(f"{ROOT}/n{number}", payload(number, **changes), session)
@@ -37,7 +37,7 @@
     def numbers(self) -> Iterable[int]:
         return self.sessions
 
-    # The program's side
+    # The program
 
     def registry(self, **changes: Any) -> ZooKeeper:
         hosts = tuple(ZooKeeperHost(("127.0.0.1", host.port)) for host in self.ensemble.hosts)
@@ -58,7 +58,7 @@
         return int(self.client.session.id)
 
     def serving(self) -> Any:
-        """The host that serves the program."""
+        """The host to which the program is connected."""
         return next(
             host
             for host in self.ensemble.hosts
@@ -72,7 +72,7 @@
 
 @contextlib.asynccontextmanager
 async def world(*numbers: int, follow: bool = True, tls: Any = None, **changes: Any) -> AsyncIterator[World]:
-    """A registry with these servers, and the program that follows it."""
+    """An ensemble with these servers, followed by the program if `follow`."""
     ensemble = await Ensemble(tls=tls).start()
     made = World(ensemble)
     try:
