--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -66,6 +66,8 @@
 
 
 class SyncState(Enum):
+    """The standing of a copy; see the module's tables."""
+
     READING = "reading"
     FOLLOWING = "following"
     BROKEN = "broken"
@@ -113,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Contact:
-    """Report whether the copy is up to date, as far as can be known."""
+    """Report whether the copy is up to date (`good`) or may lack changes."""
 
     good: bool
 
@@ -142,7 +144,7 @@
     # Contact
 
     def opened(self) -> list[Order]:
-        """An endpoint is connected."""
+        """A connection to an endpoint is open."""
         if self.standing is SyncState.READING:
             return [Read()]
         self.standing = SyncState.CATCHING_UP
@@ -219,7 +221,7 @@
     def _handle_outdated(self) -> list[Order]:
         """An answer was older than the copy: the endpoint lags, or the registry's history restarted.
 
-        Only the registry's leader can tell which.
+        Only a proven answer can distinguish the two.
         """
         self.behind += 1
         self.standing = SyncState.UNCERTAIN
@@ -240,8 +242,8 @@
 
     A registry of keys does not report when a key was created. Keys in the first snapshot may be of any age
     and count as no start. A key that appears later counts as a server start at that time, unless its value
-    gives a start time: a server taken for too cold loses a share of its load for a while, one taken for too
-    warm may be overloaded.
+    contains a start time: a server assumed too cold gets less load than it could serve for a while, one
+    assumed too warm may be overloaded.
     """
 
     def __init__(self, parse: Callable[[str, Entry, int], Value | None]) -> None:
@@ -279,7 +281,7 @@
     # Contact
 
     def opened(self) -> None:
-        """An endpoint is connected; all names must be listed and read again."""
+        """A connection to an endpoint is open; all names must be listed and read again."""
         self.standing = SyncState.CATCHING_UP if self.has_full_list else SyncState.READING
 
     def lost(self) -> None:
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -324,7 +324,7 @@
         self.learn(kind, corrected)
 
     def _log(self, text: str) -> None:
-        """Log a line with discovery's address, but the same one only once in `REPEATED_LINE_INTERVAL_S`.
+        """Log a line with discovery's address; a repeated line only every `REPEATED_LINE_INTERVAL_S`.
 
         Without this limit, repeated failures of an unavailable discovery would use up the log's rate limit.
         """
--- a/garnethaven/membership/merger.py
+++ b/garnethaven/membership/merger.py
@@ -37,7 +37,7 @@
         self.learn = learn
         self.batches = Batches()
         self.timer: asyncio.TimerHandle | None = None
-        self.handed_over = 0
+        self.batch_count = 0
         self.changed: list[Callable[[], None]] = []  # callbacks, called after each flush
 
     # Sources
@@ -87,7 +87,7 @@
         changed = self.model.take_changes()
         self.learn(ListKind.DELTA, [(member.entry, member.address) for member in changed])
         self._log_mass_removal(changed, count_before)
-        self.handed_over += 1
+        self.batch_count += 1
         self.batches.done(started_at, self.loop.time())
         for callback in self.changed:
             callback()
--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -22,7 +22,7 @@
   same start time reported by the server, which proves that the process never stopped. Of several start times
   the latest counts: a server assumed too cold costs a share of its capacity, one assumed too warm may be
   overloaded.
-- *Lost contact* says nothing about servers: the last facts stay in use, and their age is reported.
+- *Lost contact* removes no server: the last facts stay in use, and their age is reported.
 
 | reason of an entry | meaning |
 | --- | --- |
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -220,8 +220,8 @@
     core.lost()
     core.opened()
     assert core.compacted() == [Read(proven=True)]
-    tell, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
-    assert tell == Tell({"a": None, "c": entry(15)}, whole=True)
+    report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
+    assert report == Tell({"a": None, "c": entry(15)}, whole=True)
     assert (contact, watch) == (Contact(True), Watch(20))
 
 
@@ -235,8 +235,8 @@
 
 def test_a_history_that_began_anew_is_believed_when_it_is_proven() -> None:
     core = followed(False, a=entry(3), b=entry(4))
-    tell = core.snapshot(6, {"b": entry(4)}, proven=True)[0]
-    assert tell == Tell({"a": None}, whole=True)
+    report = core.snapshot(6, {"b": entry(4)}, proven=True)[0]
+    assert report == Tell({"a": None}, whole=True)
     assert (core.revision, core.began_anew) == (6, 1)
 
 
@@ -321,11 +321,11 @@
             names.end(during[0])  # the watch event of the removal
             reported.discard(during[0])
     for name in sorted(listed):
-        there = host.entries().get(name)
-        if there is None:
+        node = host.entries().get(name)
+        if node is None:
             names.drop(name)
             reported.discard(name)
-        elif not names.takes(name, there.created):
+        elif not names.takes(name, node.created):
             return False
         else:
             reported.add(name)
--- a/tests/membership/test_wall_clocks.py
+++ b/tests/membership/test_wall_clocks.py
@@ -27,7 +27,7 @@
     (server,) = await small.add(1)
     member: dict[str, Any] = server.member()
     member["up_since_ms"] = int((time.time() + skew_s) * 1000)
-    small.discovery.publish([*(one.member() for one in small.servers[:-1]), member])
+    small.discovery.publish([*(other.member() for other in small.servers[:-1]), member])
     await until(lambda: len(small.names()) == len(small.servers))
     number = int.from_bytes(member["id"].encode(), "big")
     small.sidecar.engine.balancer.now = time.monotonic_ns()
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -74,15 +74,15 @@
 async def world(*numbers: int, follow: bool = True, tls: Any = None, **changes: Any) -> AsyncIterator[World]:
     """An ensemble with these servers, followed by the program if `follow`."""
     ensemble = await Ensemble(tls=tls).start()
-    made = World(ensemble)
+    result = World(ensemble)
     try:
         ensemble.make(ROOT)
-        made.appear(*numbers)
+        result.appear(*numbers)
         if follow:
-            made.follow(**changes)
-            await made.sees(*numbers)
-        yield made
+            result.follow(**changes)
+            await result.sees(*numbers)
+        yield result
     finally:
-        if made.sources is not None:
-            await made.sources.close()
+        if result.sources is not None:
+            await result.sources.close()
         await ensemble.close()
