--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -204,7 +204,9 @@
     def _retry_empty_list(self) -> None:
         """Schedule another fetch while the list is empty, also after a fetch that failed."""
         if self.list_is_empty and self.empty_list_timer is None:
-            self.empty_list_timer = self.loop.call_later(self.fresh.empty_list_retry_s(), self._fetch_if_empty)
+            self.empty_list_timer = self.loop.call_later(
+                self.fresh.empty_list_retry_s(), self._fetch_if_empty
+            )
 
     def _fetch_if_empty(self) -> None:
         self.empty_list_timer = None
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -222,7 +222,7 @@
     max_bytes = max_list_bytes(memory_mb)
     assert max_bytes == max(MIN_LIST_BYTES, memory_mb * MB // 32)
     # Otherwise the budget for answers would be exceeded first.
-    assert max_bytes < memory_mb * MB * ANSWERS_PART
+    assert max_bytes < memory_mb * MB * ANSWER_MEMORY_SHARE
     entry = json.dumps(members_of(15_000, 1, [65_535])[0], indent=2)
     assert max_bytes > SERVERS * len(entry) * 2  # half of it is left for longer names
 
