--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -1,16 +1,16 @@
-"""One member's part in the conversation: what it asks, answers and learns. No clock, no I/O.
-
-A question asks for what has changed since the last whole answer of the same member; the answer has the
-freshest rows first, in `PARTS_MOST` datagrams at the most, so that a large table goes over in several answers
-while what is new is never behind what is old. A question may name a third member that the asked one is to ask
-first. Suspicions and planned ends go along on both.
-
-A name that two processes use. A row of one's own name that one has not made is of an earlier life, of a later
-one where the machine's clock was set back (the life is the time of the start), or another process's. Earlier
-lives' rows were made before this process began; one that is younger shows that the name is taken, and this
-process is *mute*: it says nothing under the name, counts itself alone, says so in the log, and tries again
-after `CLASH`. For a later life this member takes a still later one; where that happens again within `CLASH`,
-it is mute too.
+"""One member's side of the gossip protocol: its requests, its answers, and what it learns. No clock, no I/O.
+
+A sync request asks for what has changed since the last complete answer of the same member. The answer has the
+most recent rows first, in at most `MAX_ANSWER_PARTS` datagrams, so that a large table takes several answers
+while new rows are never queued behind old ones. A request may name a third member that the receiver probes
+first. Reports of suspected members and of planned shutdowns are sent along with both.
+
+Name conflicts. A row with this member's own name that it has not made is from an earlier incarnation, from a
+later one if the machine's clock was set back (the incarnation is the start time), or from another process.
+Rows of earlier incarnations were made before this process started. A younger one proves that the name is in
+use; this process then goes *mute*: it publishes nothing under the name, counts only itself, logs the
+conflict, and tries again after `CLASH`. Against a later incarnation it first takes a still later one; if that
+happens again within `CLASH`, it goes mute too.
 """
 
 from __future__ import annotations
@@ -23,42 +23,42 @@
 from msgspec import Meta
 
 from garnethaven.gossip.rows import NAME_MOST, Horizon, Row, Rows
-from garnethaven.peers.membership import Ask, Membership, News, Rules, State
+from garnethaven.peers.membership import Membership, Probe, Rules, State, StateUpdate
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-BODY_MOST = 1150  # bytes of one message: a datagram of one MTU, with its seal and headers
-ROW_MOST = 900  # bytes of one row with all its topics
-PARTS_MOST = 8  # datagrams in one answer
-HELPING_MOST = 256  # questions that are asked for others, at one time
-CLASH = 60 * SECOND
-NO_ROWS = 1 << 62  # as `since`: only what is wanted is asked for, and the answer has no rows
-AGE_MOST_MS = 3_600_000
+BODY_MOST = 1150  # bytes of one message: with seal and headers, it fits a datagram of one MTU
+MAX_ROW_BYTES = 900  # bytes of the topic values in one row
+MAX_ANSWER_PARTS = 8  # datagrams in one answer
+MAX_FORWARDED_PROBES = 256  # probes pending on behalf of others
+CLASH = 60 * SECOND  # time without publishing after a name conflict
+NO_ROWS = 1 << 62  # as `since`: the request is for topics only, and the answer has no rows
+MAX_AGE_MS = 3_600_000
 
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
 At = Annotated[str, Meta(max_length=64)]
 Number = Annotated[int, Meta(ge=0)]
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True):
-    """A row with its age in milliseconds, and where its member listens, if it is in no file."""
+class AgedRow(msgspec.Struct, array_like=True, frozen=True):
+    """A row with its age in milliseconds, and the address of its member unless the operator's file has it."""
 
     age_ms: Number
     row: Row
     at: At = ""
 
 
-class Question(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class SyncRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
     nonce: Number
     name: Name
-    life: Number
-    beat: Number
+    incarnation: Number
+    heartbeat: Number
     at: At
     about: Annotated[str, Meta(max_length=NAME_MOST)]
-    since: Number  # the asked one's serial of the last whole answer
-    knows: Number  # the asked one's process, by which that serial counts
-    news: Annotated[list[News], Meta(max_length=16)] = []
-    wants: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # by topic, of the asked one
+    since: Number  # the receiver's serial in its last complete answer
+    serial_process: Number  # the receiver's process to which that serial belongs
+    updates: Annotated[list[StateUpdate], Meta(max_length=16)] = []
+    wants: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # topic requests to the receiver
 
 
 class Answer(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -67,27 +67,27 @@
     process: Number
     part: Number
     parts: Number
-    upto: Number
-    rows: Annotated[list[Said], Meta(max_length=256)] = []
-    news: Annotated[list[News], Meta(max_length=16)] = []
-    gives: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # by topic, to the asking one alone
+    through_serial: Number
+    rows: Annotated[list[AgedRow], Meta(max_length=256)] = []
+    updates: Annotated[list[StateUpdate], Meta(max_length=16)] = []
+    gives: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # by topic, for the requester only
 
 
-class _Answer(msgspec.Struct, array_like=True, tag=2):
-    """The same, whose rows are packed already."""
+class _PackedAnswer(msgspec.Struct, array_like=True, tag=2):
+    """An `Answer` whose rows are already encoded; to be sent only."""
 
     nonce: int
     name: str
     process: int
     part: int
     parts: int
-    upto: int
+    through_serial: int
     rows: list[msgspec.Raw]
-    news: list[News]
+    updates: list[StateUpdate]
     gives: dict[str, msgspec.Raw]
 
 
-Message = Question | Answer
+Message = SyncRequest | Answer
 PACK = msgspec.msgpack.Encoder().encode
 UNPACK = msgspec.msgpack.Decoder(Message).decode
 
@@ -100,40 +100,42 @@
 
 
 class Topic(NamedTuple):
-    """What a subsystem has its member say in each row, and what it does where a new life begins."""
+    """A subsystem's part of each row: makes the value, and resets its counters for a new incarnation."""
 
-    tells: Callable[[int], Any]
-    anew: Callable[[], None]
+    make_value: Callable[[int], Any]
+    reset: Callable[[], None]
 
 
 class Exchange(NamedTuple):
-    """What a subsystem asks of one other member in a question, and what it gives one in an answer.
+    """A subsystem's request to one other member, and its answer to such a request.
 
-    `gives` raises msgspec.MsgspecError where it can't read what is wanted, `takes` where it can't read that.
+    `gives` raises msgspec.MsgspecError if it can't decode the request, `takes` if it can't decode the answer.
     """
 
-    wants: Callable[[int], Any]  # now; None: nothing
-    gives: Callable[[int, str, msgspec.Raw], Any]  # now, to whom, what it wants; None: nothing
-    takes: Callable[[int, int, int, msgspec.Raw], None]  # now, when it was asked, by which process, what
+    wants: Callable[[int], Any]  # now -> request, None for no request
+    gives: Callable[[int, str, msgspec.Raw], Any]  # now, requester, its request -> answer or None
+    takes: Callable[
+        [int, int, int, msgspec.Raw], None
+    ]  # now, time of the request, answering process, its answer
 
 
-class _Got(msgspec.Struct):
-    """What of a member's answers has been taken in whole."""
+class _Received(msgspec.Struct):
+    """The last complete answer of a member, and the parts of the current one."""
 
     process: int = 0
-    upto: int = 0
+    through_serial: int = 0
     nonce: int = -1
     parts: set[int] = set()
 
 
 class Peer:
-    """One member. `life` is later than that of any earlier process of this name; `process` is drawn."""
+    """One member. `incarnation` exceeds that of any earlier process of this name; `process` is random."""
 
     def __init__(
         self,
         own: str,
         at: str,
-        life: int,
+        incarnation: int,
         listed: list[tuple[str, str]],
         rules: Rules,
         horizon: int,
@@ -145,31 +147,31 @@
         self.rng = rng
         self.process = rng.getrandbits(62)
         self.rules = rules
-        self.members = Membership(own, life, rules, listed, rng, now)
+        self.members = Membership(own, incarnation, rules, listed, rng, now)
         self.rows = Rows(own, horizon, rules.most)
         self.topics: dict[str, Topic] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.eager = 0  # more members that are asked in a period, while something is wanted
-        self.unreadable = 0  # wants and gifts
-        self.beat = 0
-        self.began = now
-        self.muted = False  # in this period
-        self.got: dict[str, _Got] = {}
-        self.helping: dict[int, tuple[str, int]] = {}  # our question's nonce: who asked, by which nonce
-        self.own_lives: set[int] = set()  # that this process has given up for a later one
-        self.clashed_at: int | None = None
+        self.eager = 0  # additional members to query per period while a topic has a request
+        self.unreadable = 0  # topic requests and answers that could not be decoded
+        self.heartbeat = 0
+        self.started_at = now
+        self.muted_this_period = False
+        self.received: dict[str, _Received] = {}
+        self.forwarded_probes: dict[int, tuple[str, int]] = {}  # nonce sent: requester's address and nonce
+        self.own_past_incarnations: set[int] = set()  # those of this process before the current one
+        self.last_conflict_at: int | None = None
         self.mute_until = 0
-        self.clashes = 0
-        self.too_long = 0
+        self.name_conflicts = 0
+        self.dropped_topics = 0
         self.lines: list[str] = []  # for the log
 
-    # Figures
+    # Views
 
     def mute(self, now: int) -> bool:
         return now < self.mute_until
 
     def view(self, now: int) -> list[Row]:
-        """The rows of the others that share this member's view, and that count."""
+        """The rows of the other counted members that share this member's view; empty while muted."""
         if self.mute(now):
             return []
         members = self.members.members
@@ -182,127 +184,144 @@
     def horizon(self, now: int) -> Horizon:
         return self.rows.horizon_of(now, self.members.counted())
 
-    # A period
+    # Periodic steps
 
     def tick(self, now: int) -> list[Out]:
-        """Make the next beat, and ask."""
-        self.muted = self.mute(now)
-        if not self.muted:
-            self.beat += 1
-            self.rows.says(now, self._row(now))
-        asks = self.members.tick(now, self.eager)
-        self._changed()
+        """Publish the next heartbeat; return the sync requests of this period."""
+        self.muted_this_period = self.mute(now)
+        if not self.muted_this_period:
+            self.heartbeat += 1
+            self.rows.says(now, self._make_row(now))
+        probes = self.members.tick(now, self.eager)
+        self._apply_changes()
         self.rows.forget_past(now - self.rules.forget)
-        wants = self._wants(now)
-        first = len(asks) - self.members.more
+        requests = self._topic_requests(now)
+        first_extra = len(probes) - self.members.extra
         return [
-            Out(ask.at, PACK(self._question(ask, wants=wants, rows=number < first)))
-            for number, ask in enumerate(asks)
+            Out(probe.at, PACK(self._sync_request(probe, requests=requests, with_rows=index < first_extra)))
+            for index, probe in enumerate(probes)
         ]
 
     def leaves(self, now: int) -> list[Out]:
-        """Tell of a planned end, in what would be the next round."""
-        news = [self.members.leaves(self.beat)]
-        asks = self.members.tick(now)
-        return [Out(ask.at, PACK(self._question(ask, news))) for ask in asks]
-
-    def _row(self, now: int) -> Row:
-        told = {name: PACK(topic.tells(now)) for name, topic in self.topics.items()}
-        while sum(map(len, told.values())) > ROW_MOST:
-            self.too_long += 1
-            del told[max(told, key=lambda name: len(told[name]))]
-        raw = {name: msgspec.Raw(packed) for name, packed in told.items()}
-        return Row(self.own, self.members.life, self.beat, self.rows.heard(now), raw)
-
-    def _wants(self, now: int) -> dict[str, msgspec.Raw]:
-        told = {name: exchange.wants(now) for name, exchange in self.exchanges.items()}
-        return {name: msgspec.Raw(PACK(want)) for name, want in told.items() if want is not None}
-
-    def _question(
+        """Announce a planned shutdown to the members of the next round."""
+        updates = [self.members.leave_update(self.heartbeat)]
+        probes = self.members.tick(now)
+        return [Out(probe.at, PACK(self._sync_request(probe, updates))) for probe in probes]
+
+    def _make_row(self, now: int) -> Row:
+        packed_values = {name: PACK(topic.make_value(now)) for name, topic in self.topics.items()}
+        while sum(map(len, packed_values.values())) > MAX_ROW_BYTES:
+            self.dropped_topics += 1
+            del packed_values[max(packed_values, key=lambda name: len(packed_values[name]))]
+        values = {name: msgspec.Raw(value) for name, value in packed_values.items()}
+        return Row(self.own, self.members.life, self.heartbeat, self.rows.heard(now), values)
+
+    def _topic_requests(self, now: int) -> dict[str, msgspec.Raw]:
+        requests = {name: exchange.wants(now) for name, exchange in self.exchanges.items()}
+        return {name: msgspec.Raw(PACK(request)) for name, request in requests.items() if request is not None}
+
+    def _sync_request(
         self,
-        ask: Ask,
-        news: list[News] | None = None,
-        wants: dict[str, msgspec.Raw] | None = None,
-        rows: bool = True,
-    ) -> Question:
-        got = self.got.get(ask.name) or _Got()
-        news = self.members.says() if news is None else news
-        life, beat = (0, 0) if self.muted else (self.members.life, self.beat)
-        about, since, knows = ask.about, got.upto if rows else NO_ROWS, got.process
-        wanted = wants if wants is not None and not about else {}
-        return Question(ask.nonce, self.own, life, beat, self.at, about, since, knows, news, wanted)
-
-    def _changed(self) -> None:
+        probe: Probe,
+        updates: list[StateUpdate] | None = None,
+        requests: dict[str, msgspec.Raw] | None = None,
+        with_rows: bool = True,
+    ) -> SyncRequest:
+        received = self.received.get(probe.name) or _Received()
+        updates = self.members.take_updates() if updates is None else updates
+        incarnation, heartbeat = (0, 0) if self.muted_this_period else (self.members.life, self.heartbeat)
+        about, since, serial_process = (
+            probe.about,
+            received.through_serial if with_rows else NO_ROWS,
+            received.process,
+        )
+        sent_requests = requests if requests is not None and not about else {}
+        return SyncRequest(
+            probe.nonce,
+            self.own,
+            incarnation,
+            heartbeat,
+            self.at,
+            about,
+            since,
+            serial_process,
+            updates,
+            sent_requests,
+        )
+
+    def _apply_changes(self) -> None:
         changes = self.members.take_changes()
         self.lines += changes.lines
         for name in changes.forgotten:
             self.rows.forget(name)
-            self.got.pop(name, None)
+            self.received.pop(name, None)
 
-    # What comes
+    # Incoming messages
 
     def came(self, now: int, message: Message, source: str) -> list[Out]:
-        """Take in a message; `source` is where it came from, and where its answer goes."""
-        for news in message.news:
-            self.members.hears(now, news)
-        if isinstance(message, Question):
-            out = self._asked(now, message, source)
+        """Process a message from address `source`; return the messages to send."""
+        for update in message.updates:
+            self.members.apply_update(now, update)
+        if isinstance(message, SyncRequest):
+            outgoing = self._handle_request(now, message, source)
         else:
-            out = self._answered(now, message)
-        self._changed()
-        return out
-
-    def _asked(self, now: int, question: Question, source: str) -> list[Out]:
-        if question.name != self.own:
-            self.members.beats(now, question.name, question.life, question.beat, question.at)
-        target = self.members.members.get(question.about)
-        if target is not None and target.name != question.name:
-            return self._help(now, question, target.name, source)
-        since = question.since if question.knows == self.process or question.since == NO_ROWS else 0
-        gives = self._gives(now, question)
-        return [Out(source, body) for body in self._answers(now, question.nonce, since, gives)]
-
-    def _gives(self, now: int, question: Question) -> dict[str, msgspec.Raw]:
-        """What the asking member alone is given; it is gone here from now on, whether or not it arrives."""
-        given = {}
-        for name, want in question.wants.items():
+            outgoing = self._handle_answer(now, message)
+        self._apply_changes()
+        return outgoing
+
+    def _handle_request(self, now: int, request: SyncRequest, source: str) -> list[Out]:
+        if request.name != self.own:
+            self.members.record_heartbeat(
+                now, request.name, request.incarnation, request.heartbeat, request.at
+            )
+        target = self.members.members.get(request.about)
+        if target is not None and target.name != request.name:
+            return self._forward_probe(now, request, target.name, source)
+        since = request.since if request.serial_process == self.process or request.since == NO_ROWS else 0
+        topic_answers = self._topic_answers(now, request)
+        return [Out(source, body) for body in self._pack_answers(now, request.nonce, since, topic_answers)]
+
+    def _topic_answers(self, now: int, request: SyncRequest) -> dict[str, msgspec.Raw]:
+        """Answers to the requester's topic requests; values handed over are gone here even if lost in transit."""
+        answers = {}
+        for name, topic_request in request.wants.items():
             exchange = self.exchanges.get(name)
-            if exchange is None or question.name not in self.members.members:
+            if exchange is None or request.name not in self.members.members:
                 continue
             try:
-                gift = exchange.gives(now, question.name, want)
+                answer = exchange.gives(now, request.name, topic_request)
             except msgspec.MsgspecError:
                 self.unreadable += 1
                 continue
-            if gift is not None:
-                given[name] = msgspec.Raw(PACK(gift))
-        return given
-
-    def _help(self, now: int, question: Question, about: str, source: str) -> list[Out]:
-        """Ask a third member for somebody that can't reach it; the answer follows when its own is here."""
-        ask = self.members.ask(now, about)
-        if ask is None:
+            if answer is not None:
+                answers[name] = msgspec.Raw(PACK(answer))
+        return answers
+
+    def _forward_probe(self, now: int, request: SyncRequest, about: str, source: str) -> list[Out]:
+        """Probe a third member for one that can't reach it; the answer is sent on when it arrives."""
+        probe = self.members.probe_for(now, about)
+        if probe is None:
             return []
-        self.helping[ask.nonce] = (source, question.nonce)
-        if len(self.helping) > HELPING_MOST:
-            del self.helping[next(iter(self.helping))]
-        return [Out(ask.at, PACK(self._question(ask)))]
+        self.forwarded_probes[probe.nonce] = (source, request.nonce)
+        if len(self.forwarded_probes) > MAX_FORWARDED_PROBES:
+            del self.forwarded_probes[next(iter(self.forwarded_probes))]
+        return [Out(probe.at, PACK(self._sync_request(probe)))]
 
-    def _answers(
-        self, now: int, nonce: int, since: int, gives: dict[str, msgspec.Raw] | None = None
+    def _pack_answers(
+        self, now: int, nonce: int, since: int, topic_answers: dict[str, msgspec.Raw] | None = None
     ) -> list[bytes]:
-        """What has changed since then, the freshest first, in parts; the first one has what is given."""
-        gives = gives or {}
+        """Rows changed after serial `since`, latest first, in parts; the first part has the topic answers."""
+        topic_answers = topic_answers or {}
         members, parts = self.members.members, [[]]  # type: ignore[var-annotated]
-        size = sum(len(bytes(gift)) for gift in gives.values())
-        news = self.members.says()
+        size = sum(len(bytes(answer)) for answer in topic_answers.values())
+        updates = self.members.take_updates()
         for kept in self.rows.since(since):
             member = members.get(kept.row.name)
             at = self.at if kept.row.name == self.own else member.at if member and not member.listed else ""
-            age_ms = min(AGE_MOST_MS, -(-(now - kept.made_at) // MS))
-            packed = PACK(Said(age_ms, kept.row, at))
+            age_ms = min(MAX_AGE_MS, -(-(now - kept.made_at) // MS))
+            packed = PACK(AgedRow(age_ms, kept.row, at))
             if parts[-1] and size + len(packed) > BODY_MOST - 200:
-                if len(parts) == PARTS_MOST:
+                if len(parts) == MAX_ANSWER_PARTS:
                     break
                 parts.append([])
                 size = 0
@@ -310,7 +329,7 @@
             size += len(packed)
         return [
             PACK(
-                _Answer(
+                _PackedAnswer(
                     nonce,
                     self.own,
                     self.process,
@@ -318,76 +337,78 @@
                     len(parts) if since != NO_ROWS else 0,
                     self.rows.serial,
                     rows,
-                    news if not part else [],
-                    gives if not part else {},
+                    updates if not part else [],
+                    topic_answers if not part else {},
                 )
             )
             for part, rows in enumerate(parts)
         ]
 
-    def _answered(self, now: int, answer: Answer) -> list[Out]:
-        asked_at = self.members.answered(now, answer.nonce)
+    def _handle_answer(self, now: int, answer: Answer) -> list[Out]:
+        asked_at = self.members.record_answer(now, answer.nonce)
         if asked_at is None:
-            return []  # nobody asked, or so long ago that it says nothing: it has no age
-        for said in answer.rows:
-            self._learn(now, said, said.age_ms * MS + now - asked_at)
-        self._note(answer)
-        self._take(now, asked_at, answer)
-        waiting = self.helping.pop(answer.nonce, None)
-        if waiting is None:
+            return []  # no pending request: the age of its rows is unknown
+        for aged_row in answer.rows:
+            self._learn_row(now, aged_row, aged_row.age_ms * MS + now - asked_at)
+        self._record_part(answer)
+        self._receive_topics(now, asked_at, answer)
+        forwarded = self.forwarded_probes.pop(answer.nonce, None)
+        if forwarded is None:
             return []
-        source, nonce = waiting
-        return [Out(source, body) for body in self._answers(now, nonce, 0)[:1]]
+        source, nonce = forwarded
+        return [Out(source, body) for body in self._pack_answers(now, nonce, 0)[:1]]
 
-    def _take(self, now: int, asked_at: int, answer: Answer) -> None:
-        for name, gift in answer.gives.items():
+    def _receive_topics(self, now: int, asked_at: int, answer: Answer) -> None:
+        for name, value in answer.gives.items():
             exchange = self.exchanges.get(name)
             if exchange is None:
                 continue
             try:
-                exchange.takes(now, asked_at, answer.process, gift)
+                exchange.takes(now, asked_at, answer.process, value)
             except msgspec.MsgspecError:
                 self.unreadable += 1
 
-    def _learn(self, now: int, said: Said, age: int) -> None:
-        row = said.row
+    def _learn_row(self, now: int, aged_row: AgedRow, age: int) -> None:
+        row = aged_row.row
         if row.name == self.own:
-            self._own_name(now, row, age)
+            self._handle_own_row(now, row, age)
             return
-        self.members.beats(now, row.name, row.life, row.beat, said.at)
+        self.members.record_heartbeat(now, row.name, row.life, row.beat, aged_row.at)
         if row.name in self.members.members and self.rows.learn(now, row, age):
-            self.members.lives(now, row.name)
+            self.members.extend_lifetime(now, row.name)
 
-    def _note(self, answer: Answer) -> None:
-        """Remember what need not be asked for again, once all parts of an answer are here."""
+    def _record_part(self, answer: Answer) -> None:
+        """Advance the serial of the next request once all parts of an answer have arrived."""
         if not answer.parts:
-            return  # it was asked for no rows
-        got = self.got.setdefault(answer.name, _Got())
-        if got.nonce != answer.nonce:
-            got.nonce, got.parts = answer.nonce, set()
-        got.parts.add(answer.part)
-        if len(got.parts) >= answer.parts and answer.parts < PARTS_MOST:
-            got.process, got.upto = answer.process, answer.upto
-
-    # One's own name
-
-    def _own_name(self, now: int, row: Row, age: int) -> None:
-        """Somebody knows a row of this name that this process did not make."""
-        own, lives = self.members.life, now - age > self.began  # it was made while this process was there
-        if (row.life == own and row.beat <= self.beat) or self.mute(now):
+            return  # the request asked for no rows
+        received = self.received.setdefault(answer.name, _Received())
+        if received.nonce != answer.nonce:
+            received.nonce, received.parts = answer.nonce, set()
+        received.parts.add(answer.part)
+        if len(received.parts) >= answer.parts and answer.parts < MAX_ANSWER_PARTS:
+            received.process, received.through_serial = answer.process, answer.through_serial
+
+    # Own name
+
+    def _handle_own_row(self, now: int, row: Row, age: int) -> None:
+        """Handle a row with this member's own name that another member has sent."""
+        incarnation, made_since_start = self.members.life, now - age > self.started_at
+        if (row.life == incarnation and row.beat <= self.heartbeat) or self.mute(now):
             return
-        if row.life < own and (row.life in self.own_lives or not lives):
-            self.rows.learn(now, row, age)  # an earlier life: what was counted in it has happened
+        if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
+            self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
             return
-        self.clashes += 1
-        again = self.clashed_at is not None and now - self.clashed_at < CLASH
-        self.clashed_at = now
-        if row.life < own or again:
+        self.name_conflicts += 1
+        repeated = self.last_conflict_at is not None and now - self.last_conflict_at < CLASH
+        self.last_conflict_at = now
+        if row.life < incarnation or repeated:
             self.mute_until = now + CLASH
-            self.lines.append(f"another process has the name {self.own!r}: this one says nothing under it")
+            self.lines.append(
+                f"another process has the name {self.own!r}: this one does not publish under it for now"
+            )
             return
-        self.own_lives.add(own)
+        self.own_past_incarnations.add(incarnation)
         self.members.life = row.life + 1 + self.rng.randrange(MS)
-        self.beat = 0
+        self.heartbeat = 0
         for topic in self.topics.values():
-            topic.anew()
+            topic.reset()
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -140,7 +140,7 @@
             return
         members = self.peer.members
         members.rules.forget = int(self.table.forget_s * S)
-        members.relist(clock(), ((one.name, text_of(one.at)) for one in self.table.members))
+        members.set_listed(clock(), ((one.name, text_of(one.at)) for one in self.table.members))
 
     # A period
 
@@ -244,9 +244,9 @@
             "oldest_ms": horizon.oldest // MS,
             "horizon_ms": int(self.horizon_s * 1000),
             "alike": 1 + len(peer.view(now)),
-            "doubt": peer.members.doubt,
+            "doubt": peer.members.health_penalty,
             "mute": peer.mute(now),
-            "false_alarms": peer.members.false_alarms,
+            "false_alarms": peer.members.false_suspicions,
             "datagrams_sent": self.sent,
             "datagrams_came": self.came,
             "bytes_sent": self.sent_bytes,
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -1,33 +1,34 @@
-"""Who is there: one member's view, and whom it asks next. No clock, no I/O.
+"""One member's view of the membership, and whom it probes next. No clock, no I/O.
 
-Theory. A member is known by name, and what is known of it is a version (life, beat) with a state, of which
-the larger wins:
+Theory (as in SWIM and Lifeguard). A member is identified by its name. What is known of it is a version
+(incarnation, heartbeat) with a state; of two reports the one with the larger version wins:
 
-| state | is said by | ends by |
+| state | set by | ends with |
 | --- | --- | --- |
-| ALIVE | a row of the member itself, by whatever way | |
-| SUSPECT | one that asked it, straight and through `HELPERS` others, and heard nothing | any later beat |
-| GONE | whoever has held it for a suspect for `suspicion` | any later beat |
-| LEFT | itself, at a planned end | a later life |
-
-Every beat is a refutation: it is of a larger version than the suspicion, whoever carries it. So a live
-member that reaches anybody who reaches me is never held for gone for good, and one that is dead makes no
-further beat: its last version becomes SUSPECT and then GONE everywhere.
-
-*Gone is not forgotten.* A member that is cut off looks like one that died. It goes on counting in shares
-until it has been silent for `forget`, and is asked again now and then all that time: a healed cut needs
-nobody to notice it. One that has left counts no more.
-
-*Local health.* Who hears nobody has most likely lost its own link. `doubt` counts rounds of questions that
-went without any answer; it stretches this member's patience, and from `DEAF` on it suspects nobody and says
-so. One round with an answer halves it: where half of the others are dead, half of the rounds go without, and
-by steps of one the doubt would stay.
-
-Whom to ask: all others in a drawn order, anew after each round, so that between two questions to the same
-member there are at most two rounds; one in `AGAIN` periods goes to a member that is held for gone.
-Bounded: `most` members, `OPEN_MOST` questions, `NEWS_MOST` pieces of news in a datagram.
-
-Times are whole nanoseconds of the caller's monotonic clock.
+| ALIVE | a row of the member itself, from any sender | |
+| SUSPECT | a member whose probes, direct and via `INDIRECT_PROBES` others, failed | a later heartbeat |
+| GONE | any member that has had it as SUSPECT for `suspicion_timeout` | a later heartbeat |
+| LEFT | the member itself, at a planned shutdown | a later incarnation |
+
+Every heartbeat refutes a suspicion: its version is larger, whoever forwards it. So a live member that reaches
+anyone who reaches this one does not stay GONE, and a dead one sends no further heartbeat: its last version
+becomes SUSPECT and then GONE everywhere.
+
+*GONE members are not removed.* A partitioned member looks like a crashed one. It counts in shares until it
+has been silent for `forget`, and is probed occasionally all that time, so that a healed partition is found
+without any operator action. A member that has LEFT no longer counts.
+
+*Local health.* A member that receives no answers has most likely lost its own link. `health_penalty` grows
+with each round of probes without any answer; it stretches this member's timeouts, and from
+`ISOLATION_THRESHOLD` on the member suspects no one and reports itself as isolated. One round with an answer
+halves it: where half of the others are dead, half of the rounds have no answer, and with decrements of one
+the penalty would not fall.
+
+Probe order: all others in random order, reshuffled after each round, so that between two probes of the same
+member there are at most two rounds; one in `GONE_PROBE_PERIODS` periods also probes a GONE member.
+Bounds: `most` members, `MAX_PENDING_PROBES` probes, `MAX_UPDATES_PER_DATAGRAM` state updates in a datagram.
+
+Times are integer nanoseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -39,15 +40,15 @@
 from random import Random
 from typing import NamedTuple
 
-HELPERS = 3
-SUSPECT_ROUNDS = 3.0  # times log2 of the members, in periods
-DOUBT_MOST = 8
-DEAF = 3  # rounds without any answer
-AGAIN = 5
-NEWS_MOST = 6
-TOLD_FACTOR = 3  # each piece of news is told so many times log2 of the members
-OPEN_MOST = 4096  # questions that wait for an answer; the oldest is given up
-LATE_PERIODS = 8  # an unanswered question is kept so long at the least: a late answer still tells something
+INDIRECT_PROBES = 3  # members asked to probe one that does not answer
+SUSPICION_PERIODS_FACTOR = 3.0  # suspicion timeout: this times log2(members), in periods
+MAX_HEALTH_PENALTY = 8
+ISOLATION_THRESHOLD = 3  # health penalty at which this member counts as isolated
+GONE_PROBE_PERIODS = 5  # a GONE member is probed once in this many periods
+MAX_UPDATES_PER_DATAGRAM = 6
+RETRANSMIT_FACTOR = 3  # each state update is sent this many times log2(members)
+MAX_PENDING_PROBES = 4096  # probes without an answer yet; beyond it the oldest is dropped
+LATE_ANSWER_PERIODS = 8  # minimum time an unanswered probe is kept: a late answer is still used
 
 
 class State(IntEnum):
@@ -57,17 +58,17 @@
     LEFT = 3
 
 
-class News(NamedTuple):
-    """What one member says of another's state."""
+class StateUpdate(NamedTuple):
+    """A report of one member about another's state."""
 
     name: str
-    life: int
-    beat: int
+    incarnation: int
+    heartbeat: int
     state: int
 
 
-class Ask(NamedTuple):
-    """Ask the member at an address for what it knows; `about`: whom it is to ask first."""
+class Probe(NamedTuple):
+    """A probe to send to the member at address `at`; `about`: a third member that it probes first, or ""."""
 
     nonce: int
     name: str
@@ -79,32 +80,32 @@
 class Member:
     name: str
     at: str
-    listed: bool  # in the operator's file: its address is from there
-    life: int = 0
-    beat: int = -1
+    listed: bool  # in the operator's file, which also gives its address
+    incarnation: int = 0
+    heartbeat: int = -1
     state: State = State.ALIVE
-    since: int = 0  # when it came into this state
-    heard_at: int = 0  # when its version last grew
+    since: int = 0  # start of the current state
+    last_heard: int = 0  # when its version last increased
 
     @property
     def version(self) -> tuple[int, int, int]:
-        return self.life, self.beat, self.state
+        return self.incarnation, self.heartbeat, self.state
 
 
 @dataclass(slots=True)
-class Question:
+class PendingProbe:
     name: str
-    asked_at: int
+    sent_at: int
     about: str = ""
-    beat: tuple[int, int] = (0, -1)  # of whom it was asked about, then
+    version: tuple[int, int] = (0, -1)  # version of the probed member when the probe was sent
     direct: bool = True
     answered: bool = False
-    helped: bool = False
+    indirect_sent: bool = False
 
 
 @dataclass(slots=True)
 class Rules:
-    """Times of one member; nanoseconds."""
+    """Settings of one member; times in nanoseconds."""
 
     period: int
     asks: int
@@ -113,196 +114,214 @@
 
 
 @dataclass(slots=True)
-class Told:
-    news: News
-    left: int
+class QueuedUpdate:
+    update: StateUpdate
+    sends_left: int
 
 
 @dataclass(slots=True)
 class Changes:
-    """What a step changed, for the log."""
+    """Log lines and names of removed members since the last `take_changes`."""
 
     lines: list[str] = field(default_factory=list)
     forgotten: list[str] = field(default_factory=list)
 
 
 class Membership:
-    """One member's view. `own` is its name, `life` its process."""
+    """One member's view. `own` is its name, `life` the incarnation of its process."""
 
     def __init__(
-        self, own: str, life: int, rules: Rules, listed: Iterable[tuple[str, str]], rng: Random, now: int
+        self,
+        own: str,
+        incarnation: int,
+        rules: Rules,
+        listed: Iterable[tuple[str, str]],
+        rng: Random,
+        now: int,
     ) -> None:
         self.own = own
-        self.life = life
+        self.life = incarnation
         self.rules = rules
         self.rng = rng
         self.members: dict[str, Member] = {}
         for name, at in listed:
             if name != own:
-                self.members[name] = Member(name, at, True, since=now, heard_at=now)
-        self.questions: dict[int, Question] = {}
-        self.queue: list[str] = []  # whom to ask next, the next one last
-        self.news: dict[str, Told] = {}
+                self.members[name] = Member(name, at, True, since=now, last_heard=now)
+        self.pending_probes: dict[int, PendingProbe] = {}
+        self.probe_order: list[str] = []  # names of the members to probe next, the next one last
+        self.update_queue: dict[str, QueuedUpdate] = {}
         self.rounds = 0
-        self.more = 0  # of the last round's questions, those beyond the usual; they are the last
-        self.doubt = 0
-        self.answers = 0  # in this round of questions
+        self.extra = 0  # of the last round's probes, those beyond the usual number; they come last
+        self.health_penalty = 0
+        self.answers_this_round = 0  # answers received in this round of probes
         self.left_out = 0
         self.changes = Changes()
-        self.false_alarms = 0  # of others about this one
+        self.false_suspicions = 0  # reports by others that this member is SUSPECT or GONE
 
-    def relist(self, now: int, listed: Iterable[tuple[str, str]]) -> None:
-        """An operator's file names these now; who stands in it no longer stays as one that has joined."""
+    def set_listed(self, now: int, listed: Iterable[tuple[str, str]]) -> None:
+        """Apply a new list from the operator's file; unlisted members stay like joined ones."""
         names = dict(listed)
         for name, at in names.items():
             member = self.members.get(name)
             if member is not None:
                 member.listed, member.at = True, at
             elif name != self.own:
-                self.members[name] = Member(name, at, True, since=now, heard_at=now)
+                self.members[name] = Member(name, at, True, since=now, last_heard=now)
         for member in self.members.values():
             member.listed = member.name in names
 
-    # Figures
+    # Sizes and timeouts
 
     def counted(self) -> int:
-        """How many members there are, with this one, silent ones among them."""
+        """The number of members, including this one and silent ones, excluding those that have left."""
         return 1 + sum(member.state is not State.LEFT for member in self.members.values())
 
     def live(self) -> list[Member]:
         return [member for member in self.members.values() if member.state <= State.SUSPECT]
 
     def deaf(self) -> bool:
-        """Whether this member doubts itself before others."""
-        return self.doubt >= DEAF
+        """Whether this member has probably lost its own link."""
+        return self.health_penalty >= ISOLATION_THRESHOLD
 
-    def suspicion(self) -> int:
-        """How long a suspect has to show a later beat."""
-        periods = SUSPECT_ROUNDS * math.log2(max(2, self.counted())) * (1 + self.doubt)
+    def suspicion_timeout(self) -> int:
+        """How long a SUSPECT member has to send a later heartbeat before it is GONE."""
+        periods = SUSPICION_PERIODS_FACTOR * math.log2(max(2, self.counted())) * (1 + self.health_penalty)
         return int(periods * self.rules.period)
 
-    def patience(self) -> int:
-        """How long a question waits before others are asked to help."""
-        return self.rules.period * (1 + self.doubt)
+    def probe_timeout(self) -> int:
+        """How long a direct probe waits before indirect probes are sent."""
+        return self.rules.period * (1 + self.health_penalty)
 
     # Steps
 
-    def tick(self, now: int, more: int = 0) -> list[Ask]:
-        """One period has passed: whom to ask now, and so many more."""
+    def tick(self, now: int, extra: int = 0) -> list[Probe]:
+        """Advance by one period; return the probes to send, `extra` beyond the usual number."""
         self.rounds += 1
-        asks = self._unanswered(now)
-        self._judge(now)
+        probes = self._process_unanswered(now)
+        self._update_states(now)
         if self.live():
-            self.doubt = self.doubt // 2 if self.answers else min(DOUBT_MOST, self.doubt + 1)
-        self.answers = 0
-        if self.rounds % AGAIN == 0:
-            lost = [member for member in self.members.values() if member.state >= State.GONE]
-            if lost:
-                asks.append(self._ask(now, self.rng.choice(lost)))
+            self.health_penalty = (
+                self.health_penalty // 2
+                if self.answers_this_round
+                else min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
+            )
+        self.answers_this_round = 0
+        if self.rounds % GONE_PROBE_PERIODS == 0:
+            gone = [member for member in self.members.values() if member.state >= State.GONE]
+            if gone:
+                probes.append(self._start_probe(now, self.rng.choice(gone)))
         usual = min(self.rules.asks, len(self.members))
-        self.more = 0
-        for number in range(min(usual + more, len(self.members))):
-            member = self._next()
+        self.extra = 0
+        for index in range(min(usual + extra, len(self.members))):
+            member = self._next_member()
             if member is not None:
-                asks.append(self._ask(now, member))
-                self.more += number >= usual
-        return asks
+                probes.append(self._start_probe(now, member))
+                self.extra += index >= usual
+        return probes
 
-    def _next(self) -> Member | None:
-        """The next member in this round's drawn order."""
+    def _next_member(self) -> Member | None:
+        """The next member in this round's random order."""
         for _ in range(2):
-            while self.queue:
-                member = self.members.get(self.queue.pop())
+            while self.probe_order:
+                member = self.members.get(self.probe_order.pop())
                 if member is not None and member.state <= State.SUSPECT:
                     return member
-            self.queue = [member.name for member in self.live()]
-            self.rng.shuffle(self.queue)
+            self.probe_order = [member.name for member in self.live()]
+            self.rng.shuffle(self.probe_order)
         return None
 
-    def ask(self, now: int, name: str) -> Ask | None:
-        """Ask this member now, for somebody else: what becomes of it is theirs to judge."""
+    def probe_for(self, now: int, name: str) -> Probe | None:
+        """Probe this member on behalf of another; the result does not change the local view."""
         member = self.members.get(name)
         if member is None:
             return None
-        ask = self._ask(now, member)
-        self.questions[ask.nonce].direct = False
-        return ask
+        probe = self._start_probe(now, member)
+        self.pending_probes[probe.nonce].direct = False
+        return probe
 
-    def _ask(self, now: int, member: Member, about: str = "") -> Ask:
+    def _start_probe(self, now: int, member: Member, about: str = "") -> Probe:
         nonce = self.rng.getrandbits(62)
         target = self.members[about or member.name]
-        beat = (target.life, target.beat)
-        self.questions[nonce] = Question(member.name, now, about, beat, direct=not about)
-        if len(self.questions) > OPEN_MOST:
-            del self.questions[next(iter(self.questions))]
-        return Ask(nonce, member.name, member.at, about)
-
-    def _unanswered(self, now: int) -> list[Ask]:
-        """Have others ask whom this one can't reach; drop questions that are over."""
-        asks: list[Ask] = []
-        over = now - max(LATE_PERIODS * self.rules.period, 2 * self.suspicion())
-        for nonce, question in list(self.questions.items()):
-            if question.asked_at < over:
-                del self.questions[nonce]
+        version = (target.incarnation, target.heartbeat)
+        self.pending_probes[nonce] = PendingProbe(member.name, now, about, version, direct=not about)
+        if len(self.pending_probes) > MAX_PENDING_PROBES:
+            del self.pending_probes[next(iter(self.pending_probes))]
+        return Probe(nonce, member.name, member.at, about)
+
+    def _process_unanswered(self, now: int) -> list[Probe]:
+        """Send indirect probes for members that did not answer in time; drop expired probes."""
+        probes: list[Probe] = []
+        oldest_kept = now - max(LATE_ANSWER_PERIODS * self.rules.period, 2 * self.suspicion_timeout())
+        for nonce, probe in list(self.pending_probes.items()):
+            if probe.sent_at < oldest_kept:
+                del self.pending_probes[nonce]
                 continue
-            waits = question.direct and not question.answered and not question.helped
-            if waits and now - question.asked_at >= self.patience():
-                question.helped = True
-                asks += self._help(now, question)
-        return asks
-
-    def _help(self, now: int, question: Question) -> list[Ask]:
-        target = self.members.get(question.name)
-        if target is None or target.state >= State.GONE or (target.life, target.beat) > question.beat:
-            return []  # it was heard of since
+            overdue = probe.direct and not probe.answered and not probe.indirect_sent
+            if overdue and now - probe.sent_at >= self.probe_timeout():
+                probe.indirect_sent = True
+                probes += self._indirect_probes(now, probe)
+        return probes
+
+    def _indirect_probes(self, now: int, probe: PendingProbe) -> list[Probe]:
+        target = self.members.get(probe.name)
+        if (
+            target is None
+            or target.state >= State.GONE
+            or (target.incarnation, target.heartbeat) > probe.version
+        ):
+            return []  # a newer version has arrived since
         others = [member for member in self.live() if member.name != target.name]
-        chosen = self.rng.sample(others, min(HELPERS, len(others)))
-        return [self._ask(now, helper, target.name) for helper in chosen]
-
-    def _judge(self, now: int) -> None:
-        """Suspect who answered neither straight nor through others; give up suspects in time."""
-        waits = 2 * self.patience()
-        for question in self.questions.values():
-            if not question.helped or question.answered or now - question.asked_at < waits:
+        chosen = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
+        return [self._start_probe(now, helper, target.name) for helper in chosen]
+
+    def _update_states(self, now: int) -> None:
+        """Suspect members without an answer to direct and indirect probes; expire suspect and silent ones."""
+        timeout = 2 * self.probe_timeout()
+        for probe in self.pending_probes.values():
+            if not probe.indirect_sent or probe.answered or now - probe.sent_at < timeout:
                 continue
-            member = self.members.get(question.name)
-            question.answered = True  # judged once
+            member = self.members.get(probe.name)
+            probe.answered = True  # evaluated only once
             if member is None or self.deaf():
                 continue
-            if member.state is State.ALIVE and (member.life, member.beat) == question.beat:
-                self._becomes(now, member, State.SUSPECT)
-        suspicion = self.suspicion()
+            if member.state is State.ALIVE and (member.incarnation, member.heartbeat) == probe.version:
+                self._set_state(now, member, State.SUSPECT)
+        suspicion_timeout = self.suspicion_timeout()
         for member in list(self.members.values()):
-            if member.state is State.SUSPECT and now - member.since >= suspicion and not self.deaf():
-                self._becomes(now, member, State.GONE)
-            elif member.state is not State.LEFT and now - member.heard_at >= self.rules.forget:
-                self._forgets(now, member)
+            if member.state is State.SUSPECT and now - member.since >= suspicion_timeout and not self.deaf():
+                self._set_state(now, member, State.GONE)
+            elif member.state is not State.LEFT and now - member.last_heard >= self.rules.forget:
+                self._expire(now, member)
             elif member.state is State.LEFT and now - member.since >= self.rules.forget:
                 self._drop(member)
 
-    def _becomes(self, now: int, member: Member, state: State, beat: tuple[int, int] | None = None) -> None:
-        if beat is not None:
-            member.life, member.beat = beat
+    def _set_state(
+        self, now: int, member: Member, state: State, version: tuple[int, int] | None = None
+    ) -> None:
+        if version is not None:
+            member.incarnation, member.heartbeat = version
         if state is not member.state:
             if state is State.LEFT:
                 self.changes.forgotten.append(member.name)
             if state >= State.GONE or member.state >= State.GONE:
-                word = {State.GONE: "is silent", State.LEFT: "has left"}.get(state, "is back")
-                self.changes.lines.append(f"{member.name} {word}")
+                change = {State.GONE: "is silent", State.LEFT: "has left"}.get(state, "is back")
+                self.changes.lines.append(f"{member.name} {change}")
             member.since = now
             member.state = state
-        self._tell(member)
+        self._queue_update(member)
 
-    def _tell(self, member: Member) -> None:
-        times = TOLD_FACTOR * math.ceil(math.log2(max(2, self.counted())))
-        said = News(member.name, member.life, member.beat, int(member.state))
-        self.news[member.name] = Told(said, times)
+    def _queue_update(self, member: Member) -> None:
+        sends = RETRANSMIT_FACTOR * math.ceil(math.log2(max(2, self.counted())))
+        update = StateUpdate(member.name, member.incarnation, member.heartbeat, int(member.state))
+        self.update_queue[member.name] = QueuedUpdate(update, sends)
 
-    def _forgets(self, now: int, member: Member) -> None:
-        """It has been silent for so long that its part is given to the others."""
+    def _expire(self, now: int, member: Member) -> None:
+        """Stop counting a member that was silent for `forget`: its share goes to the others."""
         if member.listed:
             if member.state is not State.LEFT:
-                self.changes.lines.append(f"{member.name} counts no more: silent for too long")
+                self.changes.lines.append(
+                    f"{member.name} is no longer counted: silent for longer than forget_s"
+                )
                 member.state, member.since = State.LEFT, now
                 self.changes.forgotten.append(member.name)
         else:
@@ -311,83 +330,85 @@
     def _drop(self, member: Member) -> None:
         if not member.listed:
             self.members.pop(member.name, None)
-            self.news.pop(member.name, None)
+            self.update_queue.pop(member.name, None)
             self.changes.forgotten.append(member.name)
 
-    # What comes
+    # Incoming messages
 
-    def answered(self, now: int, nonce: int) -> int | None:
-        """An answer to this question came: when it was asked; None where none is open by that nonce."""
-        question = self.questions.get(nonce)
-        if question is None:
+    def record_answer(self, now: int, nonce: int) -> int | None:
+        """Record an answer; return when its probe was sent, None if no pending probe has that nonce."""
+        probe = self.pending_probes.get(nonce)
+        if probe is None:
             return None
-        question.answered = True
-        self.answers += 1
-        return question.asked_at
+        probe.answered = True
+        self.answers_this_round += 1
+        return probe.sent_at
 
-    def beats(self, now: int, name: str, life: int, beat: int, at: str = "") -> None:
-        """A row of the member itself, by whatever way: it lived when it made it."""
+    def record_heartbeat(self, now: int, name: str, incarnation: int, heartbeat: int, at: str = "") -> None:
+        """Record a row made by the member itself, whoever forwarded it."""
         if name == self.own:
             return
         member = self.members.get(name)
         if member is None:
-            self._joins(now, name, life, beat, at)
+            self._add_joined(now, name, incarnation, heartbeat, at)
             return
         if at and not member.listed:
             member.at = at
-        if (life, beat) <= (member.life, member.beat):
+        if (incarnation, heartbeat) <= (member.incarnation, member.heartbeat):
             return
-        if member.state is State.LEFT and life <= member.life:
-            return  # on its way since before it left
-        member.heard_at = now
+        if member.state is State.LEFT and incarnation <= member.incarnation:
+            return  # sent before the member left
+        member.last_heard = now
         if member.state is State.ALIVE:
-            member.life, member.beat = life, beat
+            member.incarnation, member.heartbeat = incarnation, heartbeat
         else:
-            self._becomes(now, member, State.ALIVE, (life, beat))
+            self._set_state(now, member, State.ALIVE, (incarnation, heartbeat))
 
-    def lives(self, now: int, name: str) -> None:
-        """A row of it was news: it counts on, also where somebody else has claimed a later life for it."""
-        self.members[name].heard_at = now
+    def extend_lifetime(self, now: int, name: str) -> None:
+        """Restart the silence timer after a new row, even if a later incarnation has been reported."""
+        self.members[name].last_heard = now
 
-    def _joins(self, now: int, name: str, life: int, beat: int, at: str) -> None:
+    def _add_joined(self, now: int, name: str, incarnation: int, heartbeat: int, at: str) -> None:
         if not at:
-            return  # nobody could ask it
+            return  # without an address it can't be probed
         if len(self.members) + 1 >= self.rules.most:
             self.left_out += 1
             return
-        member = Member(name, at, False, life, beat, since=now, heard_at=now)
+        member = Member(name, at, False, incarnation, heartbeat, since=now, last_heard=now)
         self.members[name] = member
         self.changes.lines.append(f"{member.name} has joined")
 
-    def hears(self, now: int, news: News) -> None:
-        """What another member says; the larger version wins."""
-        if news.name == self.own:
-            if news.state in (State.SUSPECT, State.GONE) and news.life == self.life:
-                self.false_alarms += 1  # the next beat refutes it
+    def apply_update(self, now: int, update: StateUpdate) -> None:
+        """Apply another member's report; the larger version wins."""
+        if update.name == self.own:
+            if update.state in (State.SUSPECT, State.GONE) and update.incarnation == self.life:
+                self.false_suspicions += 1  # the next heartbeat refutes it
             return
-        if not State.ALIVE <= news.state <= State.LEFT:
+        if not State.ALIVE <= update.state <= State.LEFT:
             return
-        member = self.members.get(news.name)
-        if member is None or news.state == State.ALIVE:  # only its own rows tell that it lives
+        member = self.members.get(update.name)
+        if member is None or update.state == State.ALIVE:  # only its own rows prove that it is alive
             return
-        if (news.life, news.beat, news.state) <= member.version:
+        if (update.incarnation, update.heartbeat, update.state) <= member.version:
             return
-        if (news.life, news.beat) > (member.life, member.beat):
-            member.heard_at = now  # somebody has heard it since this one did
-        self._becomes(now, member, State(news.state), (news.life, news.beat))
-
-    def leaves(self, beat: int) -> News:
-        """That this member ends as planned."""
-        return News(self.own, self.life, beat, int(State.LEFT))
-
-    def says(self) -> list[News]:
-        """News for one datagram: what was told least often first."""
-        chosen = sorted(self.news.values(), key=lambda told: -told.left)[:NEWS_MOST]
-        for told in chosen:
-            told.left -= 1
-            if told.left <= 0:
-                self.news.pop(told.news.name, None)
-        return [told.news for told in chosen]
+        if (update.incarnation, update.heartbeat) > (member.incarnation, member.heartbeat):
+            member.last_heard = now  # another member has heard from it more recently
+        self._set_state(now, member, State(update.state), (update.incarnation, update.heartbeat))
+
+    def leave_update(self, heartbeat: int) -> StateUpdate:
+        """The update that announces this member's planned shutdown."""
+        return StateUpdate(self.own, self.life, heartbeat, int(State.LEFT))
+
+    def take_updates(self) -> list[StateUpdate]:
+        """State updates for one datagram: those sent least often first."""
+        chosen = sorted(self.update_queue.values(), key=lambda queued: -queued.sends_left)[
+            :MAX_UPDATES_PER_DATAGRAM
+        ]
+        for queued in chosen:
+            queued.sends_left -= 1
+            if queued.sends_left <= 0:
+                self.update_queue.pop(queued.update.name, None)
+        return [queued.update for queued in chosen]
 
     def take_changes(self) -> Changes:
         changes, self.changes = self.changes, Changes()
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -11,17 +11,17 @@
 from garnethaven.peers.conversation import (
     BODY_MOST,
     CLASH,
+    MAX_ANSWER_PARTS,
+    MAX_ROW_BYTES,
     NO_ROWS,
     PACK,
-    PARTS_MOST,
-    ROW_MOST,
     UNPACK,
+    AgedRow,
     Answer,
     Exchange,
     Out,
     Peer,
-    Question,
-    Said,
+    SyncRequest,
     Topic,
 )
 from garnethaven.peers.membership import Rules, State
@@ -76,7 +76,7 @@
 
 def test_an_answer_that_nobody_asked_for_has_no_age_and_is_dropped() -> None:
     one = peer("a")
-    told = Answer(4711, "b", 9, 0, 1, 1, [Said(0, Row("b", 1, 5, 3))])
+    told = Answer(4711, "b", 9, 0, 1, 1, [AgedRow(0, Row("b", 1, 5, 3))])
     assert one.came(S, told, "b") == []
     assert "b" not in one.rows.kept
 
@@ -85,8 +85,8 @@
     one = peer("a")
     (out, *_) = one.tick(S)
     question = UNPACK(out.body)
-    assert isinstance(question, Question)
-    told = Answer(question.nonce, out.at, 9, 0, 1, 1, [Said(250, Row(out.at, 1, 5, 3))])
+    assert isinstance(question, SyncRequest)
+    told = Answer(question.nonce, out.at, 9, 0, 1, 1, [AgedRow(250, Row(out.at, 1, 5, 3))])
     one.came(S + 1500 * 1_000_000, told, out.at)
     assert one.rows.age(S + 1500 * 1_000_000, out.at) == 1750 * 1_000_000
 
@@ -111,14 +111,14 @@
 def test_a_large_table_goes_over_in_parts_with_the_freshest_first() -> None:
     big, asker = peer("a"), peer("b")
     for number in range(400):
-        big.members.beats(S, f"x{number}", 1, 1, f"127.0.0.1:{number}")
+        big.members.record_heartbeat(S, f"x{number}", 1, 1, f"127.0.0.1:{number}")
         big.rows.learn(S, Row(f"x{number}", 1, 1, 3), 0)
     asker.members.rules.asks = 1
     outs = [out for out in asker.tick(S) if out.at == "a"] or [
-        Out("a", PACK(Question(1, "b", 1, 1, "b", "", 0, 0)))
+        Out("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
     answers = big.came(S, UNPACK(outs[0].body), "b")
-    assert len(answers) == PARTS_MOST and all(len(out.body) <= BODY_MOST for out in answers)
+    assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= BODY_MOST for out in answers)
     first = UNPACK(answers[0].body)
     assert isinstance(first, Answer) and first.rows[0].row.name == "x399"
 
@@ -126,9 +126,9 @@
 def test_what_was_taken_in_whole_is_not_asked_for_again() -> None:
     table = Table(peer("a", "ab"), peer("b", "ab"))
     table.period(3)
-    got = table.peers["a"].got["b"]
-    assert got.process == table.peers["b"].process and got.upto > 0
-    fresh = table.peers["b"].rows.since(got.upto)
+    got = table.peers["a"].received["b"]
+    assert got.process == table.peers["b"].process and got.through_serial > 0
+    fresh = table.peers["b"].rows.since(got.through_serial)
     assert len(fresh) <= 2
     table.peers["b"] = peer("b", "ab", life=2)  # another process: its serials begin anew
     table.peers["b"].process += 1
@@ -188,10 +188,10 @@
 
 def test_a_row_that_is_too_long_loses_its_longest_topic() -> None:
     one = peer("a")
-    one.topics["long"] = Topic(lambda now: "x" * ROW_MOST, lambda: None)
+    one.topics["long"] = Topic(lambda now: "x" * MAX_ROW_BYTES, lambda: None)
     one.topics["short"] = Topic(lambda now: [1, 2], lambda: None)
     one.tick(S)
-    assert set(one.rows.kept["a"].row.told) == {"short"} and one.too_long == 1
+    assert set(one.rows.kept["a"].row.told) == {"short"} and one.dropped_topics == 1
 
 
 BAD = (
@@ -214,7 +214,7 @@
 
 def test_relays_pass_on_what_they_do_not_read() -> None:
     told = {"t": msgspec.Raw(PACK([[1, 2.5, 3, 4]]))}
-    said = UNPACK(PACK(Answer(1, "b", 1, 0, 1, 1, [Said(0, Row("b", 1, 1, 1, told))])))
+    said = UNPACK(PACK(Answer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, told))])))
     assert isinstance(said, Answer)
     assert bytes(said.rows[0].row.told["t"]) == PACK([[1, 2.5, 3, 4]])
 
@@ -229,7 +229,7 @@
             lambda now, name, raw: 2,
             lambda now, asked_at, process, raw: given.append(process),
         )
-    before = {name: (got.process, got.upto) for name, got in one.got.items()}
+    before = {name: (got.process, got.through_serial) for name, got in one.received.items()}
     one.eager = 5
     outs = one.tick(table.now)
     questions = [UNPACK(out.body) for out in outs]
@@ -241,4 +241,4 @@
     assert isinstance(told, Answer) and told.rows == [] and told.parts == 0
     one.came(table.now, told, out.at)
     assert given == [table.peers[out.at].process]
-    assert {name: (got.process, got.upto) for name, got in one.got.items()} == before
+    assert {name: (got.process, got.through_serial) for name, got in one.received.items()} == before
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from random import Random
 
-from garnethaven.peers.conversation import UNPACK, Out, Peer, Question
+from garnethaven.peers.conversation import UNPACK, Out, Peer, SyncRequest
 from garnethaven.peers.membership import Rules, State
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.sharing import Sharing
@@ -79,7 +79,7 @@
         members = tuple(
             (
                 name,
-                peer.beat,
+                peer.heartbeat,
                 tuple((m.name, m.version) for m in peer.members.members.values()),
                 tuple((row.name, row.version, row.heard) for row in peer.rows.lives()),
             )
@@ -91,9 +91,9 @@
     @staticmethod
     def _gist(out: Out) -> object:
         told = UNPACK(out.body)
-        if isinstance(told, Question):
-            return told.name, told.beat, told.about, tuple(told.news)
-        return told.name, tuple((said.row.name, said.row.version) for said in told.rows), tuple(told.news)
+        if isinstance(told, SyncRequest):
+            return told.name, told.heartbeat, told.about, tuple(told.updates)
+        return told.name, tuple((said.row.name, said.row.version) for said in told.rows), tuple(told.updates)
 
     def holds(self) -> None:
         """Never more than what was counted, at anybody."""
