--- a/garnethaven/peers/__init__.py
+++ b/garnethaven/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there, without a leader: members that ask one another over datagrams."""
+"""Membership without a leader: members that probe one another over UDP datagrams."""
--- a/garnethaven/peers/command.py
+++ b/garnethaven/peers/command.py
@@ -1,4 +1,4 @@
-"""`python -m garnethaven peers bound`: what the counts of tenants are bound to, for a deployment."""
+"""`python -m garnethaven peers bound`: the bounds on a tenant's shared counts, for a deployment."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from garnethaven.tenants.bound import Estate, over, under
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     parser = argparse.ArgumentParser(prog="python -m garnethaven peers", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    bound = commands.add_parser("bound", help="how far over its allowance a tenant gets, and how far below")
+    bound = commands.add_parser(
+        "bound", help="how far a tenant can get above its allowance, and how far below"
+    )
     bound.add_argument("--members", type=int, required=True)
     bound.add_argument("--per-s", type=float, required=True, help="the allowance, requests a second")
     bound.add_argument("--burst", type=float, default=1.0, help="requests")
@@ -19,59 +21,65 @@
     bound.add_argument("--asks", type=int, default=3, help="as asks of [peers]")
     bound.add_argument("--loss", type=float, default=0.1, help="as loss_most of [peers], a share")
     bound.add_argument("--delay", type=float, default=0.05, help="as delay_most_s of [peers], seconds")
-    bound.add_argument("--cut", type=float, default=0.0, help="the share of the members that is cut off")
-    bound.add_argument("--cut-s", type=float, default=0.0, help="for how long, seconds")
-    bound.add_argument("--beginners", type=int, default=0, help="members that begin and were not counted")
-    told = parser.parse_args(words)
-    problem = flaw_of(told)
+    bound.add_argument("--cut", type=float, default=0.0, help="the share of the members in a partition")
+    bound.add_argument("--cut-s", type=float, default=0.0, help="duration of the partition, seconds")
+    bound.add_argument("--beginners", type=int, default=0, help="members that start and are not counted yet")
+    options = parser.parse_args(arguments)
+    problem = problem_of(options)
     if problem:
         print(f"garnethaven: {problem}", file=sys.stderr)
         return 2
-    print("\n".join(shown(estate_of(told))))
+    print("\n".join(report_lines(estate_of(options))))
     return 0
 
 
-def flaw_of(told: argparse.Namespace) -> str:
-    """What is wrong with these figures, or nothing."""
-    if not 1 <= told.members <= 4096:
-        return f"--members is not from 1 to 4096: {told.members}"
-    if not 0.0 <= told.loss < 1.0 or not 0.0 <= told.cut <= 1.0:
+def problem_of(options: argparse.Namespace) -> str:
+    """The first problem with the options, or "" if they are valid."""
+    if not 1 <= options.members <= 4096:
+        return f"--members is not from 1 to 4096: {options.members}"
+    if not 0.0 <= options.loss < 1.0 or not 0.0 <= options.cut <= 1.0:
         return "--loss and --cut are shares: from 0 to 1"
-    positive = {"--per-s": told.per_s, "--burst": told.burst, "--period": told.period, "--asks": told.asks}
+    positive = {
+        "--per-s": options.per_s,
+        "--burst": options.burst,
+        "--period": options.period,
+        "--asks": options.asks,
+    }
     for name, value in positive.items():
         if not 0.0 < value < float("inf"):
             return f"{name} is not positive: {value:g}"
-    if min(told.delay, told.cut_s, told.beginners) < 0:
+    if min(options.delay, options.cut_s, options.beginners) < 0:
         return "--delay, --cut-s and --beginners are not below 0"
     return ""
 
 
-def estate_of(told: argparse.Namespace) -> Estate:
+def estate_of(options: argparse.Namespace) -> Estate:
     return Estate(
-        members=told.members,
-        per_s=told.per_s,
-        burst=told.burst,
-        asks=told.asks,
-        base_period_s=told.period,
-        loss=told.loss,
-        delay_s=told.delay,
-        cut=told.cut,
-        cut_s=told.cut_s,
-        beginners=told.beginners,
+        members=options.members,
+        per_s=options.per_s,
+        burst=options.burst,
+        asks=options.asks,
+        base_period_s=options.period,
+        loss=options.loss,
+        delay_s=options.delay,
+        cut=options.cut,
+        cut_s=options.cut_s,
+        beginners=options.beginners,
     )
 
 
-def shown(estate: Estate) -> list[str]:
-    even = estate.per_s / estate.members
+def report_lines(estate: Estate) -> list[str]:
+    """The bounds as lines of text."""
+    even_share = estate.per_s / estate.members
     lines = [
         f"period                {estate.period_s:8.2f} s",
-        f"horizon               {estate.horizon_s:8.2f} s   an older figure counts as silence",
-        f"settle                {estate.settle_s:8.2f} s   what a rise waits for",
+        f"horizon               {estate.horizon_s:8.2f} s   a member with an older row counts as silent",
+        f"settle                {estate.settle_s:8.2f} s   wait before a member raises its share",
         f"over the allowance    {over(estate):8.1f} requests at the most, in any span",
         f"held below it         {under(estate):8.1f} requests at the most, over one change of demand"
-        + (" and the cut" if estate.cut_s else ""),
-        f"one member's part     {even:8.2f} requests a second, where it hears nobody",
+        + (" and the partition" if estate.cut_s else ""),
+        f"one member's part     {even_share:8.2f} requests a second, if it receives from no other member",
     ]
     if not estate.reaches:
-        lines.append("With such losses news does not reach all: members count one another as silent.")
+        lines.append("At this loss an update does not reach all: members count one another as silent.")
     return lines
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -49,6 +49,8 @@
 
 
 class SyncRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """A request for changed rows and topic answers; `about`: a member to probe first, or "" for none."""
+
     nonce: Number
     name: Name
     incarnation: Number
@@ -62,6 +64,8 @@
 
 
 class Answer(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """One of the `parts` datagrams of an answer; `parts` is 0 if the request asked for no rows."""
+
     nonce: Number
     name: Name
     process: Number
@@ -114,9 +118,7 @@
 
     wants: Callable[[int], Any]  # now -> request, None for no request
     gives: Callable[[int, str, msgspec.Raw], Any]  # now, requester, its request -> answer or None
-    takes: Callable[
-        [int, int, int, msgspec.Raw], None
-    ]  # now, time of the request, answering process, its answer
+    takes: Callable[[int, int, int, msgspec.Raw], None]  # now, time of request, answering process, answer
 
 
 class _Received(msgspec.Struct):
@@ -282,7 +284,7 @@
         return [Out(source, body) for body in self._pack_answers(now, request.nonce, since, topic_answers)]
 
     def _topic_answers(self, now: int, request: SyncRequest) -> dict[str, msgspec.Raw]:
-        """Answers to the requester's topic requests; values handed over are gone here even if lost in transit."""
+        """Answers to the requester's topic requests; a value handed over is deducted here even if lost."""
         answers = {}
         for name, topic_request in request.wants.items():
             exchange = self.exchanges.get(name)
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -1,7 +1,7 @@
-"""The table `[peers]` at work: one UDP socket, a period, and the parts that others put into the rows.
+"""The feature of the table `[peers]`: one UDP socket and a periodic tick. Other features add row topics.
 
-Ages are taken by the clock that goes on while the machine sleeps: what is known before a pause of any kind
-is old after it.
+Ages are measured by the boot-time clock, which advances while the machine sleeps, so that what was received
+before any kind of pause counts as old afterwards.
 """
 
 from __future__ import annotations
@@ -23,36 +23,36 @@
 from garnethaven.gossip.rows import Row
 from garnethaven.gossip.spread import horizon_s, period_of
 from garnethaven.peers.conversation import UNPACK, Out, Peer
-from garnethaven.peers.datagrams import MOST, Seal, Unwanted, Wrong
+from garnethaven.peers.datagrams import MAX_BYTES, Dropped, DropReason, Seal
 from garnethaven.peers.membership import Rules
 from garnethaven.peers.table import Peers
 
 if TYPE_CHECKING:
     from garnethaven.parts import Parts
 
-AT_ONCE = 64  # datagrams that are read before requests have their turn
-BUFFER = 1 << 20  # bytes, in the kernel: one period's answers
-LINES_MOST = 8  # that wait for the log's next second
+MAX_READS_PER_CALL = 64  # datagrams read at once, so that requests are not delayed
+RECEIVE_BUFFER = 1 << 20  # bytes of kernel receive buffer: the answers of one period
+MAX_LOG_ITEMS = 8  # log messages joined into one line per second; others are only counted
 
 
 def clock() -> int:
-    """Nanoseconds since the machine's start, its sleep among them."""
+    """Nanoseconds since the machine's start, including suspended time."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-def text_of(address: Address) -> str:
+def address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 class Kept(msgspec.Struct, frozen=True):
-    """What outlives the process: its life, and what it said last."""
+    """The stored state: the incarnation of the process, and its last row."""
 
     life: int
     row: Row | None
 
 
-class KeptLife:
-    """This member's part of the state (state/): a later life never looks like an earlier one."""
+class PersistedIncarnation:
+    """This member's part of the stored state (state/): keeps incarnations increasing across restarts."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
@@ -63,17 +63,17 @@
 
     def take_back(self, kept: bytes, away_s: float) -> None:
         try:
-            told = msgspec.msgpack.decode(kept, type=Kept)
+            restored = msgspec.msgpack.decode(kept, type=Kept)
         except msgspec.MsgspecError as problem:
             raise ValueError(str(problem)) from None
         peer = self.peer
-        peer.members.life = max(peer.members.life, told.life + 1)
-        if told.row is not None and told.row.name == peer.own:
-            peer.rows.learn(clock() - int(away_s * S), told.row, 0)
+        peer.members.life = max(peer.members.life, restored.life + 1)
+        if restored.row is not None and restored.row.name == peer.own:
+            peer.rows.learn(clock() - int(away_s * S), restored.row, 0)
 
 
 class PeersFeature(Feature[Peers, "Parts"]):
-    """`after` is called after each period with its time; `peer` is there from `prepare` on."""
+    """Calls the functions in `after` after each period with its time; `peer` is None if the table is off."""
 
     name = "peers"
 
@@ -85,39 +85,39 @@
         self.sock: socket.socket | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.dropped: Counter[str] = Counter()
-        self.sent = self.sent_bytes = self.came = self.unsent = 0
+        self.sent = self.sent_bytes = self.received = self.send_failures = 0
         self.lines: list[str] = []
-        self.was_deaf = False
+        self.was_isolated = False
         if table.listen is not None:
-            self._make()
+            self._create_peer()
             parts.peers = self
 
-    def _make(self) -> None:
+    def _create_peer(self) -> None:
         table, config = self.table, self.parts.config
         assert table.listen is not None and table.key is not None
-        listed = [(one.name, text_of(one.at)) for one in table.members]
+        listed = [(member.name, address_text(member.at)) for member in table.members]
         own = table.name or config.name
         self.size = max(2, len({name for name, _ in listed} | {own}), self.parts.engine.settings.fleet_size)
         self.period_s = period_of(self.size, table.period_s)
         self.horizon_s = horizon_s(self.size, table.asks, self.period_s, table.loss_most, table.delay_most_s)
         rules = Rules(int(self.period_s * S), table.asks, int(table.forget_s * S), table.members_most)
         rng = Random(f"{config.seed} peers {own}")
-        life = time.time_ns() // MS
+        incarnation = time.time_ns() // MS
         self.peer = Peer(
-            own, text_of(table.listen), life, listed, rules, int(self.horizon_s * S), rng, clock()
+            own, address_text(table.listen), incarnation, listed, rules, int(self.horizon_s * S), rng, clock()
         )
-        # Not by the seed: after a restart with the same one, the counters of before must not come again.
+        # Not derived from the seed: a restart with the same seed must not reuse the datagram counters.
         self.peer.process = time.time_ns() ^ rng.getrandbits(62)
         self.seal = Seal(table.key, self.peer.process)
 
     def listed(self) -> int:
-        """The members of the operator's file and this one."""
+        """The number of members in the operator's file, including this one."""
         assert self.peer is not None
-        return len({one.name for one in self.table.members} | {self.peer.own})
+        return len({member.name for member in self.table.members} | {self.peer.own})
 
     def prepare(self) -> None:
         if self.peer is not None:
-            self.parts.keepers["peers"] = KeptLife(self.peer)
+            self.parts.keepers["peers"] = PersistedIncarnation(self.peer)
 
     async def open(self) -> None:
         if self.peer is None:
@@ -126,51 +126,51 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
             sock.bind(self.table.listen)
         except OSError:
             sock.close()
             raise
         self.sock = sock
-        self.parts.loop.add_reader(sock, self._readable)
-        self._wait(self.peer.rng.random() * self.period_s)
+        self.parts.loop.add_reader(sock, self._on_readable)
+        self._schedule_tick(self.peer.rng.random() * self.period_s)
 
     def renewed(self) -> None:
         if self.peer is None:
             return
         members = self.peer.members
         members.rules.forget = int(self.table.forget_s * S)
-        members.set_listed(clock(), ((one.name, text_of(one.at)) for one in self.table.members))
+        members.set_listed(clock(), ((member.name, address_text(member.at)) for member in self.table.members))
 
-    # A period
+    # Periodic steps
 
-    def _wait(self, span_s: float) -> None:
-        self.timer = self.parts.loop.call_later(span_s, self._tick)
+    def _schedule_tick(self, delay_s: float) -> None:
+        self.timer = self.parts.loop.call_later(delay_s, self._tick)
 
     def _tick(self) -> None:
         assert self.peer is not None
-        self._wait(self.period_s)
+        self._schedule_tick(self.period_s)
         now = clock()
         self._send(self.peer.tick(now))
-        for call in self.after:
-            call(now)
+        for callback in self.after:
+            callback(now)
         self._log()
 
     def _log(self) -> None:
-        """One line a second at the most; what does not fit in `LINES_MOST` is left out."""
+        """Write at most one line per second, with at most `MAX_LOG_ITEMS` messages; count the others."""
         assert self.peer is not None
         peer = self.peer
         self.lines += peer.lines
         peer.lines.clear()
-        deaf = peer.members.deaf()
-        if deaf is not self.was_deaf:
-            self.was_deaf = deaf
-            self.lines.append("this member hears nobody" if deaf else "others are heard again")
-        more = len(self.lines) - LINES_MOST
-        shown = self.lines[:LINES_MOST] + ([f"and {more} more"] if more > 0 else [])
+        isolated = peer.members.deaf()
+        if isolated is not self.was_isolated:
+            self.was_isolated = isolated
+            self.lines.append("this member receives no answers" if isolated else "answers are received again")
+        omitted = len(self.lines) - MAX_LOG_ITEMS
+        shown = self.lines[:MAX_LOG_ITEMS] + ([f"and {omitted} more"] if omitted > 0 else [])
         if shown and self.parts.engine.says("peers: " + "; ".join(shown)):
             self.lines.clear()
-        del self.lines[4 * LINES_MOST :]
+        del self.lines[4 * MAX_LOG_ITEMS :]
 
     # Datagrams
 
@@ -185,39 +185,39 @@
             data = self.seal.seal(out.body)
             try:
                 self.sock.sendto(data, address)
-            except OSError:  # a full buffer, no way there: as a datagram that is lost
-                self.unsent += 1
+            except OSError:  # a full buffer or no route: treated as a lost datagram
+                self.send_failures += 1
                 continue
             self.sent += 1
             self.sent_bytes += len(data)
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         assert self.sock is not None
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_READS_PER_CALL):
             try:
-                data, source = self.sock.recvfrom(MOST + 1)
-            except OSError:  # nothing more, or a refusal that an earlier datagram met
+                data, source = self.sock.recvfrom(MAX_BYTES + 1)
+            except OSError:  # no more datagrams, or an ICMP error for an earlier one
                 return
-            self._comes(data, source)
+            self._receive(data, source)
 
-    def _comes(self, data: bytes, source: Address) -> None:
+    def _receive(self, data: bytes, source: Address) -> None:
         assert self.peer is not None and self.seal is not None
-        self.came += 1
+        self.received += 1
         now = clock()
         try:
             message = UNPACK(self.seal.open(data, source, now / S))
-        except Unwanted as unwanted:
-            self.dropped[unwanted.wrong] += 1
+        except Dropped as dropped:
+            self.dropped[dropped.reason] += 1
             return
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-            self.dropped[Wrong.MALFORMED] += 1
+            self.dropped[DropReason.MALFORMED] += 1
             return
-        self._send(self.peer.came(now, message, text_of(source)))
+        self._send(self.peer.came(now, message, address_text(source)))
 
-    # The end
+    # Shutdown
 
     async def withdraw(self) -> None:
-        """Say so: this member's part is the others' at once, not after a horizon."""
+        """Announce the shutdown, so that the others take over this member's share at once."""
         if self.peer is not None and self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -248,9 +248,9 @@
             "mute": peer.mute(now),
             "false_alarms": peer.members.false_suspicions,
             "datagrams_sent": self.sent,
-            "datagrams_came": self.came,
+            "datagrams_came": self.received,
             "bytes_sent": self.sent_bytes,
-            "unsent": self.unsent,
+            "unsent": self.send_failures,
             "dropped": dict(self.dropped),
         }
 
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -78,6 +78,8 @@
 
 @dataclass(slots=True)
 class Member:
+    """Another member as this one sees it."""
+
     name: str
     at: str
     listed: bool  # in the operator's file, which also gives its address
@@ -128,7 +130,7 @@
 
 
 class Membership:
-    """One member's view. `own` is its name, `life` the incarnation of its process."""
+    """One member's view. `own` is its name, `incarnation` that of its process."""
 
     def __init__(
         self,
--- a/garnethaven/peers/table.py
+++ b/garnethaven/peers/table.py
@@ -10,7 +10,7 @@
 
 
 class Listed(str):
-    """A member and where it listens: `n1=10.0.0.1:7946`."""
+    """A member's name and address: `n1=10.0.0.1:7946`."""
 
     name: str
     at: Address
@@ -29,7 +29,7 @@
 
 
 class Peers(Table, frozen=True):
-    """Which sidecars know of one another, and how often they ask."""
+    """Which sidecars exchange state with one another, and how often."""
 
     listen: Annotated[
         At | None, said("where this member takes datagrams; off if left out", "address:port", waits=True)
--- a/tests/peers/test_on_sockets.py
+++ b/tests/peers/test_on_sockets.py
@@ -138,7 +138,7 @@
         await fleet.ask(["n0"], "big", 40.0, 1.5)
         fleet.weather.cut.clear()
         await fleet.all_hear(PROGRAMS)
-        assert "this member hears nobody" in fleet.nodes["n0"].program.log.read_text()
+        assert "this member receives no answers" in fleet.nodes["n0"].program.log.read_text()
 
     fleet = played(script)
     served = finals(list(fleet.applications.values()), fleet).count("served")
