--- a/garnethaven/gossip/__init__.py
+++ b/garnethaven/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""State that many write: what each member says of itself, and how old each reader knows it to be."""
+"""Replicated state with one writer per row, and the maximum age of each row at each reader."""
--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -1,24 +1,25 @@
-"""What each member says of itself, merged by the larger, and the horizon of what is known. No clock, no I/O.
-
-Theory. A *row* is one member's own statement in one of its *lives* (a life is one process): its *beat*
-grows with each that it makes. Of two rows of one life the larger beat wins, so that repeats, reordering and
-old news change nothing: any two tables that have seen the same rows are the same. Rows of earlier lives stay
-for a while beside the present one, for what was counted in them has happened.
-
-Nothing is read without its age. Clocks are not compared. An answer carries how old each row is *by the
-answering member's clock*, and it was made after it was asked for; so a row is at most as old as told there,
-plus the time since the question was sent, on the reader's own clock. Delays and repeats on the way, also of
-seconds, make a row look older than it is, never younger. A clock that is 1% fast or slow errs by 1% of an
-age. What comes without a question (a repeat, an answer that is too late) has no age and is dropped.
-
-A member is *heard* while the row that is known of it is no older than the horizon. Each row also tells how
-many its member hears. Whoever hears as many as I do, and whom I hear, hears the same ones, once the horizon
-has passed since the last change of what reaches whom: hearing is passed on, so from a member that I hear I
-have all that it hears, and it can't hear as many with others missing. These are the members that share a
-view (`alike`); all others, silent or deaf, are set aside. So sides of any cut, in one direction or both,
-agree each among themselves who is on their side, without ever telling it.
-
-Times are whole nanoseconds of the caller's monotonic clock, ages nanoseconds.
+"""The rows of all members, merged by version, and the freshness of each. No clock, no I/O.
+
+Theory. A *row* holds the counters that one member publishes in one incarnation (one process); its heartbeat
+sequence number (`beat`) grows with each row that the member makes. Of two rows of one incarnation the one
+with the larger heartbeat wins, so repeats, reordering and old rows change nothing: two tables that have
+received the same rows are equal. Rows of earlier incarnations are kept for a while beside the current one,
+because their counts are still valid.
+
+Every row is read with its age. Clocks are not compared. An answer carries the age of each row *by the
+answering member's clock*, and it was made after its request was sent; so a row is at most as old as stated
+there, plus the time since the request was sent, on the reader's own clock. Delays and repeats in transit,
+even of seconds, make a row look older than it is, never younger. A clock that is 1% fast or slow gives ages
+with 1% error. Answers without a pending request (a repeat, a late answer) have no age and are dropped.
+
+A member is *heard* while its row is not older than the horizon. Each row also states how many members its
+author hears. If a member that I hear hears as many members as I do, it hears the same ones, once the horizon
+has passed since reachability last changed: rows are forwarded, so from a member that I hear I have all rows
+that it hears, and it can't hear as many with others missing. These members share a view (`sharing_view`); all
+others, silent or isolated, are ignored. So the sides of any partition, in one direction or both, each agree
+on who is on their side, without exchanging lists of members.
+
+Times are integer nanoseconds of the caller's monotonic clock, ages nanoseconds.
 """
 
 from __future__ import annotations
@@ -29,40 +30,40 @@
 
 import msgspec
 
-PAST_LIVES = 3  # of one member, against one that restarts for ever
+MAX_PAST_INCARNATIONS = 3  # kept per member; bounds the memory for one that restarts repeatedly
 NAME_MOST = 64  # characters
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One member's statement; `told` by topic, each in its owner's form, which relays do not read."""
+    """One member's published counters; `told`: by topic, encoded; forwarded undecoded."""
 
     name: str
     life: int
     beat: int
-    heard: int  # members that it hears, itself among them
+    heard: int  # members that it hears, including itself
     told: dict[str, msgspec.Raw] = {}
 
     @property
     def version(self) -> tuple[int, int]:
-        """A refutation of all that was said before: the larger one is later."""
+        """The order of a member's rows: a larger version is later and refutes reports about earlier ones."""
         return self.life, self.beat
 
 
 @dataclass(slots=True)
-class Kept:
-    """A row as one reader has it."""
+class StoredRow:
+    """A row in one reader's table."""
 
     row: Row
-    made_at: int  # not before, on this reader's clock
-    serial: int  # of this reader's changes
+    made_at: int  # earliest possible time, on this reader's clock
+    serial: int  # sequence number of the change in this reader's table
 
 
-class Horizon(NamedTuple):
-    """What a reader may make of a table."""
+class Freshness(NamedTuple):
+    """How much of the fleet a reader has fresh rows of."""
 
-    heard: int  # members whose row is young enough, itself among them
-    members: int  # all that count
-    oldest: int  # age of the oldest of those rows
+    heard: int  # members with a fresh row, including the reader
+    members: int  # all counted members
+    oldest: int  # age of the oldest fresh row
 
     @property
     def share(self) -> float:
@@ -70,77 +71,79 @@
 
 
 class Rows:
-    """One reader's table. `most` bounds the members in it; beyond that unknown ones are left out."""
+    """One reader's table. It holds at most `most` members; rows of further ones are left out and counted."""
 
     def __init__(self, own: str, horizon: int, most: int) -> None:
         self.own = own
         self.horizon = horizon
         self.most = most
         self.serial = 0
-        self.kept: dict[str, Kept] = {}  # the present life of each
-        self.past: dict[str, dict[int, Kept]] = {}  # earlier lives, until they are forgotten
+        self.kept: dict[str, StoredRow] = {}  # rows of current incarnations
+        self.past: dict[str, dict[int, StoredRow]] = {}  # earlier incarnations, until forgotten
         self.left_out = 0
 
     # Writing
 
-    def says(self, now: int, row: Row) -> None:
-        """This member's own statement."""
+    def publish(self, now: int, row: Row) -> None:
+        """Store this member's own row."""
         self.learn(now, row, 0)
 
     def learn(self, now: int, row: Row, age: int) -> bool:
-        """Take in a row; whether it was news. Raises nothing, whatever the row holds."""
+        """Merge a row; return whether it was new. Raises nothing, whatever the row holds."""
         kept = self.kept.get(row.name)
         made_at = now - max(0, age)
         if kept is None:
             if len(self.kept) >= self.most or len(row.name) > NAME_MOST:
                 self.left_out += 1
                 return False
-            self.kept[row.name] = self._kept(row, made_at)
+            self.kept[row.name] = self._store(row, made_at)
             return True
         if row.life < kept.row.life:
-            return self._learn_past(row, made_at)
+            return self._learn_past_incarnation(row, made_at)
         if row.version <= kept.row.version:
             if row.version == kept.row.version:
                 kept.made_at = max(kept.made_at, made_at)  # the tighter bound of the two
             return False
         if row.life > kept.row.life:
-            self._learn_past(kept.row, kept.made_at)
+            self._learn_past_incarnation(kept.row, kept.made_at)
         else:
-            made_at = max(made_at, kept.made_at)  # it was made after the one before
-        self.kept[row.name] = self._kept(row, made_at)
+            made_at = max(made_at, kept.made_at)  # it was made after the previous row
+        self.kept[row.name] = self._store(row, made_at)
         return True
 
-    def _kept(self, row: Row, made_at: int) -> Kept:
+    def _store(self, row: Row, made_at: int) -> StoredRow:
         self.serial += 1
-        return Kept(row, made_at, self.serial)
+        return StoredRow(row, made_at, self.serial)
 
-    def _learn_past(self, row: Row, made_at: int) -> bool:
-        lives = self.past.setdefault(row.name, {})
-        known = lives.get(row.life)
+    def _learn_past_incarnation(self, row: Row, made_at: int) -> bool:
+        incarnations = self.past.setdefault(row.name, {})
+        known = incarnations.get(row.life)
         if known is not None and known.row.beat >= row.beat:
             return False
-        lives[row.life] = self._kept(row, made_at)
-        if len(lives) > PAST_LIVES:
-            del lives[min(lives)]
-        return row.life in lives
+        incarnations[row.life] = self._store(row, made_at)
+        if len(incarnations) > MAX_PAST_INCARNATIONS:
+            del incarnations[min(incarnations)]
+        return row.life in incarnations
 
     def forget(self, name: str) -> None:
-        """A member counts no longer."""
+        """Remove a member that is no longer counted."""
         self.kept.pop(name, None)
         self.past.pop(name, None)
 
     def forget_past(self, before: int) -> None:
-        """Drop earlier lives whose last row was made before then."""
-        for name, lives in list(self.past.items()):
-            for life in [life for life, kept in lives.items() if kept.made_at < before]:
-                del lives[life]
-            if not lives:
+        """Drop earlier incarnations whose last row was made before that time."""
+        for name, incarnations in list(self.past.items()):
+            for incarnation in [
+                incarnation for incarnation, kept in incarnations.items() if kept.made_at < before
+            ]:
+                del incarnations[incarnation]
+            if not incarnations:
                 del self.past[name]
 
     # Reading
 
     def age(self, now: int, name: str) -> int | None:
-        """How old what is known of a member may be; None where nothing is."""
+        """The maximum age of a member's row; None without a row."""
         kept = self.kept.get(name)
         return None if kept is None else now - kept.made_at
 
@@ -149,37 +152,37 @@
         return name == self.own or (kept is not None and now - kept.made_at <= self.horizon)
 
     def heard(self, now: int) -> int:
-        """How many are heard, this member among them."""
-        since = now - self.horizon
-        others = sum(kept.made_at >= since for name, kept in self.kept.items() if name != self.own)
+        """The number of members heard, including this one."""
+        oldest_fresh = now - self.horizon
+        others = sum(kept.made_at >= oldest_fresh for name, kept in self.kept.items() if name != self.own)
         return 1 + others
 
-    def horizon_of(self, now: int, members: int) -> Horizon:
-        """What is known of so many members."""
-        since = now - self.horizon
-        ages = [now - kept.made_at for name, kept in self.kept.items() if kept.made_at >= since]
-        return Horizon(self.heard(now), members, max(ages, default=0))
+    def freshness(self, now: int, members: int) -> Freshness:
+        """The freshness of the table, for a fleet of `members`."""
+        oldest_fresh = now - self.horizon
+        ages = [now - kept.made_at for name, kept in self.kept.items() if kept.made_at >= oldest_fresh]
+        return Freshness(self.heard(now), members, max(ages, default=0))
 
-    def alike(self, now: int) -> list[Row]:
-        """The rows of the others that share this member's view: heard, and hearing as many."""
-        since, own = now - self.horizon, self.heard(now)
+    def sharing_view(self, now: int) -> list[Row]:
+        """The rows of the others that share this member's view: heard, and hearing at least as many."""
+        oldest_fresh, own_heard = now - self.horizon, self.heard(now)
         return [
             kept.row
             for name, kept in self.kept.items()
-            if name != self.own and kept.made_at >= since and kept.row.heard >= own
+            if name != self.own and kept.made_at >= oldest_fresh and kept.row.heard >= own_heard
         ]
 
     def lives(self) -> Iterator[Row]:
-        """Every life that is known, for what was counted in each."""
+        """The rows of all known incarnations, for their counts."""
         for kept in self.kept.values():
             yield kept.row
-        for lives in self.past.values():
-            for kept in lives.values():
+        for incarnations in self.past.values():
+            for kept in incarnations.values():
                 yield kept.row
 
-    def since(self, serial: int) -> list[Kept]:
-        """What has changed after that serial, the latest change first."""
-        every = [kept for kept in self.kept.values() if kept.serial > serial]
-        every += [kept for lives in self.past.values() for kept in lives.values() if kept.serial > serial]
-        every.sort(key=lambda kept: kept.serial, reverse=True)
-        return every
+    def since(self, serial: int) -> list[StoredRow]:
+        """The rows changed after that serial, the latest change first."""
+        changed = [kept for kept in self.kept.values() if kept.serial > serial]
+        changed += [kept for past in self.past.values() for kept in past.values() if kept.serial > serial]
+        changed.sort(key=lambda kept: kept.serial, reverse=True)
+        return changed
--- a/garnethaven/judgements/__init__.py
+++ b/garnethaven/judgements/__init__.py
@@ -1,1 +1,1 @@
-"""What members tell one another of endpoints: evidence, not verdicts, and what may be made of it."""
+"""Shared outlier detection: members exchange evidence on endpoints, not verdicts, and combine it."""
--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -1,17 +1,17 @@
-"""One member's own evidence on endpoints, as it is told to others. Pure.
+"""One member's own evidence on endpoints, and what it publishes of it. Pure.
 
-Theory. What an endpoint did for this member is counted as good and bad acts that fade: by half in
-`HALF_LIFE`. A verdict would hide how much stands behind it; counts can be added, and fade on the way as at
-home. An act counts for the life of the endpoint (its start) in which it happened: a restart begins anew,
-and what is still under way of the life before says nothing of this one.
+Theory. Outcomes of attempts at an endpoint are counted as good and bad, and the counts decay by half in
+`HALF_LIFE`. A verdict would hide how much evidence stands behind it; counts can be added, and decay in
+transit as they do locally. An outcome counts for the incarnation of the endpoint (its start time) that it
+happened in: a restart resets the counts, and outcomes of attempts from before the restart are ignored.
 
-Told is what surprises most, `TOLD_MOST` endpoints in a row: those with the largest bad share first, and,
-for as long as anybody shuns them, those that have been good again. With each row goes how many endpoints
-this member has met lately and how many of those it finds bad: one who finds nearly all bad tells of itself
-(combining.py).
+A row reports at most `MAX_REPORTS` endpoints: those with the largest bad share (times the bad count) first,
+and, as long as other members avoid them, endpoints that have recovered. Each row also has how many endpoints
+this member has used recently, and how many of those it finds bad: a member that finds nearly all bad probably
+has a fault itself (combining.py).
 
-Bounded: `ENDPOINTS_MOST` endpoints, of which the one met longest ago is dropped; a count never passes
-`COUNT_MOST`. Times are whole nanoseconds of the caller's monotonic clock.
+Bounds: `MAX_ENDPOINTS` endpoints, of which the least recently used is dropped; a count is at most
+`MAX_COUNT`. Times are integer nanoseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,113 +22,118 @@
 
 SECOND = 1_000_000_000
 HALF_LIFE = 8 * SECOND
-ENDPOINTS_MOST = 5_000
-TOLD_MOST = 16
-COUNT_MOST = 50.0
-TURN = 0.1  # of the other count is left by each act: what was before a change says little of what is now
-LEAST = 0.1  # acts that are left of a count: less is nothing
-BAD_SHARE = 0.3  # of the acts: an endpoint is found bad from here on
+MAX_ENDPOINTS = 5_000
+MAX_REPORTS = 16
+MAX_COUNT = 50.0
+# Part of the opposite count that each outcome keeps: after a change, earlier outcomes say little.
+OPPOSITE_COUNT_KEPT = 0.1
+MIN_COUNT = 0.1  # decayed total below which there is no evidence
+BAD_SHARE = 0.3  # share of bad outcomes from which an endpoint is bad
 
 
 class Told(NamedTuple):
-    """What a member says of one endpoint: acts that are left of those in one of its lives."""
+    """A member's report on one endpoint: the decayed outcome counts of one of its incarnations."""
 
     endpoint: int
-    life: int  # the endpoint's start, milliseconds of the platform's clock
+    incarnation: int  # the endpoint's start, milliseconds of the platform's clock
     good: float
     bad: float
 
 
 class Row(NamedTuple):
-    """What a member says in all."""
+    """All that a member publishes of its evidence."""
 
-    met: int  # endpoints that it has met lately
-    found_bad: int  # of those
+    endpoints_met: int  # endpoints that it has used recently
+    endpoints_bad: int  # how many of those it finds bad
     told: list[Told]
 
 
-def faded(count: float, age: int) -> float:
-    """What is left of a count so much later."""
+def decayed(count: float, age: int) -> float:
+    """A count after `age` nanoseconds of decay."""
     return count * float(0.5 ** (max(0, age) / HALF_LIFE))
 
 
 @dataclass(slots=True)
-class Seen:
-    """What one endpoint did in one of its lives."""
+class OutcomeCounts:
+    """The decayed outcome counts of one incarnation of an endpoint."""
 
-    life: int
+    incarnation: int
     good: float
     bad: float
-    at: int  # of the counts
+    updated_at: int  # when the counts were last decayed
 
-    def fade(self, now: int) -> None:
-        if now > self.at:
-            age, self.at = now - self.at, now
-            self.good, self.bad = faded(self.good, age), faded(self.bad, age)
+    def decay(self, now: int) -> None:
+        if now > self.updated_at:
+            age, self.updated_at = now - self.updated_at, now
+            self.good, self.bad = decayed(self.good, age), decayed(self.bad, age)
 
-    def share(self) -> float:
-        """The bad part of what is left, 0 where that is nothing."""
+    def bad_share(self) -> float:
+        """The share of bad outcomes; 0 without enough evidence."""
         total = self.good + self.bad
-        return self.bad / total if total >= LEAST else 0.0
+        return self.bad / total if total >= MIN_COUNT else 0.0
 
 
 class Evidence:
-    """One member's own."""
+    """The outcome counts that one member has observed itself."""
 
     def __init__(self) -> None:
-        self.seen: dict[int, Seen] = {}
-
-    def saw(self, now: int, endpoint: int, life: int, good: bool, weight: float = 1.0) -> None:
-        """An act of an endpoint; `weight` for one that tells less, as an answer that was merely late."""
-        seen = self.seen.pop(endpoint, None)
-        if seen is None or seen.life < life:
-            seen = Seen(life, 0.0, 0.0, now)
-        self.seen[endpoint] = seen  # the one met longest ago is the first
-        if seen.life > life:
-            return  # it belongs to a life that has ended
-        if len(self.seen) > ENDPOINTS_MOST:
-            del self.seen[next(iter(self.seen))]
-        seen.fade(now)
+        self.by_endpoint: dict[int, OutcomeCounts] = {}
+
+    def saw(self, now: int, endpoint: int, incarnation: int, good: bool, weight: float = 1.0) -> None:
+        """Record an outcome; a smaller `weight` is for weaker evidence, such as a late answer."""
+        counts = self.by_endpoint.pop(endpoint, None)
+        if counts is None or counts.incarnation < incarnation:
+            counts = OutcomeCounts(incarnation, 0.0, 0.0, now)
+        self.by_endpoint[endpoint] = counts  # the least recently used is first
+        if counts.incarnation > incarnation:
+            return  # an outcome of an earlier incarnation
+        if len(self.by_endpoint) > MAX_ENDPOINTS:
+            del self.by_endpoint[next(iter(self.by_endpoint))]
+        counts.decay(now)
         if good:
-            seen.good, seen.bad = min(COUNT_MOST, seen.good + weight), seen.bad * TURN
+            counts.good, counts.bad = min(MAX_COUNT, counts.good + weight), counts.bad * OPPOSITE_COUNT_KEPT
         else:
-            seen.good, seen.bad = seen.good * TURN, min(COUNT_MOST, seen.bad + weight)
+            counts.good, counts.bad = counts.good * OPPOSITE_COUNT_KEPT, min(MAX_COUNT, counts.bad + weight)
 
-    def of(self, now: int, endpoint: int, life: int) -> tuple[float, float]:
-        """Good and bad acts that are left of an endpoint's life."""
-        seen = self.seen.get(endpoint)
-        if seen is None or seen.life != life:
+    def of(self, now: int, endpoint: int, incarnation: int) -> tuple[float, float]:
+        """The decayed good and bad counts of an endpoint's incarnation."""
+        counts = self.by_endpoint.get(endpoint)
+        if counts is None or counts.incarnation != incarnation:
             return 0.0, 0.0
-        seen.fade(now)
-        return seen.good, seen.bad
+        counts.decay(now)
+        return counts.good, counts.bad
 
     def forget(self, endpoint: int) -> None:
-        self.seen.pop(endpoint, None)
-
-    def tells(self, now: int, shunned: Container[int] = ()) -> Row:
-        """What is told now; `shunned` are those that others hold back from."""
-        met = found_bad = 0
-        bad: list[tuple[float, int, Seen]] = []
-        well: list[tuple[float, int, Seen]] = []
-        for endpoint, seen in list(self.seen.items()):
-            seen.fade(now)
-            if seen.good + seen.bad < LEAST:
-                del self.seen[endpoint]
+        self.by_endpoint.pop(endpoint, None)
+
+    def tells(self, now: int, avoided: Container[int] = ()) -> Row:
+        """The row to publish now; `avoided`: endpoints that other members give fewer requests."""
+        endpoints_met = endpoints_bad = 0
+        ranked_bad: list[tuple[float, int, OutcomeCounts]] = []
+        ranked_recovered: list[tuple[float, int, OutcomeCounts]] = []
+        for endpoint, counts in list(self.by_endpoint.items()):
+            counts.decay(now)
+            if counts.good + counts.bad < MIN_COUNT:
+                del self.by_endpoint[endpoint]
                 continue
-            met += 1
-            share = seen.share()
-            if share >= BAD_SHARE:
-                found_bad += 1
-                bad.append((share * seen.bad, endpoint, seen))
-            elif endpoint in shunned:
-                well.append((seen.good, endpoint, seen))
-        chosen = _most(well, TOLD_MOST // 4)  # else what is good again would wait for all that is bad
-        chosen += _most(bad, TOLD_MOST - len(chosen))
-        told = [
-            Told(number, seen.life, round(seen.good, 2), round(seen.bad, 2)) for _, number, seen in chosen
+            endpoints_met += 1
+            bad_share = counts.bad_share()
+            if bad_share >= BAD_SHARE:
+                endpoints_bad += 1
+                ranked_bad.append((bad_share * counts.bad, endpoint, counts))
+            elif endpoint in avoided:
+                ranked_recovered.append((counts.good, endpoint, counts))
+        # A quarter is reserved: otherwise recovered endpoints would wait behind all bad ones.
+        chosen = _largest(ranked_recovered, MAX_REPORTS // 4)
+        chosen += _largest(ranked_bad, MAX_REPORTS - len(chosen))
+        reports = [
+            Told(number, counts.incarnation, round(counts.good, 2), round(counts.bad, 2))
+            for _, number, counts in chosen
         ]
-        return Row(met, found_bad, told)
+        return Row(endpoints_met, endpoints_bad, reports)
 
 
-def _most(some: list[tuple[float, int, Seen]], count: int) -> list[tuple[float, int, Seen]]:
-    return sorted(some, key=lambda one: -one[0])[:count]
+def _largest(
+    ranked: list[tuple[float, int, OutcomeCounts]], count: int
+) -> list[tuple[float, int, OutcomeCounts]]:
+    return sorted(ranked, key=lambda item: -item[0])[:count]
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnethaven.gossip.rows import NAME_MOST, Horizon, Row, Rows
+from garnethaven.gossip.rows import NAME_MOST, Freshness, Row, Rows
 from garnethaven.peers.membership import Membership, Probe, Rules, State, StateUpdate
 
 MS = 1_000_000
@@ -179,12 +179,12 @@
         members = self.members.members
         return [
             row
-            for row in self.rows.alike(now)
+            for row in self.rows.sharing_view(now)
             if (member := members.get(row.name)) is not None and member.state is not State.LEFT
         ]
 
-    def horizon(self, now: int) -> Horizon:
-        return self.rows.horizon_of(now, self.members.counted())
+    def horizon(self, now: int) -> Freshness:
+        return self.rows.freshness(now, self.members.counted())
 
     # Periodic steps
 
@@ -193,7 +193,7 @@
         self.muted_this_period = self.mute(now)
         if not self.muted_this_period:
             self.heartbeat += 1
-            self.rows.says(now, self._make_row(now))
+            self.rows.publish(now, self._make_row(now))
         probes = self.members.tick(now, self.eager)
         self._apply_changes()
         self.rows.forget_past(now - self.rules.forget)
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -44,7 +44,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-class Kept(msgspec.Struct, frozen=True):
+class PersistedState(msgspec.Struct, frozen=True):
     """The stored state: the incarnation of the process, and its last row."""
 
     life: int
@@ -59,11 +59,13 @@
 
     def keep(self) -> bytes:
         kept = self.peer.rows.kept.get(self.peer.own)
-        return msgspec.msgpack.encode(Kept(self.peer.members.life, kept.row if kept is not None else None))
+        return msgspec.msgpack.encode(
+            PersistedState(self.peer.members.life, kept.row if kept is not None else None)
+        )
 
     def take_back(self, kept: bytes, away_s: float) -> None:
         try:
-            restored = msgspec.msgpack.decode(kept, type=Kept)
+            restored = msgspec.msgpack.decode(kept, type=PersistedState)
         except msgspec.MsgspecError as problem:
             raise ValueError(str(problem)) from None
         peer = self.peer
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnethaven.gossip.rows import PAST_LIVES, Row, Rows
+from garnethaven.gossip.rows import MAX_PAST_INCARNATIONS, Row, Rows
 from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, period_of, rounds
 
 S = 1_000_000_000
@@ -50,13 +50,13 @@
 def test_members_that_hear_less_are_set_aside_and_the_silent_too() -> None:
     rows = table()
     now = 10 * S
-    rows.says(now, Row("own", 1, 1, 3))
+    rows.publish(now, Row("own", 1, 1, 3))
     rows.learn(now, Row("a", 1, 1, 4), 0)
     rows.learn(now, Row("b", 1, 1, 2), 0)  # is deaf to somebody
     rows.learn(now, Row("c", 1, 1, 4), 3 * S)  # silent
     assert rows.heard(now) == 3
-    assert [row.name for row in rows.alike(now)] == ["a"]
-    horizon = rows.horizon_of(now, 5)
+    assert [row.name for row in rows.sharing_view(now)] == ["a"]
+    horizon = rows.freshness(now, 5)
     assert horizon.share == 3 / 5 and horizon.oldest == 0
 
 
@@ -64,7 +64,7 @@
     rows = table()
     for life in range(1, 9):
         rows.learn(life * S, Row("a", life, 1, 1), 0)
-    assert {life for _, life, _ in known(rows)} == set(range(8 - PAST_LIVES, 9))
+    assert {life for _, life, _ in known(rows)} == set(range(8 - MAX_PAST_INCARNATIONS, 9))
     rows.forget_past(7 * S + 1)
     assert known(rows) == {("a", 8, 1)}
 
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -7,23 +7,23 @@
 from pytest import approx
 
 from garnethaven.judgements.combining import (
-    EACH_MOST,
-    FLOOR,
-    RETRIAL,
-    RETRIERS,
-    TAKEN_MOST,
+    MAX_COUNT_PER_MEMBER,
+    MAX_REMOVED_SHARE,
+    MIN_FACTOR,
+    RETRIAL_FACTOR,
+    RETRIAL_MEMBERS,
     Heard,
     Known,
     Sums,
     factor,
     factors,
-    retries,
+    retries_endpoint,
     trust,
 )
 from garnethaven.judgements.evidence import (
-    ENDPOINTS_MOST,
     HALF_LIFE,
-    TOLD_MOST,
+    MAX_ENDPOINTS,
+    MAX_REPORTS,
     Evidence,
     Row,
     Told,
@@ -34,8 +34,10 @@
 KNOWN = [Known(endpoint, 0, 1.0) for endpoint in range(16)]
 
 
-def row(endpoint: int, good: float, bad: float, met: int = 8, found_bad: int = 1, life: int = 0) -> Row:
-    return Row(met, found_bad, [Told(endpoint, life, good, bad)])
+def row(
+    endpoint: int, good: float, bad: float, endpoints_met: int = 8, endpoints_bad: int = 1, life: int = 0
+) -> Row:
+    return Row(endpoints_met, endpoints_bad, [Told(endpoint, life, good, bad)])
 
 
 def heard(*rows: Row, zone: int = 0, age: int = 0) -> list[Heard]:
@@ -50,7 +52,7 @@
     own = Evidence()
     own.saw(0, 1, 0, good=False)
     assert own.of(HALF_LIFE, 1, 0) == (0.0, approx(0.5))
-    assert own.tells(0 + 10 * HALF_LIFE).met == 0 and not own.seen
+    assert own.tells(0 + 10 * HALF_LIFE).endpoints_met == 0 and not own.by_endpoint
 
 
 def test_a_restart_begins_anew_and_what_is_still_under_way_of_before_says_nothing() -> None:
@@ -67,18 +69,18 @@
     for endpoint in range(40):
         for turn in range(10):
             own.saw(S, endpoint, 0, good=turn < 10 - endpoint // 4)
-    told = own.tells(S, shunned={0})
-    assert (told.met, len(told.told)) == (40, TOLD_MOST)
-    assert told.found_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
+    told = own.tells(S, avoided={0})
+    assert (told.endpoints_met, len(told.told)) == (40, MAX_REPORTS)
+    assert told.endpoints_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
     assert 39 in {one.endpoint for one in told.told} and 0 in {one.endpoint for one in told.told}
     assert 4 not in {one.endpoint for one in told.told}
 
 
 def test_memory_is_bounded() -> None:
     own = Evidence()
-    for endpoint in range(ENDPOINTS_MOST + 10):
+    for endpoint in range(MAX_ENDPOINTS + 10):
         own.saw(S, endpoint, 0, good=True)
-    assert len(own.seen) == ENDPOINTS_MOST and 0 not in own.seen
+    assert len(own.by_endpoint) == MAX_ENDPOINTS and 0 not in own.by_endpoint
     for _ in range(1000):
         own.saw(S, 99, 0, good=False)
     assert own.of(S, 99, 0)[1] <= 50.0
@@ -87,14 +89,14 @@
 def test_one_member_is_no_majority_and_several_are_believed() -> None:
     one = held(heard(row(3, 0.0, 50.0)))
     several = held(heard(*[row(3, 0.0, 2.0) for _ in range(6)]))
-    assert one[3] >= 0.4 and several[3] < 0.2 and EACH_MOST <= 1.0
+    assert one[3] >= 0.4 and several[3] < 0.2 and MAX_COUNT_PER_MEMBER <= 1.0
     assert set(one) == set(several) == {3}
 
 
 def test_one_who_finds_all_bad_tells_of_itself() -> None:
     assert trust(Row(16, 16, [])) == trust(Row(16, 8, [])) == 0.0
     assert trust(Row(16, 2, [])) == 1.0
-    assert held(heard(*[row(3, 0.0, 9.0, met=16, found_bad=14) for _ in range(5)])) == {}
+    assert held(heard(*[row(3, 0.0, 9.0, endpoints_met=16, endpoints_bad=14) for _ in range(5)])) == {}
 
 
 def test_a_dead_server_can_not_be_praised_to_more_than_its_own_weight_and_own_evidence_outweighs() -> None:
@@ -122,11 +124,11 @@
 
 def test_a_shunned_one_is_tried_again_by_few_whoever_they_are() -> None:
     members = [f"n{number}" for number in range(400)]
-    few = [name for name in members if retries(name, 7, len(members))]
-    assert 0 < len(few) <= 5 * RETRIERS
+    few = [name for name in members if retries_endpoint(name, 7, len(members))]
+    assert 0 < len(few) <= 5 * RETRIAL_MEMBERS
     rows = heard(*[row(7, 0.0, 2.0) for _ in range(9)])
     left = dict(factors(S, few[0], 400, NONE, Sums(rows, 0), KNOWN))
-    assert left[7] >= RETRIAL
+    assert left[7] >= RETRIAL_FACTOR
 
 
 TOLD = st.builds(
@@ -144,13 +146,13 @@
     rows: list[Row], zone: int
 ) -> None:
     left = held([Heard("m", zone, 0, one) for one in rows])
-    assert all(FLOOR <= one < 1.0 for one in left.values())
-    assert sum(1.0 - one for one in left.values()) <= TAKEN_MOST * len(KNOWN) + 1e-9
+    assert all(MIN_FACTOR <= one < 1.0 for one in left.values())
+    assert sum(1.0 - one for one in left.values()) <= MAX_REMOVED_SHARE * len(KNOWN) + 1e-9
 
 
 @given(st.floats(0, 50), st.floats(0, 50), st.floats(0, 50), st.floats(0, 50))
 def test_a_factor_grows_with_good_acts_and_falls_with_bad_ones(
     a: float, b: float, c: float, d: float
 ) -> None:
-    assert FLOOR <= factor((a, b), (c, d)) <= 1.0
+    assert MIN_FACTOR <= factor((a, b), (c, d)) <= 1.0
     assert factor((a + 1, b), (c, d)) >= factor((a, b), (c, d)) >= factor((a, b), (c, d + 1))
