--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -13,11 +13,11 @@
 with 1% error. Answers without a pending request (a repeat, a late answer) have no age and are dropped.
 
 A member is *heard* while its row is not older than the horizon. Each row also states how many members its
-author hears. If a member that I hear hears as many members as I do, it hears the same ones, once the horizon
-has passed since reachability last changed: rows are forwarded, so from a member that I hear I have all rows
-that it hears, and it can't hear as many with others missing. These members share a view (`sharing_view`); all
-others, silent or isolated, are ignored. So the sides of any partition, in one direction or both, each agree
-on who is on their side, without exchanging lists of members.
+author hears. If A hears B and B hears as many members as A, both hear the same ones, once the horizon has
+passed since reachability last changed: rows are forwarded, so A has all rows that B hears, and B can't hear
+as many with others missing. Such members share a view (`sharing_view`); all others, silent or isolated, are
+ignored. So the sides of any partition, in one direction or both, each agree on who is on their side, without
+exchanging lists of members.
 
 Times are integer nanoseconds of the caller's monotonic clock, ages nanoseconds.
 """
@@ -148,6 +148,7 @@
         return None if kept is None else now - kept.made_at
 
     def hears(self, now: int, name: str) -> bool:
+        """Whether a member's row is not older than the horizon; always true for this member."""
         kept = self.kept.get(name)
         return name == self.own or (kept is not None and now - kept.made_at <= self.horizon)
 
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -71,7 +71,7 @@
     process: Number
     part: Number
     parts: Number
-    through_serial: Number
+    upto: Number  # serial up to which the complete answer has all changes
     rows: Annotated[list[AgedRow], Meta(max_length=256)] = []
     updates: Annotated[list[StateUpdate], Meta(max_length=16)] = []
     gives: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # by topic, for the requester only
@@ -85,7 +85,7 @@
     process: int
     part: int
     parts: int
-    through_serial: int
+    upto: int
     rows: list[msgspec.Raw]
     updates: list[StateUpdate]
     gives: dict[str, msgspec.Raw]
@@ -170,6 +170,7 @@
     # Views
 
     def mute(self, now: int) -> bool:
+        """Whether this process publishes nothing, because another one has its name."""
         return now < self.mute_until
 
     def view(self, now: int) -> list[Row]:
@@ -388,7 +389,7 @@
             received.nonce, received.parts = answer.nonce, set()
         received.parts.add(answer.part)
         if len(received.parts) >= answer.parts and answer.parts < MAX_ANSWER_PARTS:
-            received.process, received.through_serial = answer.process, answer.through_serial
+            received.process, received.through_serial = answer.process, answer.upto
 
     # Own name
 
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows merged by the larger, ages by the reader's clock, and who shares a view."""
+"""Rows are merged by version, aged by the reader's clock, and grouped by shared view."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     one, other = table(), table()
     for row in rows:
         one.learn(10 * S, row, S)
-    again = rows * 2
-    rng.shuffle(again)
-    for row in again:
+    repeated = rows * 2
+    rng.shuffle(repeated)
+    for row in repeated:
         other.learn(10 * S, row, S)
     assert known(one) == known(other)
     assert {name: kept.row.version for name, kept in one.kept.items()} == {
@@ -40,9 +40,9 @@
 def test_a_row_grows_no_younger_by_coming_again() -> None:
     rows = table()
     rows.learn(10 * S, Row("a", 1, 4, 2), S)
-    rows.learn(13 * S, Row("a", 1, 4, 2), 5 * S)  # a repeat that was on its way for long
+    rows.learn(13 * S, Row("a", 1, 4, 2), 5 * S)  # a repeat that was long in transit
     assert rows.age(13 * S, "a") == 4 * S
-    rows.learn(13 * S, Row("a", 1, 4, 2), 3 * S)  # another way, with a tighter bound
+    rows.learn(13 * S, Row("a", 1, 4, 2), 3 * S)  # another path, with a tighter bound
     assert rows.age(13 * S, "a") == 3 * S
     assert not rows.hears(13 * S, "a")
 
@@ -52,8 +52,8 @@
     now = 10 * S
     rows.publish(now, Row("own", 1, 1, 3))
     rows.learn(now, Row("a", 1, 1, 4), 0)
-    rows.learn(now, Row("b", 1, 1, 2), 0)  # is deaf to somebody
-    rows.learn(now, Row("c", 1, 1, 4), 3 * S)  # silent
+    rows.learn(now, Row("b", 1, 1, 2), 0)  # does not hear all members
+    rows.learn(now, Row("c", 1, 1, 4), 3 * S)  # older than the horizon
     assert rows.heard(now) == 3
     assert [row.name for row in rows.sharing_view(now)] == ["a"]
     horizon = rows.freshness(now, 5)
@@ -62,9 +62,9 @@
 
 def test_earlier_lives_stay_for_their_counts_and_are_bounded() -> None:
     rows = table()
-    for life in range(1, 9):
-        rows.learn(life * S, Row("a", life, 1, 1), 0)
-    assert {life for _, life, _ in known(rows)} == set(range(8 - MAX_PAST_INCARNATIONS, 9))
+    for incarnation in range(1, 9):
+        rows.learn(incarnation * S, Row("a", incarnation, 1, 1), 0)
+    assert {incarnation for _, incarnation, _ in known(rows)} == set(range(8 - MAX_PAST_INCARNATIONS, 9))
     rows.forget_past(7 * S + 1)
     assert known(rows) == {("a", 8, 1)}
 
@@ -97,16 +97,18 @@
 
 
 def test_news_reaches_all_within_the_rounds_that_are_told() -> None:
-    """The recursion against draws: 200 pieces of news, 24 members, a tenth of the datagrams lost."""
+    """The recursion against a simulation: 200 updates, 24 members, a tenth of the datagrams lost."""
     rng, members, asks, loss = Random(5), 24, 3, 0.1
-    most = rounds(members, asks, loss)
+    round_count = rounds(members, asks, loss)
     for _ in range(200):
-        knows = {0}
-        for _ in range(most):
-            fresh = set(knows)
-            for one in range(members):
-                others = rng.sample([other for other in range(members) if other != one], asks)
-                heard = any(o in knows and rng.random() > loss and rng.random() > loss for o in others)
-                fresh |= {one} if heard else set()
-            knows = fresh
-        assert len(knows) == members
+        informed = {0}
+        for _ in range(round_count):
+            next_informed = set(informed)
+            for member in range(members):
+                others = rng.sample([other for other in range(members) if other != member], asks)
+                received = any(
+                    other in informed and rng.random() > loss and rng.random() > loss for other in others
+                )
+                next_informed |= {member} if received else set()
+            informed = next_informed
+        assert len(informed) == members
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -1,4 +1,4 @@
-"""Own evidence fades, belongs to one life, and is told by its surprise; what others tell is bounded."""
+"""Own evidence decays and belongs to one incarnation; the influence of other members is bounded."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 S = 1_000_000_000
-NONE = Evidence()
+NO_EVIDENCE = Evidence()
 KNOWN = [Known(endpoint, 0, 1.0) for endpoint in range(16)]
 
 
@@ -44,7 +44,7 @@
     return [Heard(f"m{number}", zone, age, one) for number, one in enumerate(rows)]
 
 
-def held(rows: list[Heard], own: Evidence = NONE, name: str = "x") -> dict[int, float]:
+def factors_of(rows: list[Heard], own: Evidence = NO_EVIDENCE, name: str = "x") -> dict[int, float]:
     return dict(factors(S, name, 40, own, Sums(rows, 0), KNOWN))
 
 
@@ -61,19 +61,20 @@
     own.saw(S, 1, 9, good=True)
     own.saw(S, 1, 5, good=False)
     assert own.of(S, 1, 9) == (1.0, 0.0) and own.of(S, 1, 5) == (0.0, 0.0)
-    assert held(heard(row(1, 0.0, 5.0, life=5), row(1, 0.0, 5.0, life=5))) == {}  # the list has another life
+    # The endpoint list has another incarnation.
+    assert factors_of(heard(row(1, 0.0, 5.0, life=5), row(1, 0.0, 5.0, life=5))) == {}
 
 
 def test_the_most_surprising_are_told_and_those_that_are_good_again_while_others_shun_them() -> None:
     own = Evidence()
     for endpoint in range(40):
-        for turn in range(10):
-            own.saw(S, endpoint, 0, good=turn < 10 - endpoint // 4)
-    told = own.tells(S, avoided={0})
-    assert (told.endpoints_met, len(told.told)) == (40, MAX_REPORTS)
-    assert told.endpoints_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
-    assert 39 in {one.endpoint for one in told.told} and 0 in {one.endpoint for one in told.told}
-    assert 4 not in {one.endpoint for one in told.told}
+        for attempt in range(10):
+            own.saw(S, endpoint, 0, good=attempt < 10 - endpoint // 4)
+    published = own.tells(S, avoided={0})
+    assert (published.endpoints_met, len(published.told)) == (40, MAX_REPORTS)
+    assert published.endpoints_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
+    assert 39 in {one.endpoint for one in published.told} and 0 in {one.endpoint for one in published.told}
+    assert 4 not in {one.endpoint for one in published.told}
 
 
 def test_memory_is_bounded() -> None:
@@ -87,8 +88,8 @@
 
 
 def test_one_member_is_no_majority_and_several_are_believed() -> None:
-    one = held(heard(row(3, 0.0, 50.0)))
-    several = held(heard(*[row(3, 0.0, 2.0) for _ in range(6)]))
+    one = factors_of(heard(row(3, 0.0, 50.0)))
+    several = factors_of(heard(*[row(3, 0.0, 2.0) for _ in range(6)]))
     assert one[3] >= 0.4 and several[3] < 0.2 and MAX_COUNT_PER_MEMBER <= 1.0
     assert set(one) == set(several) == {3}
 
@@ -96,30 +97,30 @@
 def test_one_who_finds_all_bad_tells_of_itself() -> None:
     assert trust(Row(16, 16, [])) == trust(Row(16, 8, [])) == 0.0
     assert trust(Row(16, 2, [])) == 1.0
-    assert held(heard(*[row(3, 0.0, 9.0, endpoints_met=16, endpoints_bad=14) for _ in range(5)])) == {}
+    assert factors_of(heard(*[row(3, 0.0, 9.0, endpoints_met=16, endpoints_bad=14) for _ in range(5)])) == {}
 
 
 def test_a_dead_server_can_not_be_praised_to_more_than_its_own_weight_and_own_evidence_outweighs() -> None:
-    praised = held(heard(*[row(3, 50.0, 0.0) for _ in range(3)], *[row(3, 0.0, 2.0) for _ in range(6)]))
+    praised = factors_of(heard(*[row(3, 50.0, 0.0) for _ in range(3)], *[row(3, 0.0, 2.0) for _ in range(6)]))
     assert praised[3] < 0.6
     own = Evidence()
     for _ in range(20):
         own.saw(S, 3, 0, good=True)
-    assert held(heard(*[row(3, 0.0, 2.0) for _ in range(3)]), own).get(3, 1.0) > 0.8
+    assert factors_of(heard(*[row(3, 0.0, 2.0) for _ in range(3)]), own).get(3, 1.0) > 0.8
 
 
 def test_other_zones_and_old_rows_count_for_less() -> None:
     rows = [row(3, 0.0, 2.0) for _ in range(3)]
-    near = held(heard(*rows))[3]
-    assert held(heard(*rows, zone=1))[3] > near
-    assert held(heard(*rows, age=2 * HALF_LIFE))[3] > near
+    near = factors_of(heard(*rows))[3]
+    assert factors_of(heard(*rows, zone=1))[3] > near
+    assert factors_of(heard(*rows, age=2 * HALF_LIFE))[3] > near
 
 
 def test_too_much_at_once_is_not_believed_at_all() -> None:
     some = [row(endpoint, 0.0, 2.0) for endpoint in range(4) for _ in range(6)]
     many = [row(endpoint, 0.0, 2.0) for endpoint in range(8) for _ in range(6)]
-    assert set(held(heard(*some))) == {0, 1, 2, 3}
-    assert held(heard(*many)) == {}
+    assert set(factors_of(heard(*some))) == {0, 1, 2, 3}
+    assert factors_of(heard(*many)) == {}
 
 
 def test_a_shunned_one_is_tried_again_by_few_whoever_they_are() -> None:
@@ -127,8 +128,8 @@
     few = [name for name in members if retries_endpoint(name, 7, len(members))]
     assert 0 < len(few) <= 5 * RETRIAL_MEMBERS
     rows = heard(*[row(7, 0.0, 2.0) for _ in range(9)])
-    left = dict(factors(S, few[0], 400, NONE, Sums(rows, 0), KNOWN))
-    assert left[7] >= RETRIAL_FACTOR
+    remaining = dict(factors(S, few[0], 400, NO_EVIDENCE, Sums(rows, 0), KNOWN))
+    assert remaining[7] >= RETRIAL_FACTOR
 
 
 TOLD = st.builds(
@@ -145,9 +146,9 @@
 def test_whatever_is_heard_factors_stay_in_their_bounds_and_so_does_their_sum(
     rows: list[Row], zone: int
 ) -> None:
-    left = held([Heard("m", zone, 0, one) for one in rows])
-    assert all(MIN_FACTOR <= one < 1.0 for one in left.values())
-    assert sum(1.0 - one for one in left.values()) <= MAX_REMOVED_SHARE * len(KNOWN) + 1e-9
+    remaining = factors_of([Heard("m", zone, 0, one) for one in rows])
+    assert all(MIN_FACTOR <= one < 1.0 for one in remaining.values())
+    assert sum(1.0 - one for one in remaining.values()) <= MAX_REMOVED_SHARE * len(KNOWN) + 1e-9
 
 
 @given(st.floats(0, 50), st.floats(0, 50), st.floats(0, 50), st.floats(0, 50))
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -1,8 +1,8 @@
-"""Three members in small: every order of what may happen, to a depth, with one crash, one loss, one repeat.
+"""All orders of events among three members, up to a fixed depth, with one crash, one loss and one repeat.
 
-A step is a period of one member, the arrival of any datagram that is under way, the loss of one, the repeat
-of one, or the crash of one member; each of the last three happens once. Two states that differ in nothing but
-nonces and times are one. From states at the depth the world is then left alone, and has to end well.
+A step is a period of one member, the arrival of any datagram in transit, the loss of one, the repeat of one,
+or the crash of one member; each of the last three happens once. Two states that differ only in nonces and
+times are equal. From states at the full depth, no further faults occur, and the members have to agree.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 PERIOD = S // 5
 NAMES = "abc"
 DEPTH = 7
-WHOLE = 4  # to here every order is played; beyond it so many states of each depth, drawn
-STATES_MOST = 150
-LEFT_ALONE = 40
-QUIET_PERIODS = 60
+FULL_DEPTH = 4  # up to here all orders are explored, beyond it a sample
+MAX_STATES = 150  # sampled per depth
+SETTLED_STATES = 40  # final states that are run until they settle
+SETTLING_PERIODS = 60
 
 
-class Small:
-    """The whole world, to be copied: members, what is under way, and what may still happen."""
+class Model:
+    """The complete state, copied for each step: members, datagrams in transit, faults still to occur."""
 
     def __init__(self) -> None:
         self.now = S
         self.peers: dict[str, Peer] = {}
         self.sharing: dict[str, Sharing] = {}
-        self.under_way: list[tuple[str, Out]] = []
-        self.left = {"crash": 1, "lose": 1, "repeat": 1}
+        self.in_transit: list[tuple[str, Out]] = []
+        self.faults_left = {"crash": 1, "lose": 1, "repeat": 1}
         for name in NAMES:
             rules = Rules(PERIOD, 1, 600 * S, 8)
             listed = [(other, other) for other in NAMES]
@@ -46,36 +46,36 @@
             self.peers[name], self.sharing[name] = peer, Sharing(peer, admission)
 
     def steps(self) -> list[tuple[str, int | str]]:
-        found: list[tuple[str, int | str]] = [("period", name) for name in self.peers]
-        arrivals = range(len(self.under_way))
-        found += [("arrive", number) for number in arrivals]
-        for what in ("lose", "repeat"):
-            found += [(what, number) for number in arrivals if self.left[what]]
-        found += [("crash", name) for name in self.peers if self.left["crash"]]
-        return found
+        steps: list[tuple[str, int | str]] = [("period", name) for name in self.peers]
+        arrivals = range(len(self.in_transit))
+        steps += [("arrive", number) for number in arrivals]
+        for action in ("lose", "repeat"):
+            steps += [(action, number) for number in arrivals if self.faults_left[action]]
+        steps += [("crash", name) for name in self.peers if self.faults_left["crash"]]
+        return steps
 
     def step(self, step: tuple[str, int | str]) -> None:
-        what, which = step
-        if what in self.left:
-            self.left[what] -= 1
-        if isinstance(which, str):
-            if what == "crash":
-                del self.peers[which], self.sharing[which]
+        action, target = step
+        if action in self.faults_left:
+            self.faults_left[action] -= 1
+        if isinstance(target, str):
+            if action == "crash":
+                del self.peers[target], self.sharing[target]
             else:
                 self.now += PERIOD // len(NAMES)
-                self._send(which, self.peers[which].tick(self.now))
+                self._send(target, self.peers[target].tick(self.now))
             return
-        source, out = self.under_way[which]
-        if what != "repeat":
-            del self.under_way[which]
-        if what != "lose" and out.at in self.peers:
+        source, out = self.in_transit[target]
+        if action != "repeat":
+            del self.in_transit[target]
+        if action != "lose" and out.at in self.peers:
             self._send(out.at, self.peers[out.at].came(self.now, UNPACK(out.body), source))
 
     def _send(self, source: str, outs: list[Out]) -> None:
-        self.under_way += [(source, out) for out in outs]
+        self.in_transit += [(source, out) for out in outs]
 
     def mark(self) -> object:
-        """What makes a state another: all but nonces, times and the drawn order of questions."""
+        """What distinguishes states: all but nonces, times and the random probe order."""
         members = tuple(
             (
                 name,
@@ -85,40 +85,44 @@
             )
             for name, peer in self.peers.items()
         )
-        flying = Counter((source, out.at, self._gist(out)) for source, out in self.under_way)
-        return members, frozenset(flying.items()), tuple(self.left.values())
+        in_transit = Counter((source, out.at, self._content(out)) for source, out in self.in_transit)
+        return members, frozenset(in_transit.items()), tuple(self.faults_left.values())
 
     @staticmethod
-    def _gist(out: Out) -> object:
-        told = UNPACK(out.body)
-        if isinstance(told, SyncRequest):
-            return told.name, told.heartbeat, told.about, tuple(told.updates)
-        return told.name, tuple((said.row.name, said.row.version) for said in told.rows), tuple(told.updates)
-
-    def holds(self) -> None:
-        """Never more than what was counted, at anybody."""
+    def _content(out: Out) -> object:
+        message = UNPACK(out.body)
+        if isinstance(message, SyncRequest):
+            return message.name, message.heartbeat, message.about, tuple(message.updates)
+        return (
+            message.name,
+            tuple((aged_row.row.name, aged_row.row.version) for aged_row in message.rows),
+            tuple(message.updates),
+        )
+
+    def check_counts(self) -> None:
+        """No member's total exceeds the number of requests made."""
         for sharing in self.sharing.values():
-            assert all(told.asked <= len(NAMES) for told in sharing.totals().values())
+            assert all(total.asked <= len(NAMES) for total in sharing.totals().values())
 
-    def ends_well(self) -> None:
-        """Left alone, the live are alive to one another, the dead one is gone, and all counts agree."""
-        for _ in range(QUIET_PERIODS):
+    def check_settled(self) -> None:
+        """Without further faults, live members are ALIVE, a crashed one is GONE, and all counts agree."""
+        for _ in range(SETTLING_PERIODS):
             for name in list(self.peers):
                 self.step(("period", name))
-            while self.under_way:
+            while self.in_transit:
                 self.step(("arrive", 0))
         dead = set(NAMES) - set(self.peers)
         for name, peer in self.peers.items():
             for member in peer.members.members.values():
-                wanted = State.GONE if member.name in dead else State.ALIVE
-                assert member.state is wanted, (name, member)
+                expected = State.GONE if member.name in dead else State.ALIVE
+                assert member.state is expected, (name, member)
             assert peer.members.counted() == len(NAMES)
         totals = [tuple(sharing.totals().values()) for sharing in self.sharing.values()]
         assert len(set(totals)) == 1 and totals[0][0].asked >= len(self.peers), totals
 
 
 def test_no_order_removes_a_live_member_keeps_a_dead_one_or_counts_twice() -> None:
-    layer, sizes = explore(Small(), DEPTH, Small.holds, WHOLE, STATES_MOST)
-    for world in layer[:LEFT_ALONE]:
-        world.ends_well()
+    layer, sizes = explore(Model(), DEPTH, Model.check_counts, FULL_DEPTH, MAX_STATES)
+    for world in layer[:SETTLED_STATES]:
+        world.check_settled()
     assert sum(sizes) > 1_000
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there, step by step: suspicion, refutation, doubt of oneself, leaving and being forgotten."""
+"""Membership, step by step: suspicion, refutation, isolation, leaving and removal."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 NAMES = [f"m{number}" for number in range(6)]
 
 
-class Asked:
-    """A membership whose questions are answered by those that are `there`."""
+class Harness:
+    """A membership whose probes are answered by the members in `reachable`."""
 
     def __init__(self, forget_s: float = 60.0, most: int = 10, listed: list[str] = NAMES) -> None:
         rules = Rules(PERIOD, 2, int(forget_s * S), most)
         self.now = 10 * S
         self.own = Membership("m0", 1, rules, [(name, name) for name in listed], Random(3), self.now)
-        self.there = set(listed)
+        self.reachable = set(listed)
         self.heartbeat = 0
         self.probes: list[Probe] = []
 
-    def period(self, times: int = 1, heard: bool = True) -> None:
-        """`heard`: an answer brings the answering member's beat with it."""
+    def period(self, times: int = 1, with_rows: bool = True) -> None:
+        """`with_rows`: an answer carries a new heartbeat of the member that it is about."""
         for _ in range(times):
             self.now += PERIOD
             self.heartbeat += 1
             self.probes = self.own.tick(self.now)
             for probe in self.probes:
-                if probe.name in self.there and (not probe.about or probe.about in self.there):
+                if probe.name in self.reachable and (not probe.about or probe.about in self.reachable):
                     self.own.record_answer(self.now, probe.nonce)
-                    if heard:
+                    if with_rows:
                         self.own.record_heartbeat(self.now, probe.about or probe.name, 1, self.heartbeat)
 
     def state(self, name: str) -> State:
@@ -50,123 +50,123 @@
 
 
 def test_one_that_answers_nobody_is_suspected_through_helpers_then_gone_and_still_counts() -> None:
-    seen = Asked()
-    seen.period(10)
-    seen.there -= {"m3"}
-    helped: set[str] = set()
-    while seen.state("m3") is State.ALIVE:
-        seen.period()
-        helped |= {probe.name for probe in seen.probes if probe.about == "m3"}
-        assert seen.now < 20 * S
-    assert len(helped) == INDIRECT_PROBES and "m3" not in helped
-    while seen.state("m3") is State.SUSPECT:
-        seen.period()
-    assert seen.state("m3") is State.GONE
-    assert seen.own.counted() == 6 and len(seen.own.live()) == 4
-    assert any(update.name == "m3" and update.state == State.GONE for update in seen.own.take_updates())
-    asked = set()
+    harness = Harness()
+    harness.period(10)
+    harness.reachable -= {"m3"}
+    helpers: set[str] = set()
+    while harness.state("m3") is State.ALIVE:
+        harness.period()
+        helpers |= {probe.name for probe in harness.probes if probe.about == "m3"}
+        assert harness.now < 20 * S
+    assert len(helpers) == INDIRECT_PROBES and "m3" not in helpers
+    while harness.state("m3") is State.SUSPECT:
+        harness.period()
+    assert harness.state("m3") is State.GONE
+    assert harness.own.counted() == 6 and len(harness.own.live()) == 4
+    assert any(update.name == "m3" and update.state == State.GONE for update in harness.own.take_updates())
+    probed = set()
     for _ in range(20):
-        seen.period()
-        asked |= {probe.name for probe in seen.probes}
-    assert "m3" in asked  # now and then: nobody needs to notice that it is back
+        harness.period()
+        probed |= {probe.name for probe in harness.probes}
+    assert "m3" in probed  # occasionally, so that its return is noticed
 
 
 def test_any_later_beat_refutes_and_an_older_suspicion_changes_nothing() -> None:
-    seen = Asked()
-    seen.own.record_heartbeat(seen.now, "m1", 1, 7)
-    seen.own.apply_update(seen.now, StateUpdate("m1", 1, 6, State.GONE))
-    assert seen.state("m1") is State.ALIVE
-    seen.own.apply_update(seen.now, StateUpdate("m1", 1, 7, State.SUSPECT))
-    seen.own.apply_update(seen.now, StateUpdate("m1", 1, 7, State.ALIVE))
-    assert seen.state("m1") is State.SUSPECT
-    seen.own.record_heartbeat(seen.now, "m1", 1, 7)  # a repeat is no beat
-    assert seen.state("m1") is State.SUSPECT
-    seen.own.record_heartbeat(seen.now, "m1", 1, 8)
-    assert seen.state("m1") is State.ALIVE
+    harness = Harness()
+    harness.own.record_heartbeat(harness.now, "m1", 1, 7)
+    harness.own.apply_update(harness.now, StateUpdate("m1", 1, 6, State.GONE))
+    assert harness.state("m1") is State.ALIVE
+    harness.own.apply_update(harness.now, StateUpdate("m1", 1, 7, State.SUSPECT))
+    harness.own.apply_update(harness.now, StateUpdate("m1", 1, 7, State.ALIVE))
+    assert harness.state("m1") is State.SUSPECT
+    harness.own.record_heartbeat(harness.now, "m1", 1, 7)  # a repeated heartbeat does not refute
+    assert harness.state("m1") is State.SUSPECT
+    harness.own.record_heartbeat(harness.now, "m1", 1, 8)
+    assert harness.state("m1") is State.ALIVE
 
 
 def test_who_hears_nobody_suspects_nobody_and_says_so() -> None:
-    seen = Asked()
-    seen.period(5)
-    seen.there = set()
-    seen.period(100)
-    assert seen.own.deaf() and seen.own.health_penalty > ISOLATION_THRESHOLD
-    assert not [name for name in NAMES[1:] if seen.state(name) is not State.ALIVE]
-    seen.there = set(NAMES)
-    seen.period(20)
-    assert not seen.own.deaf()
+    harness = Harness()
+    harness.period(5)
+    harness.reachable = set()
+    harness.period(100)
+    assert harness.own.deaf() and harness.own.health_penalty > ISOLATION_THRESHOLD
+    assert not [name for name in NAMES[1:] if harness.state(name) is not State.ALIVE]
+    harness.reachable = set(NAMES)
+    harness.period(20)
+    assert not harness.own.deaf()
 
 
 def test_suspicion_of_oneself_is_counted_and_does_nothing() -> None:
-    seen = Asked()
-    seen.own.apply_update(seen.now, StateUpdate("m0", 1, 3, State.SUSPECT))
-    assert seen.own.false_suspicions == 1 and seen.own.counted() == 6
+    harness = Harness()
+    harness.own.apply_update(harness.now, StateUpdate("m0", 1, 3, State.SUSPECT))
+    assert harness.own.false_suspicions == 1 and harness.own.counted() == 6
 
 
 def test_one_that_has_left_counts_no_more_and_comes_back_by_a_new_life_alone() -> None:
-    seen = Asked()
-    seen.own.record_heartbeat(seen.now, "m2", 1, 4)
-    seen.own.apply_update(seen.now, StateUpdate("m2", 1, 4, State.LEFT))
-    assert seen.own.counted() == 5 and seen.own.take_changes().forgotten == ["m2"]
-    seen.own.record_heartbeat(seen.now, "m2", 1, 5)  # was on its way since before
-    assert seen.own.counted() == 5
-    seen.own.record_heartbeat(seen.now, "m2", 2, 1)
-    assert seen.own.counted() == 6 and seen.state("m2") is State.ALIVE
+    harness = Harness()
+    harness.own.record_heartbeat(harness.now, "m2", 1, 4)
+    harness.own.apply_update(harness.now, StateUpdate("m2", 1, 4, State.LEFT))
+    assert harness.own.counted() == 5 and harness.own.take_changes().forgotten == ["m2"]
+    harness.own.record_heartbeat(harness.now, "m2", 1, 5)  # sent before the member left
+    assert harness.own.counted() == 5
+    harness.own.record_heartbeat(harness.now, "m2", 2, 1)
+    assert harness.own.counted() == 6 and harness.state("m2") is State.ALIVE
 
 
 def test_a_silent_member_is_forgotten_in_time_and_one_that_joined_is_dropped() -> None:
-    seen = Asked(forget_s=20.0)
-    seen.own.record_heartbeat(seen.now, "new", 1, 1, "new")
-    assert seen.own.counted() == 7
-    seen.there -= {"m4"}
-    seen.period(140)
-    assert "new" not in seen.own.members and seen.own.counted() == 5
-    seen.there |= {"m4"}
-    seen.own.record_heartbeat(seen.now, "m4", 2, 1)
-    assert seen.own.counted() == 6
+    harness = Harness(forget_s=20.0)
+    harness.own.record_heartbeat(harness.now, "new", 1, 1, "new")
+    assert harness.own.counted() == 7
+    harness.reachable -= {"m4"}
+    harness.period(140)
+    assert "new" not in harness.own.members and harness.own.counted() == 5
+    harness.reachable |= {"m4"}
+    harness.own.record_heartbeat(harness.now, "m4", 2, 1)
+    assert harness.own.counted() == 6
 
 
 def test_joining_is_bounded_and_needs_an_address() -> None:
-    seen = Asked(most=8)
+    harness = Harness(most=8)
     for number in range(9):
-        seen.own.record_heartbeat(seen.now, f"x{number}", 1, 1, f"x{number}")
-    assert seen.own.counted() == 8 and seen.own.left_out == 7
-    seen.own.record_heartbeat(seen.now, "y", 1, 1)
-    assert "y" not in seen.own.members
+        harness.own.record_heartbeat(harness.now, f"x{number}", 1, 1, f"x{number}")
+    assert harness.own.counted() == 8 and harness.own.left_out == 7
+    harness.own.record_heartbeat(harness.now, "y", 1, 1)
+    assert "y" not in harness.own.members
 
 
 def test_between_two_questions_to_one_member_there_are_at_most_two_rounds() -> None:
-    seen = Asked()
+    harness = Harness()
     last = dict.fromkeys(NAMES[1:], 0)
     for turn in range(1, 200):
-        seen.period()
-        for probe in seen.probes:
+        harness.period()
+        for probe in harness.probes:
             last[probe.name] = turn
         assert turn - min(last.values()) <= 2 * 5 / 2 + 1
 
 
 def test_open_questions_and_news_are_bounded() -> None:
-    seen = Asked()
+    harness = Harness()
     for _ in range(MAX_PENDING_PROBES + 50):
-        seen.own.probe_for(seen.now, "m1")
-    assert len(seen.own.pending_probes) == MAX_PENDING_PROBES
+        harness.own.probe_for(harness.now, "m1")
+    assert len(harness.own.pending_probes) == MAX_PENDING_PROBES
     for heartbeat in range(50):
-        seen.own.apply_update(seen.now, StateUpdate("m1", 1, heartbeat, State.SUSPECT))
-    assert len(seen.own.update_queue) == 1
+        harness.own.apply_update(harness.now, StateUpdate("m1", 1, heartbeat, State.SUSPECT))
+    assert len(harness.own.update_queue) == 1
     for _ in range(200):
-        seen.own.take_updates()
-    assert not seen.own.update_queue  # each piece is told so many times, then no more
+        harness.own.take_updates()
+    assert not harness.own.update_queue  # each update is sent a limited number of times
 
 
 @pytest.mark.parametrize("state", [-1, 4, 99])
 def test_a_state_that_is_none_is_passed_over(state: int) -> None:
-    seen = Asked()
-    seen.own.apply_update(seen.now, StateUpdate("m1", 9, 9, state))
-    assert seen.state("m1") is State.ALIVE
+    harness = Harness()
+    harness.own.apply_update(harness.now, StateUpdate("m1", 9, 9, state))
+    assert harness.state("m1") is State.ALIVE
 
 
 def test_a_new_list_of_members_is_taken_over() -> None:
-    seen = Asked()
-    seen.own.set_listed(seen.now, [("m1", "elsewhere"), ("m7", "m7")])
-    assert seen.own.members["m1"].at == "elsewhere" and "m7" in seen.own.members
-    assert not seen.own.members["m2"].listed and seen.own.members["m2"].state is State.ALIVE
+    harness = Harness()
+    harness.own.set_listed(harness.now, [("m1", "elsewhere"), ("m7", "m7")])
+    assert harness.own.members["m1"].at == "elsewhere" and "m7" in harness.own.members
+    assert not harness.own.members["m2"].listed and harness.own.members["m2"].state is State.ALIVE
--- a/tests/peers/test_on_sockets.py
+++ b/tests/peers/test_on_sockets.py
@@ -1,4 +1,4 @@
-"""Real programs that know of one another: what they hear, what they drop, and how one leaves."""
+"""Real processes in one fleet: which members they hear, what they drop, and how one leaves."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 WAIT_S = 15.0
 
 
-class Small(PeerFleet):
+class SmallFleet(PeerFleet):
     def __init__(self, seed: int = 5) -> None:
         super().__init__(seed, Plan(programs=PROGRAMS, servers=3, work_s=0.005, operator=TABLES), TABLES)
 
     async def figures(self, name: str) -> dict[str, Any]:
         return (await self.view(name)).get("peers", {})
 
-    async def until(self, holds: Callable[[], Awaitable[bool]]) -> None:
+    async def until(self, condition: Callable[[], Awaitable[bool]]) -> None:
         end = time.monotonic() + WAIT_S
-        while not await holds():
+        while not await condition():
             assert time.monotonic() < end, [await self.view(name) for name in self.nodes]
             await asyncio.sleep(0.05)
 
-    async def all_hear(self, count: int, but: tuple[str, ...] = ()) -> None:
-        async def holds() -> bool:
-            told = [await self.figures(name) for name in self.nodes if name not in but]
-            return all(one.get("heard") == one.get("alike") == count for one in told)
+    async def all_hear(self, count: int, excluding: tuple[str, ...] = ()) -> None:
+        async def condition() -> bool:
+            figures = [await self.figures(name) for name in self.nodes if name not in excluding]
+            return all(entry.get("heard") == entry.get("alike") == count for entry in figures)
 
-        await self.until(holds)
+        await self.until(condition)
 
 
-def played(script: Callable[[Small], Awaitable[None]], seed: int = 5) -> Small:
-    async def all_of_it() -> Small:
-        fleet = Small(seed)
+def run_script(script: Callable[[SmallFleet], Awaitable[None]], seed: int = 5) -> SmallFleet:
+    async def all_of_it() -> SmallFleet:
+        fleet = SmallFleet(seed)
         await fleet.open()
         try:
             async with keeping_book(fleet, waits_s=10.0):
@@ -65,25 +65,27 @@
     return asyncio.run(all_of_it())
 
 
-def finals(applications: list[Application], fleet: Small) -> list[str | None]:
-    names = tuple(one.name for one in applications)
+def final_outcomes(applications: list[Application], fleet: SmallFleet) -> list[str | None]:
+    names = tuple(entry.name for entry in applications)
     return [sent.final for sent in fleet.ledger.sent.values() if sent.id.startswith(names)]
 
 
 def test_a_tenant_is_held_to_its_allowance_by_all_together_and_others_pass() -> None:
-    async def script(fleet: Small) -> None:
+    async def script(fleet: SmallFleet) -> None:
         await fleet.all_hear(PROGRAMS)
         names = list(fleet.nodes)
         big, calm = fleet.ask(names, "big", 60.0, 3.0), fleet.ask(names, "calm", 10.0, 3.0)
         await asyncio.gather(big, calm)
         await fleet.settle()
-        told = await fleet.view("n0")
-        assert told["tenants"]["tenants"]["big"]["asked"] > 100
-        assert told["tenants"]["refused"] > 50
+        figures = await fleet.view("n0")
+        assert figures["tenants"]["tenants"]["big"]["asked"] > 100
+        assert figures["tenants"]["refused"] > 50
 
-    fleet = played(script)
+    fleet = run_script(script)
     by_tenant = {
-        tenant: finals([one for (_, of), one in fleet.applications.items() if of == tenant], fleet)
+        tenant: final_outcomes(
+            [entry for (_, of), entry in fleet.applications.items() if of == tenant], fleet
+        )
         for tenant in ("big", "calm")
     }
     assert set(by_tenant["calm"]) == {"served"}
@@ -93,22 +95,22 @@
 
 
 def test_a_planned_end_frees_a_part_at_once_and_a_kill_keeps_it() -> None:
-    async def script(fleet: Small) -> None:
+    async def script(fleet: SmallFleet) -> None:
         await fleet.all_hear(PROGRAMS)
         await fleet.nodes["n3"].program.stop()
         fleet.nodes["n3"].down = True
 
         async def gone() -> bool:
-            told = [await fleet.figures(name) for name in ("n0", "n1", "n2")]
-            return all(one.get("members") == PROGRAMS - 1 for one in told)
+            figures = [await fleet.figures(name) for name in ("n0", "n1", "n2")]
+            return all(entry.get("members") == PROGRAMS - 1 for entry in figures)
 
         await fleet.until(gone)
         await fleet.nodes["n2"].program.kill()
         fleet.nodes["n2"].down = True
 
         async def silent() -> bool:
-            told = [await fleet.figures(name) for name in ("n0", "n1")]
-            return all(one.get("heard") == 2 and one.get("live") == 2 for one in told)
+            figures = [await fleet.figures(name) for name in ("n0", "n1")]
+            return all(entry.get("heard") == 2 and entry.get("live") == 2 for entry in figures)
 
         await fleet.until(silent)
         assert (await fleet.figures("n0"))["members"] == PROGRAMS - 1
@@ -118,11 +120,11 @@
         logs = fleet.nodes["n0"].program.log.read_text()
         assert "peers: " in logs and "Traceback" not in logs
 
-    played(script)
+    run_script(script)
 
 
 def test_one_that_hears_nobody_says_so_and_serves() -> None:
-    async def script(fleet: Small) -> None:
+    async def script(fleet: SmallFleet) -> None:
         await fleet.all_hear(PROGRAMS)
         fleet.weather.cut |= {(other, "n0") for other in fleet.nodes if other != "n0"}
 
@@ -132,21 +134,21 @@
         await fleet.until(deaf)
         assert (await fleet.figures("n0"))["doubt"] >= 3
 
-        # Who gets no questions gives no answers: the others set it aside as it does them.
-        await fleet.all_hear(PROGRAMS - 1, but=("n0",))
+        # A member that receives no requests sends no answers, so the others ignore it too.
+        await fleet.all_hear(PROGRAMS - 1, excluding=("n0",))
         assert (await fleet.figures("n1"))["members"] == PROGRAMS
         await fleet.ask(["n0"], "big", 40.0, 1.5)
         fleet.weather.cut.clear()
         await fleet.all_hear(PROGRAMS)
         assert "this member receives no answers" in fleet.nodes["n0"].program.log.read_text()
 
-    fleet = played(script)
-    served = finals(list(fleet.applications.values()), fleet).count("served")
+    fleet = run_script(script)
+    served = final_outcomes(list(fleet.applications.values()), fleet).count("served")
     assert 5 <= served <= 30 / PROGRAMS * 2 + 6 + 1
 
 
 def flood(port: int, count: int, rng: random.Random) -> None:
-    """Forged, cut, oversized and empty ones, some with the right first bytes."""
+    """Send forged, truncated, oversized and empty datagrams, some with the right first bytes."""
     from garnethaven.peers.datagrams import Seal
 
     good = Seal(bytes.fromhex(KEY), 7).seal(b"\xc1 no message")
@@ -160,7 +162,7 @@
 
 
 def test_a_flood_of_forged_datagrams_is_dropped_and_members_are_heard_through_it() -> None:
-    async def script(fleet: Small) -> None:
+    async def script(fleet: SmallFleet) -> None:
         await fleet.all_hear(PROGRAMS)
         rng = random.Random(3)
         flooding = asyncio.to_thread(flood, fleet.ports["n1"], 8_000, rng)
@@ -171,5 +173,5 @@
         log = fleet.nodes["n1"].program.log.read_text()
         assert "Traceback" not in log and len(log.splitlines()) < 30
 
-    fleet = played(script)
-    assert set(finals(list(fleet.applications.values()), fleet)) == {"served"}
+    fleet = run_script(script)
+    assert set(final_outcomes(list(fleet.applications.values()), fleet)) == {"served"}
--- a/tests/peers/test_settings.py
+++ b/tests/peers/test_settings.py
@@ -1,4 +1,4 @@
-"""The tables `[peers]` and `[tenants]`: strict, off means absent, and the command that tells the bound."""
+"""The tables `[peers]` and `[tenants]`: validation, no imports while off, and the `bound` command."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "peers.toml"))
-    peers, tenants = told["peers"], told["tenants"]
+    tables = read_operator(str(ROOT / "deploy" / "examples" / "peers.toml"))
+    peers, tenants = tables["peers"], tables["tenants"]
     assert isinstance(peers, Peers) and isinstance(tenants, Tenants)
     assert peers.members[1].name == "n1" and peers.members[1].at == ("127.0.0.2", 7946)
     assert tenants.allowances[0].per_s == 100
@@ -65,12 +65,12 @@
 
 
 def test_the_bound_is_told_by_a_command(capsys: pytest.CaptureFixture[str]) -> None:
-    words = ["peers", "bound", "--members", "24", "--per-s", "100", "--burst", "100"]
-    assert main(words) == 0
-    said = capsys.readouterr().out
-    assert "124.0 requests at the most, in any span" in said and "4.17" in said
-    assert main([*words, "--loss", "0.999"]) == 0
+    arguments = ["peers", "bound", "--members", "24", "--per-s", "100", "--burst", "100"]
+    assert main(arguments) == 0
+    output = capsys.readouterr().out
+    assert "124.0 requests at the most, in any span" in output and "4.17" in output
+    assert main([*arguments, "--loss", "0.999"]) == 0
     assert "does not reach all" in capsys.readouterr().out
-    assert main([*words, "--cut", "2"]) == 2
+    assert main([*arguments, "--cut", "2"]) == 2
     assert "--cut" in capsys.readouterr().err
     assert main(["peers", "bound", "--members", "0", "--per-s", "1"]) == 2
