--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -1,7 +1,7 @@
 """The rows of all members, merged by version, and the freshness of each. No clock, no I/O.
 
 Theory. A *row* holds the counters that one member publishes in one incarnation (one process); its heartbeat
-sequence number (`beat`) grows with each row that the member makes. Of two rows of one incarnation the one
+sequence number grows with each row that the member makes. Of two rows of one incarnation the one
 with the larger heartbeat wins, so repeats, reordering and old rows change nothing: two tables that have
 received the same rows are equal. Rows of earlier incarnations are kept for a while beside the current one,
 because their counts are still valid.
@@ -39,14 +39,14 @@
 
     name: str
     life: int
-    beat: int
+    heartbeat: int
     heard: int  # members that it hears, including itself
     told: dict[str, msgspec.Raw] = {}
 
     @property
     def version(self) -> tuple[int, int]:
         """The order of a member's rows: a larger version is later and refutes reports about earlier ones."""
-        return self.life, self.beat
+        return self.life, self.heartbeat
 
 
 @dataclass(slots=True)
@@ -118,7 +118,7 @@
     def _learn_past_incarnation(self, row: Row, made_at: int) -> bool:
         incarnations = self.past.setdefault(row.name, {})
         known = incarnations.get(row.life)
-        if known is not None and known.row.beat >= row.beat:
+        if known is not None and known.row.heartbeat >= row.heartbeat:
             return False
         incarnations[row.life] = self._store(row, made_at)
         if len(incarnations) > MAX_PAST_INCARNATIONS:
--- a/garnethaven/judgements/combining.py
+++ b/garnethaven/judgements/combining.py
@@ -117,7 +117,7 @@
         others = sums.counts.get((listed.endpoint, listed.incarnation))
         if others is None:
             continue  # own evidence alone is handled by the balancer
-        remaining = factor(evidence.of(now, listed.endpoint, listed.incarnation), others)
+        remaining = factor(evidence.counts_of(now, listed.endpoint, listed.incarnation), others)
         if remaining >= 1.0:
             continue
         if remaining < RETRIAL_BELOW and retries_endpoint(name, listed.endpoint, members):
--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -95,7 +95,7 @@
         else:
             counts.good, counts.bad = counts.good * OPPOSITE_COUNT_KEPT, min(MAX_COUNT, counts.bad + weight)
 
-    def of(self, now: int, endpoint: int, incarnation: int) -> tuple[float, float]:
+    def counts_of(self, now: int, endpoint: int, incarnation: int) -> tuple[float, float]:
         """The decayed good and bad counts of an endpoint's incarnation."""
         counts = self.by_endpoint.get(endpoint)
         if counts is None or counts.incarnation != incarnation:
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -197,7 +197,7 @@
             self.rows.publish(now, self._make_row(now))
         probes = self.members.tick(now, self.eager)
         self._apply_changes()
-        self.rows.forget_past(now - self.rules.forget)
+        self.rows.forget_past(now - self.rules.forget_after)
         requests = self._topic_requests(now)
         first_extra = len(probes) - self.members.extra
         return [
@@ -205,7 +205,7 @@
             for index, probe in enumerate(probes)
         ]
 
-    def leaves(self, now: int) -> list[Out]:
+    def leave(self, now: int) -> list[Out]:
         """Announce a planned shutdown to the members of the next round."""
         updates = [self.members.leave_update(self.heartbeat)]
         probes = self.members.tick(now)
@@ -376,9 +376,9 @@
         if row.name == self.own:
             self._handle_own_row(now, row, age)
             return
-        self.members.record_heartbeat(now, row.name, row.life, row.beat, aged_row.at)
+        self.members.record_heartbeat(now, row.name, row.life, row.heartbeat, aged_row.at)
         if row.name in self.members.members and self.rows.learn(now, row, age):
-            self.members.extend_lifetime(now, row.name)
+            self.members.reset_silence_timer(now, row.name)
 
     def _record_part(self, answer: Answer) -> None:
         """Advance the serial of the next request once all parts of an answer have arrived."""
@@ -396,7 +396,7 @@
     def _handle_own_row(self, now: int, row: Row, age: int) -> None:
         """Handle a row with this member's own name that another member has sent."""
         incarnation, made_since_start = self.members.life, now - age > self.started_at
-        if (row.life == incarnation and row.beat <= self.heartbeat) or self.mute(now):
+        if (row.life == incarnation and row.heartbeat <= self.heartbeat) or self.mute(now):
             return
         if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
             self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -141,7 +141,7 @@
         if self.peer is None:
             return
         members = self.peer.members
-        members.rules.forget = int(self.table.forget_s * S)
+        members.rules.forget_after = int(self.table.forget_s * S)
         members.set_listed(clock(), ((member.name, address_text(member.at)) for member in self.table.members))
 
     # Periodic steps
@@ -223,7 +223,7 @@
         if self.peer is not None and self.timer is not None:
             self.timer.cancel()
             self.timer = None
-            self._send(self.peer.leaves(clock()))
+            self._send(self.peer.leave(clock()))
 
     async def close(self) -> None:
         if self.timer is not None:
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -15,8 +15,8 @@
 becomes SUSPECT and then GONE everywhere.
 
 *GONE members are not removed.* A partitioned member looks like a crashed one. It counts in shares until it
-has been silent for `forget`, and is probed occasionally all that time, so that a healed partition is found
-without any operator action. A member that has LEFT no longer counts.
+has been silent for `forget_after`, and is probed occasionally all that time, so that a healed partition is
+found without any operator action. A member that has LEFT no longer counts.
 
 *Local health.* A member that receives no answers has most likely lost its own link. `health_penalty` grows
 with each round of probes without any answer; it stretches this member's timeouts, and from
@@ -86,7 +86,7 @@
     incarnation: int = 0
     heartbeat: int = -1
     state: State = State.ALIVE
-    since: int = 0  # start of the current state
+    state_since: int = 0  # start of the current state
     last_heard: int = 0  # when its version last increased
 
     @property
@@ -110,9 +110,9 @@
     """Settings of one member; times in nanoseconds."""
 
     period: int
-    asks: int
-    forget: int
-    most: int
+    probes_per_period: int
+    forget_after: int  # silence after which a member is no longer counted
+    most: int  # members, including this one
 
 
 @dataclass(slots=True)
@@ -148,14 +148,14 @@
         self.members: dict[str, Member] = {}
         for name, at in listed:
             if name != own:
-                self.members[name] = Member(name, at, True, since=now, last_heard=now)
+                self.members[name] = Member(name, at, True, state_since=now, last_heard=now)
         self.pending_probes: dict[int, PendingProbe] = {}
         self.probe_order: list[str] = []  # names of the members to probe next, the next one last
         self.update_queue: dict[str, QueuedUpdate] = {}
         self.rounds = 0
         self.extra = 0  # of the last round's probes, those beyond the usual number; they come last
         self.health_penalty = 0
-        self.answers_this_round = 0  # answers received in this round of probes
+        self.answers_this_round = 0
         self.left_out = 0
         self.changes = Changes()
         self.false_suspicions = 0  # reports by others that this member is SUSPECT or GONE
@@ -168,7 +168,7 @@
             if member is not None:
                 member.listed, member.at = True, at
             elif name != self.own:
-                self.members[name] = Member(name, at, True, since=now, last_heard=now)
+                self.members[name] = Member(name, at, True, state_since=now, last_heard=now)
         for member in self.members.values():
             member.listed = member.name in names
 
@@ -212,7 +212,7 @@
             gone = [member for member in self.members.values() if member.state >= State.GONE]
             if gone:
                 probes.append(self._start_probe(now, self.rng.choice(gone)))
-        usual = min(self.rules.asks, len(self.members))
+        usual = min(self.rules.probes_per_period, len(self.members))
         self.extra = 0
         for index in range(min(usual + extra, len(self.members))):
             member = self._next_member()
@@ -290,11 +290,15 @@
                 self._set_state(now, member, State.SUSPECT)
         suspicion_timeout = self.suspicion_timeout()
         for member in list(self.members.values()):
-            if member.state is State.SUSPECT and now - member.since >= suspicion_timeout and not self.deaf():
+            if (
+                member.state is State.SUSPECT
+                and now - member.state_since >= suspicion_timeout
+                and not self.deaf()
+            ):
                 self._set_state(now, member, State.GONE)
-            elif member.state is not State.LEFT and now - member.last_heard >= self.rules.forget:
+            elif member.state is not State.LEFT and now - member.last_heard >= self.rules.forget_after:
                 self._expire(now, member)
-            elif member.state is State.LEFT and now - member.since >= self.rules.forget:
+            elif member.state is State.LEFT and now - member.state_since >= self.rules.forget_after:
                 self._drop(member)
 
     def _set_state(
@@ -308,7 +312,7 @@
             if state >= State.GONE or member.state >= State.GONE:
                 change = {State.GONE: "is silent", State.LEFT: "has left"}.get(state, "is back")
                 self.changes.lines.append(f"{member.name} {change}")
-            member.since = now
+            member.state_since = now
             member.state = state
         self._queue_update(member)
 
@@ -318,13 +322,13 @@
         self.update_queue[member.name] = QueuedUpdate(update, sends)
 
     def _expire(self, now: int, member: Member) -> None:
-        """Stop counting a member that was silent for `forget`: its share goes to the others."""
+        """Stop counting a member that was silent for `forget_after`: its share goes to the others."""
         if member.listed:
             if member.state is not State.LEFT:
                 self.changes.lines.append(
                     f"{member.name} is no longer counted: silent for longer than forget_s"
                 )
-                member.state, member.since = State.LEFT, now
+                member.state, member.state_since = State.LEFT, now
                 self.changes.forgotten.append(member.name)
         else:
             self._drop(member)
@@ -366,7 +370,7 @@
         else:
             self._set_state(now, member, State.ALIVE, (incarnation, heartbeat))
 
-    def extend_lifetime(self, now: int, name: str) -> None:
+    def reset_silence_timer(self, now: int, name: str) -> None:
         """Restart the silence timer after a new row, even if a later incarnation has been reported."""
         self.members[name].last_heard = now
 
@@ -376,7 +380,7 @@
         if len(self.members) + 1 >= self.rules.most:
             self.left_out += 1
             return
-        member = Member(name, at, False, incarnation, heartbeat, since=now, last_heard=now)
+        member = Member(name, at, False, incarnation, heartbeat, state_since=now, last_heard=now)
         self.members[name] = member
         self.changes.lines.append(f"{member.name} has joined")
 
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -19,7 +19,7 @@
 
 
 def known(rows: Rows) -> set[tuple[str, int, int]]:
-    return {(row.name, row.life, row.beat) for row in rows.lives()}
+    return {(row.name, row.life, row.heartbeat) for row in rows.lives()}
 
 
 @given(st.lists(ROWS, max_size=20), st.randoms(use_true_random=False))
@@ -107,7 +107,7 @@
             for member in range(members):
                 others = rng.sample([other for other in range(members) if other != member], asks)
                 received = any(
-                    other in informed and rng.random() > loss and rng.random() > loss for other in others
+                    peer in informed and rng.random() > loss and rng.random() > loss for peer in others
                 )
                 next_informed |= {member} if received else set()
             informed = next_informed
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -51,7 +51,7 @@
 def test_acts_fade_by_half_in_a_half_life() -> None:
     own = Evidence()
     own.saw(0, 1, 0, good=False)
-    assert own.of(HALF_LIFE, 1, 0) == (0.0, approx(0.5))
+    assert own.counts_of(HALF_LIFE, 1, 0) == (0.0, approx(0.5))
     assert own.tells(0 + 10 * HALF_LIFE).endpoints_met == 0 and not own.by_endpoint
 
 
@@ -60,7 +60,7 @@
     own.saw(0, 1, 5, good=False)
     own.saw(S, 1, 9, good=True)
     own.saw(S, 1, 5, good=False)
-    assert own.of(S, 1, 9) == (1.0, 0.0) and own.of(S, 1, 5) == (0.0, 0.0)
+    assert own.counts_of(S, 1, 9) == (1.0, 0.0) and own.counts_of(S, 1, 5) == (0.0, 0.0)
     # The endpoint list has another incarnation.
     assert factors_of(heard(row(1, 0.0, 5.0, life=5), row(1, 0.0, 5.0, life=5))) == {}
 
@@ -84,7 +84,7 @@
     assert len(own.by_endpoint) == MAX_ENDPOINTS and 0 not in own.by_endpoint
     for _ in range(1000):
         own.saw(S, 99, 0, good=False)
-    assert own.of(S, 99, 0)[1] <= 50.0
+    assert own.counts_of(S, 99, 0)[1] <= 50.0
 
 
 def test_one_member_is_no_majority_and_several_are_believed() -> None:
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -113,7 +113,7 @@
     for number in range(400):
         responder.members.record_heartbeat(S, f"x{number}", 1, 1, f"127.0.0.1:{number}")
         responder.rows.learn(S, Row(f"x{number}", 1, 1, 3), 0)
-    requester.members.rules.asks = 1
+    requester.members.rules.probes_per_period = 1
     outs = [out for out in requester.tick(S) if out.at == "a"] or [
         Out("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
@@ -147,7 +147,7 @@
     network = Network(*(peer(name) for name in "abc"))
     network.period(6)
     leaving = network.peers["b"]
-    network.carry("b", leaving.leaves(network.now))
+    network.carry("b", leaving.leave(network.now))
     del network.peers["b"]
     network.period(3)
     assert [network.peers[name].members.counted() for name in "ac"] == [2, 2]
