--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -38,15 +38,15 @@
     """One member's published counters; `told`: by topic, encoded; forwarded undecoded."""
 
     name: str
-    life: int
-    heartbeat: int
+    life: int  # incarnation
+    beat: int  # heartbeat sequence number
     heard: int  # members that it hears, including itself
     told: dict[str, msgspec.Raw] = {}
 
     @property
     def version(self) -> tuple[int, int]:
         """The order of a member's rows: a larger version is later and refutes reports about earlier ones."""
-        return self.life, self.heartbeat
+        return self.life, self.beat
 
 
 @dataclass(slots=True)
@@ -118,7 +118,7 @@
     def _learn_past_incarnation(self, row: Row, made_at: int) -> bool:
         incarnations = self.past.setdefault(row.name, {})
         known = incarnations.get(row.life)
-        if known is not None and known.row.heartbeat >= row.heartbeat:
+        if known is not None and known.row.beat >= row.beat:
             return False
         incarnations[row.life] = self._store(row, made_at)
         if len(incarnations) > MAX_PAST_INCARNATIONS:
--- a/garnethaven/gossip/spread.py
+++ b/garnethaven/gossip/spread.py
@@ -20,9 +20,8 @@
 
 import math
 
-MAX_EXPECTED_MISSING = (
-    1e-6  # members that an update may reach late; with more, chance would look like a partition
-)
+# Expected number of members that an update may reach late; with more, chance would look like a partition.
+MAX_EXPECTED_MISSING = 1e-6
 ROUNDS_MOST = 200  # limit; as a result it means that the update does not reach all members
 FULL_ANSWER_MEMBERS = 32  # up to this size each answer has all rows, at the base period
 
--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -104,6 +104,7 @@
         return counts.good, counts.bad
 
     def forget(self, endpoint: int) -> None:
+        """Drop the counts of an endpoint that has been removed."""
         self.by_endpoint.pop(endpoint, None)
 
     def tells(self, now: int, avoided: Container[int] = ()) -> Row:
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -376,7 +376,7 @@
         if row.name == self.own:
             self._handle_own_row(now, row, age)
             return
-        self.members.record_heartbeat(now, row.name, row.life, row.heartbeat, aged_row.at)
+        self.members.record_heartbeat(now, row.name, row.life, row.beat, aged_row.at)
         if row.name in self.members.members and self.rows.learn(now, row, age):
             self.members.reset_silence_timer(now, row.name)
 
@@ -396,7 +396,7 @@
     def _handle_own_row(self, now: int, row: Row, age: int) -> None:
         """Handle a row with this member's own name that another member has sent."""
         incarnation, made_since_start = self.members.life, now - age > self.started_at
-        if (row.life == incarnation and row.heartbeat <= self.heartbeat) or self.mute(now):
+        if (row.life == incarnation and row.beat <= self.heartbeat) or self.mute(now):
             return
         if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
             self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
