--- a/garnethaven/state/feature.py
+++ b/garnethaven/state/feature.py
@@ -166,7 +166,9 @@
             for server in balancer.servers.values()
         }
         restored = restore(statistics, elapsed_ns, balancer.half_life, listed)
-        self.log_messages.append(f"statistics of {len(restored.servers)} servers, {elapsed_ns / S:.1f} s old")
+        self.log_messages.append(
+            f"restored figures of {len(restored.servers)} servers, {elapsed_ns / S:.1f} s old"
+        )
         parts.engine.post(restored)
 
     def _restore_keepers(self, downtime_s: float) -> None:
--- a/garnethaven/state/sealed.py
+++ b/garnethaven/state/sealed.py
@@ -61,7 +61,7 @@
     """
     start = len(MAGIC) + HEADER_LENGTH.size
     if data[: len(MAGIC)] != MAGIC or len(data) < start:
-        raise SnapshotError("it has an unknown format")
+        raise SnapshotError("it has another form than a snapshot")
     (length,) = HEADER_LENGTH.unpack_from(data, len(MAGIC))
     end = start + length
     if length > MAX_HEADER_BYTES or len(data) < end + DIGEST_BYTES:
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize(
     ("spoil", "said"),
     [
-        ("", "statistics of 6 servers"),
+        ("", "figures of 6 servers"),
         ("cut", "is broken"),
         ("long", "is longer than"),
-        ("bits", "unknown format"),
+        ("bits", "another form"),
         ("another's", "checksum"),
         ("no folder", "keyed requests are not remembered"),
     ],
