--- a/garnethaven/membership/consul/__init__.py
+++ b/garnethaven/membership/consul/__init__.py
@@ -1,1 +1,1 @@
-"""A Consul catalog or key-value store, followed by blocking queries over HTTP."""
+"""Discovery of servers from a Consul catalog or key-value store, by blocking queries over HTTP."""
--- a/garnethaven/membership/consul/answers.py
+++ b/garnethaven/membership/consul/answers.py
@@ -1,17 +1,17 @@
-"""What an agent's answer says: its index, whether it is to be believed, and its entries. No I/O.
+"""Decodes an agent's answer: its index, how far it can be trusted, and its entries. No I/O.
 
-| an answer is | when | then |
+| trust | condition | effect |
 | --- | --- | --- |
-| proven | the leader gave it: modes `default` and `consistent` | believed, also where its index went back |
-| plain | mode `stale`, and the agent has heard of its leader lately | believed unless it lies behind |
-| doubtful | mode `stale`, without a leader or too long without it | not believed: the leader is asked |
+| proven | from the leader: modes `default` and `consistent` | accepted, also if the index went back |
+| plain | mode `stale`, with recent contact to the leader | accepted unless its index is behind |
+| doubtful | mode `stale`, no leader, or contact before `stale_most_ms` | rejected: the leader is asked |
 
-A service's instance is written as an entry of our own form, so that one reader serves all registries:
+An instance of a service is converted to an entry of our own form, so that one decoder serves all registries:
 
-| in the catalog | is |
+| in the catalog | in the entry |
 | --- | --- |
-| all checks pass (or warn, where that will do) | `SERVING` |
-| any other check, or maintenance of the node or the service | `DRAINING`: nothing new is sent there |
+| all checks pass (or warn, with `warning`) | `SERVING` |
+| any other check, or maintenance of the node or the service | `DRAINING`: gets no new requests |
 | `Service.Address`, else `Node.Address` | the address |
 | `Service.Meta` | `locality`, `flavor`, `cell`, `size`, `up_since_ms`, and what the map names |
 """
@@ -27,15 +27,15 @@
 from typing import Any
 
 from garnethaven.membership.catchup import Entry
-from garnethaven.membership.payloads import PAYLOAD_MOST
+from garnethaven.membership.payloads import MAX_PAYLOAD_BYTES
 
-MAINTENANCE = "_service_maintenance"
+SERVICE_MAINTENANCE = "_service_maintenance"
 NODE_MAINTENANCE = "_node_maintenance"
-NUMBERS = ("up_since_ms",)  # of a service's texts, those that the form wants as numbers
+INTEGER_FIELDS = ("up_since_ms",)  # `Meta` values are strings; our own form needs these as integers
 
 
 class AnswerError(Exception):
-    """What can't be an agent's answer; the text says why."""
+    """The answer of an agent is invalid; the text says why."""
 
 
 class Trust(Enum):
@@ -45,8 +45,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """One answer."""
+class AgentAnswer:
+    """One decoded answer."""
 
     index: int
     trust: Trust
@@ -63,62 +63,68 @@
 
 
 def index_of(headers: Mapping[str, str]) -> int:
-    """Raises AnswerError: an index below 1 would make the next query return at once, for ever."""
-    told = headers.get("x-consul-index", "")
-    if not told.isdigit() or not 0 < int(told) < 1 << 63:
-        raise AnswerError(f"its index is {told[:20]!r}")
-    return int(told)
+    """Raises AnswerError for an invalid index: below 1, each next query would return at once."""
+    index = headers.get("x-consul-index", "")
+    if not index.isdigit() or not 0 < int(index) < 1 << 63:
+        raise AnswerError(f"the answer has an invalid index: {index[:20]!r}")
+    return int(index)
 
 
 def services(body: bytes, warning: bool) -> dict[str, Entry]:
     """The entries of `/v1/health/service/NAME`; raises AnswerError."""
-    found = {}
+    entries = {}
     for item in _list(body):
         try:
             node, service, checks = item["Node"], item["Service"], item["Checks"]
             key = f"{node['Node']}/{service['ID']}"
             address = service.get("Address") or node["Address"]
-            told = dict(service.get("Meta") or {})
-            told |= {name: int(told[name]) for name in NUMBERS if str(told.get(name, "")).isdigit()}
-            told["host_port"] = f"{address}:{service['Port']}"
-            told["phase"] = "SERVING" if serves(checks, warning) else "DRAINING"
-            value = json.dumps(told, sort_keys=True).encode()
-            found[key] = Entry(value, int(service["CreateIndex"]), int(service["ModifyIndex"]))
-        except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            raise AnswerError(f"an instance can't be read: {problem!r}") from None
-    return found
+            document = dict(service.get("Meta") or {})
+            document |= {
+                name: int(document[name]) for name in INTEGER_FIELDS if str(document.get(name, "")).isdigit()
+            }
+            document["host_port"] = f"{address}:{service['Port']}"
+            document["phase"] = "SERVING" if serves(checks, warning) else "DRAINING"
+            value = json.dumps(document, sort_keys=True).encode()
+            entries[key] = Entry(value, int(service["CreateIndex"]), int(service["ModifyIndex"]))
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise AnswerError(f"an instance can't be decoded: {error!r}") from None
+    return entries
 
 
 def serves(checks: list[dict[str, Any]], warning: bool) -> bool:
-    """Whether an instance may be sent to, by its checks."""
-    good = ("passing", "warning") if warning else ("passing",)
+    """Whether the checks of an instance allow requests to it."""
+    accepted_statuses = ("passing", "warning") if warning else ("passing",)
     for check in checks:
         name = str(check.get("CheckID", ""))
-        if name == NODE_MAINTENANCE or name.startswith(MAINTENANCE) or check["Status"] not in good:
+        if (
+            name == NODE_MAINTENANCE
+            or name.startswith(SERVICE_MAINTENANCE)
+            or check["Status"] not in accepted_statuses
+        ):
             return False
     return True
 
 
 def keys(body: bytes, prefix: str) -> dict[str, Entry]:
     """The entries of `/v1/kv/PREFIX?recurse`; raises AnswerError."""
-    found = {}
+    entries = {}
     for item in _list(body):
         try:
             key, value = str(item["Key"]).removeprefix(prefix), item["Value"]
             if not key or key.endswith("/"):
                 continue  # the directory itself
-            data = base64.b64decode(value or "", validate=True)[: PAYLOAD_MOST + 1]
-            found[key] = Entry(data, int(item["CreateIndex"]), int(item["ModifyIndex"]))
-        except (KeyError, TypeError, ValueError, binascii.Error) as problem:
-            raise AnswerError(f"a key can't be read: {problem!r}") from None
-    return found
+            data = base64.b64decode(value or "", validate=True)[: MAX_PAYLOAD_BYTES + 1]
+            entries[key] = Entry(data, int(item["CreateIndex"]), int(item["ModifyIndex"]))
+        except (KeyError, TypeError, ValueError, binascii.Error) as error:
+            raise AnswerError(f"a key can't be decoded: {error!r}") from None
+    return entries
 
 
 def _list(body: bytes) -> list[Any]:
     try:
-        told = json.loads(body)
+        document = json.loads(body)
     except (ValueError, RecursionError):
-        raise AnswerError("it is no JSON") from None
-    if not isinstance(told, list):
-        raise AnswerError("it is no list")
-    return told
+        raise AnswerError("the answer is not JSON") from None
+    if not isinstance(document, list):
+        raise AnswerError("the answer is not a list")
+    return document
--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -1,12 +1,12 @@
-"""This program's own service in Consul: with a check that must hear of us, taken back at a planned end.
+"""This program's own service in Consul: with a TTL check that is renewed, deregistered before drains.
 
-| what happens | what follows |
+| event | action |
 | --- | --- |
 | the program is ready | the service is registered at an agent, with a TTL check that passes |
-| a third of the check's life | a sign of life |
-| the agent does not know the check any more | the service anew |
-| the agent can't be reached | at the next one, the service anew |
-| withdraw | the service is taken back, and nothing makes it again |
+| a third of the check's TTL has passed | the check is passed again |
+| the agent does not have the check any more | the service is registered again |
+| the agent can't be reached | the service is registered at the next one |
+| withdraw | the service is deregistered and not registered again |
 """
 
 from __future__ import annotations
@@ -23,29 +23,31 @@
 from garnethaven.membership.table import Consul, ConsulRegistration
 
 
-class Registered(Announcing):
-    """The service, with its check."""
+class ServiceRegistration(Announcing):
+    """The service and its check."""
 
     def __init__(
         self,
-        wanted: ConsulRegistration,
+        registration: ConsulRegistration,
         address: Address,
         settings: Consul,
         loop: asyncio.AbstractEventLoop,
         rng: Random,
         say: Callable[[str], None],
     ) -> None:
-        self.wanted = wanted
+        self.registration = registration
         self.settings = settings
-        self.address = wanted.address or address
-        self.id = wanted.id or "{}-{}:{}".format(wanted.name, *self.address)
-        self.passed = False
+        self.address = registration.address or address
+        self.id = registration.id or "{}-{}:{}".format(registration.name, *self.address)
+        self.check_passed = False
         self.agent: Agent | None = None
-        super().__init__(self.id, settings.hosts, settings.spread_ms, wanted.withdraw_ms, loop, rng, say)
+        super().__init__(
+            self.id, settings.hosts, settings.spread_ms, registration.withdraw_ms, loop, rng, say
+        )
 
     @property
     def there(self) -> bool:
-        return self.passed
+        return self.check_passed
 
     async def keep(self, address: Address) -> None:
         agent = self.agent = Agent(address, self.settings)
@@ -54,30 +56,30 @@
             check = quote(f"service:{self.id}", safe="")
             while self.wanted_still():
                 await agent.put(f"/v1/agent/check/pass/{check}")
-                self.passed = True
+                self.check_passed = True
                 self.hosts.lasted()
-                await asyncio.sleep(self.wanted.ttl_s / SIGNS)
+                await asyncio.sleep(self.registration.ttl_s / SIGNS)
         finally:
-            self.agent, self.passed = None, False
+            self.agent, self.check_passed = None, False
             await agent.close()
 
     async def take_back(self) -> None:
-        self.passed = False
+        self.check_passed = False
         if self.agent is not None:
             await self.agent.put(f"/v1/agent/service/deregister/{quote(self.id, safe='')}")
 
     def service(self) -> dict[str, Any]:
-        """What is registered."""
+        """The body of the registration request."""
         host, port = self.address
         return {
             "ID": self.id,
-            "Name": self.wanted.name,
+            "Name": self.registration.name,
             "Address": host,
             "Port": port,
-            "Meta": {name: str(value) for name, value in self.wanted.facts.items()},
+            "Meta": {name: str(value) for name, value in self.registration.facts.items()},
             "Check": {
                 "CheckID": f"service:{self.id}",
-                "TTL": f"{self.wanted.ttl_s}s",
-                "DeregisterCriticalServiceAfter": f"{max(60, 6 * self.wanted.ttl_s)}s",
+                "TTL": f"{self.registration.ttl_s}s",
+                "DeregisterCriticalServiceAfter": f"{max(60, 6 * self.registration.ttl_s)}s",
             },
         }
--- a/garnethaven/membership/consul/source.py
+++ b/garnethaven/membership/consul/source.py
@@ -1,6 +1,6 @@
-"""The source that follows a Consul service or prefix, and keeps this program's own service there.
+"""The source that follows a Consul service or prefix and keeps this program's own service there.
 
-What an answer says is told in answers.py, the rest of a source's life in keyed.py.
+answers.py decodes answers, keyed.py has the life cycle of the source.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 from garnethaven.addresses import Address
 from garnethaven.membership.catchup import CatchUp, Order, Read, Watch
-from garnethaven.membership.consul.answers import Told, Trust
+from garnethaven.membership.consul.answers import AgentAnswer, Trust
 from garnethaven.membership.consul.client import Agent
-from garnethaven.membership.consul.registration import Registered
+from garnethaven.membership.consul.registration import ServiceRegistration
 from garnethaven.membership.keyed import KeyedSource
 from garnethaven.membership.table import CONSUL, Consul
 
-# An agent that answers each query at once, whatever the index, must not be asked without a pause; news come
-# in a list as a whole, so that a pause costs no more than itself.
-BREATH_S = 0.05
+# Prevents a busy loop if an agent answers every query at once, whatever the index. Each answer is the
+# complete list, so that the pause delays changes but never loses one.
+MIN_QUERY_INTERVAL_S = 0.05
 
 
 class ConsulSource(KeyedSource[Consul]):
@@ -26,36 +26,38 @@
     keeps_history = False
     queries = 0
 
-    def place(self) -> str:
+    def location(self) -> str:
         return self.settings.service or self.settings.prefix
 
-    def announce(self, address: Address, rng: Random) -> Registered:
+    def announce(self, address: Address, rng: Random) -> ServiceRegistration:
         assert self.settings.register is not None
-        return Registered(self.settings.register, address, self.settings, self.loop, rng, self.say_of_own)
+        return ServiceRegistration(
+            self.settings.register, address, self.settings, self.loop, rng, self.log_registration
+        )
 
-    def counts(self) -> dict[str, object]:
+    def extra_figures(self) -> dict[str, object]:
         return {"queries": self.queries}
 
-    async def follow(self, settings: Consul, core: CatchUp, address: Address) -> None:
+    async def follow(self, settings: Consul, catch_up: CatchUp, address: Address) -> None:
         agent = Agent(address, settings)
         try:
-            waiting = core.opened()
+            pending_orders = catch_up.opened()
             while True:
-                order = waiting.pop(0)
-                began = self.loop.time()
+                order = pending_orders.pop(0)
+                started_at = self.loop.time()
                 index = order.after if isinstance(order, Watch) else 0
                 self.queries += 1
-                told = await agent.entries(index, isinstance(order, Read) and order.proven)
-                waiting = self.carry_out(self._heard(core, told))
-                if self.loop.time() - began < BREATH_S:
-                    await asyncio.sleep(BREATH_S)
+                answer = await agent.entries(index, isinstance(order, Read) and order.proven)
+                pending_orders = self.carry_out(self._accept(catch_up, answer))
+                if self.loop.time() - started_at < MIN_QUERY_INTERVAL_S:
+                    await asyncio.sleep(MIN_QUERY_INTERVAL_S)
         finally:
             await agent.close()
 
-    def _heard(self, core: CatchUp, told: Told) -> list[Order]:
-        if told.trust is Trust.DOUBTFUL:
-            return core.doubted()
-        return core.snapshot(told.index, told.entries, proven=told.trust is Trust.PROVEN)
+    def _accept(self, catch_up: CatchUp, answer: AgentAnswer) -> list[Order]:
+        if answer.trust is Trust.DOUBTFUL:
+            return catch_up.doubted()
+        return catch_up.snapshot(answer.index, answer.entries, proven=answer.trust is Trust.PROVEN)
 
 
 SOURCE = ConsulSource
--- a/garnethaven/membership/etcd/__init__.py
+++ b/garnethaven/membership/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""An etcd cluster, followed over its published gRPC API."""
+"""Discovery of servers from an etcd cluster, over its published gRPC API."""
--- a/garnethaven/membership/etcd/answers.py
+++ b/garnethaven/membership/etcd/answers.py
@@ -1,4 +1,4 @@
-"""What answers of a watch say to the core: fragments put together, revisions in their order. No I/O."""
+"""Passes the answers of a watch to the catch-up logic, with fragments reassembled. No I/O."""
 
 from __future__ import annotations
 
@@ -6,47 +6,47 @@
 from typing import Any
 
 from garnethaven.membership.catchup import CatchUp, Entry, Order
-from garnethaven.membership.payloads import PAYLOAD_MOST
+from garnethaven.membership.payloads import MAX_PAYLOAD_BYTES
 
 DELETE = 1
-PROGRESS_ID = -1  # the answer to a progress request belongs to no watch
-FRAGMENTS_MOST = 10_000  # events that wait for their last fragment; beyond it the answer is no watch's
+PROGRESS_ID = -1  # the watch id of answers to progress requests
+FRAGMENTS_MOST = 10_000  # events buffered until the last fragment; above it the watch is ended
 
 Change = tuple[str, Entry | None]
 
 
-class WatchEnded(Exception):  # noqa: N818 - the registry's word that a watch has ended
-    """Why the registry ended the watch."""
+class WatchEnded(Exception):  # noqa: N818 - an end that the registry announced
+    """The registry ended the watch; the text is its reason."""
 
 
-class Answers:
-    """One watch's answers, in the order in which they came."""
+class WatchAnswers:
+    """Handles the answers of one watch in the order of their arrival."""
 
-    def __init__(self, core: CatchUp, name_of: Callable[[bytes], str]) -> None:
-        self.core = core
+    def __init__(self, catch_up: CatchUp, name_of: Callable[[bytes], str]) -> None:
+        self.catch_up = catch_up
         self.name_of = name_of
-        self.parts: list[Any] = []
+        self.fragments: list[Any] = []
         self.created = False
 
     def take(self, answer: Any) -> list[Order]:
-        """Raises WatchEnded."""
+        """The orders that follow from an answer; raises WatchEnded."""
         if answer.canceled:
             if answer.compact_revision:
-                return self.core.compacted()
+                return self.catch_up.compacted()
             raise WatchEnded(answer.cancel_reason or "the registry ended the watch")
         if answer.created:
             self.created = True
-            return self.core.watching(answer.header.revision)
-        self.parts += answer.events
+            return self.catch_up.watching(answer.header.revision)
+        self.fragments += answer.events
         if answer.fragment:
-            if len(self.parts) > FRAGMENTS_MOST:
+            if len(self.fragments) > FRAGMENTS_MOST:
                 raise WatchEnded("one revision has too many changes")
             return []
-        if not self.parts:
-            return self.core.quiet(answer.header.revision)
-        events, self.parts = self.parts, []
-        last = max(event.kv.mod_revision for event in events)
-        return self.core.changes(last, [self._change(event) for event in events])
+        if not self.fragments:
+            return self.catch_up.quiet(answer.header.revision)
+        events, self.fragments = self.fragments, []
+        last_revision = max(event.kv.mod_revision for event in events)
+        return self.catch_up.changes(last_revision, [self._change(event) for event in events])
 
     def _change(self, event: Any) -> Change:
         name = self.name_of(event.kv.key)
@@ -54,5 +54,5 @@
 
 
 def entry_of(kv: Any) -> Entry:
-    """A key as it is held; of a value that is too large only so much that it is seen to be."""
-    return Entry(kv.value[: PAYLOAD_MOST + 1], kv.create_revision, kv.mod_revision)
+    """The entry of a key; a value above the size limit is cut to one byte more than the limit."""
+    return Entry(kv.value[: MAX_PAYLOAD_BYTES + 1], kv.create_revision, kv.mod_revision)
--- a/garnethaven/membership/etcd/source.py
+++ b/garnethaven/membership/etcd/source.py
@@ -1,6 +1,6 @@
-"""The source that follows a prefix of an etcd cluster, and keeps this program's own key there.
+"""The source that follows a prefix of an etcd cluster and keeps this program's own key there.
 
-What an answer of a watch says is told in answers.py, the rest of a source's life in keyed.py.
+answers.py handles the answers of a watch, keyed.py the life cycle of the source.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from garnethaven.addresses import Address
 from garnethaven.membership.catchup import CatchUp, Order, Read, Watch
-from garnethaven.membership.etcd.answers import Answers, WatchEnded, entry_of
-from garnethaven.membership.etcd.client import AuthExpired, Line, Watching
-from garnethaven.membership.etcd.registration import Registered
+from garnethaven.membership.etcd.answers import WatchAnswers, WatchEnded, entry_of
+from garnethaven.membership.etcd.client import MemberClient, TokenExpired, WatchStream
+from garnethaven.membership.etcd.registration import LeasedKey
 from garnethaven.membership.hosts import EndpointLostError
 from garnethaven.membership.keyed import KeyedSource
 from garnethaven.membership.table import ETCD, Etcd
 
-SIGNS_MOST = 3  # asked for without an answer: the watch is dead
-LOGINS_MOST = 3  # in a row on one connection; then the next member is tried
+MAX_PROGRESS_REQUESTS = 3  # without an answer; then the watch counts as dead
+MAX_LOGINS = 3  # on one connection; then the next member is tried
 
 
 class EtcdSource(KeyedSource[Etcd]):
@@ -28,82 +28,88 @@
     reads = 0
     logins = 0
 
-    def place(self) -> str:
+    def location(self) -> str:
         return self.settings.prefix
 
-    def announce(self, address: Address, rng: Random) -> Registered:
+    def announce(self, address: Address, rng: Random) -> LeasedKey:
         assert self.settings.register is not None
-        return Registered(self.settings.register, address, self.settings, self.loop, rng, self.say_of_own)
+        return LeasedKey(
+            self.settings.register, address, self.settings, self.loop, rng, self.log_registration
+        )
 
-    def counts(self) -> dict[str, object]:
+    def extra_figures(self) -> dict[str, object]:
         return {"reads": self.reads, "logins": self.logins}
 
-    async def follow(self, settings: Etcd, core: CatchUp, address: Address) -> None:
-        line = Line(address, settings.tls)
+    async def follow(self, settings: Etcd, catch_up: CatchUp, address: Address) -> None:
+        member = MemberClient(address, settings.tls)
         try:
-            for _ in range(LOGINS_MOST):
+            for _ in range(MAX_LOGINS):
                 if settings.user:
                     self.logins += 1
-                    await line.authenticate(settings.user)
-                with contextlib.suppress(AuthExpired):  # then with a new token, from where we are
-                    await self._follow(settings, core, line)
-                self.carry_out(core.lost())
-            raise EndpointLostError("our token is refused again and again")
-        except WatchEnded as ended:
-            raise EndpointLostError(str(ended)) from None
+                    await member.authenticate(settings.user)
+                with contextlib.suppress(TokenExpired):  # log in again and continue from the current revision
+                    await self._follow(settings, catch_up, member)
+                self.carry_out(catch_up.lost())
+            raise EndpointLostError("the authentication token was rejected repeatedly")
+        except WatchEnded as reason:
+            raise EndpointLostError(str(reason)) from None
         finally:
-            await line.close()
+            await member.close()
 
-    async def _follow(self, settings: Etcd, core: CatchUp, line: Line) -> None:
-        """Carry out orders until the member is left; raises what ended it."""
-        waiting = core.opened()
-        while waiting:
-            order = waiting.pop(0)
+    async def _follow(self, settings: Etcd, catch_up: CatchUp, member: MemberClient) -> None:
+        """Execute orders until the connection to the member ends; raises the exception that ended it."""
+        pending_orders = catch_up.opened()
+        while pending_orders:
+            order = pending_orders.pop(0)
             if isinstance(order, Read):
                 self.reads += 1
-                answer = await line.range(settings.prefix)
+                answer = await member.range(settings.prefix)
                 entries = {self._name(kv.key): entry_of(kv) for kv in answer.kvs}
-                waiting += self.carry_out(core.snapshot(answer.header.revision, entries, proven=True))
+                pending_orders += self.carry_out(
+                    catch_up.snapshot(answer.header.revision, entries, proven=True)
+                )
             elif isinstance(order, Watch):
-                waiting += await self._watch(settings, core, line, order.after)
-
-    async def _watch(self, settings: Etcd, core: CatchUp, line: Line, after: int) -> list[Order]:
-        """Hear changes until something else has to be done; raises what ended the watch."""
-        watching = Watching(line, settings.prefix, after)
-        answers = Answers(core, self._name)
+                pending_orders += await self._watch(settings, catch_up, member, order.after)
+
+    async def _watch(
+        self, settings: Etcd, catch_up: CatchUp, member: MemberClient, after: int
+    ) -> list[Order]:
+        """Apply changes until other orders follow, and return those; raises what ended the watch."""
+        stream = WatchStream(member, settings.prefix, after)
+        answers = WatchAnswers(catch_up, self._name)
         quiet_s = settings.quiet_ms / 1000
-        unanswered = 0
-        hearing: asyncio.Task[object] | None = None
+        unanswered_requests = 0
+        answer_task: asyncio.Task[object] | None = None
         try:
-            await watching.open()
+            await stream.open()
             while True:
-                hearing = hearing or self.loop.create_task(watching.next())
-                done, _ = await asyncio.wait((hearing,), timeout=quiet_s)
+                answer_task = answer_task or self.loop.create_task(stream.next())
+                done, _ = await asyncio.wait((answer_task,), timeout=quiet_s)
                 if not done:
-                    if unanswered >= SIGNS_MOST:
+                    if unanswered_requests >= MAX_PROGRESS_REQUESTS:
                         raise EndpointLostError(
-                            f"its watch has told nothing for {quiet_s * (SIGNS_MOST + 1):g} s"
+                            f"the watch sent no answer for {quiet_s * (MAX_PROGRESS_REQUESTS + 1):g} s"
                         )
-                    unanswered += 1
+                    unanswered_requests += 1
                     if answers.created:
-                        await asyncio.wait_for(watching.ask(), quiet_s)
+                        await asyncio.wait_for(stream.request_progress(), quiet_s)
                     continue
-                answer, hearing, unanswered = hearing.result(), None, 0
-                rest = self.carry_out(answers.take(answer))
-                if rest:
-                    return rest
-        except WatchEnded as ended:
-            if "auth token" in str(ended) or "permission denied" in str(ended):
-                raise AuthExpired(str(ended)) from None
+                answer, answer_task, unanswered_requests = answer_task.result(), None, 0
+                orders = self.carry_out(answers.take(answer))
+                if orders:
+                    return orders
+        except WatchEnded as reason:
+            if "auth token" in str(reason) or "permission denied" in str(reason):
+                raise TokenExpired(str(reason)) from None
             raise
         except TimeoutError:
-            raise EndpointLostError("its watch takes nothing any more") from None
+            raise EndpointLostError("the watch stream does not accept requests") from None
         finally:
-            watching.close()
-            if hearing is not None:
-                hearing.cancel()
-                with contextlib.suppress(asyncio.CancelledError, EndpointLostError, AuthExpired):
-                    await hearing
+            stream.close()
+            if answer_task is not None:
+                answer_task.cancel()
+                with contextlib.suppress(asyncio.CancelledError, EndpointLostError, TokenExpired):
+                    await answer_task
 
     def _name(self, key: bytes) -> str:
         return key.decode("utf-8", "backslashreplace").removeprefix(self.settings.prefix)
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -1,7 +1,7 @@
-"""What the sources of key-value registries share: one task that lives through one endpoint after another.
+"""The shared part of the key-value registry sources: one task that follows one endpoint after another.
 
-What to believe is decided in catchup.py, which endpoint is tried when in hosts.py; how an endpoint is
-followed is each kind's own.
+catchup.py decides which answers are accepted, hosts.py which endpoint is tried next and when. Each kind of
+registry implements how an endpoint is followed.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from garnethaven.membership.payloads import Rules
 from garnethaven.membership.telling import Telling
 
-LASTED_S = 5.0  # an endpoint that was followed for so long is believed in
+STABLE_AFTER_S = 5.0  # an endpoint followed for longer resets the backoff
 
 
 class Table(Protocol):
-    """What the tables of all kinds have."""
+    """The settings that all kinds of key-value registries share."""
 
     @property
     def hosts(self) -> tuple[Address, ...]: ...
@@ -43,7 +43,7 @@
 
 
 class KeyedSource(Generic[S]):
-    """Errors are logged, at a bounded rate, and never raised."""
+    """Follows one registry and updates the merger. Errors are logged, at a bounded rate, and never raised."""
 
     name: ClassVar[str]
     keeps_history: ClassVar[bool]
@@ -61,53 +61,53 @@
         self.loop = loop
         self.rng = Random(seed)
         self.telling = Telling(self.name, merger, loop, names, log, settings.cache)
-        self._know_nothing()
+        self._reset()
         self.task: asyncio.Task[None] | None = None
-        self.ended: set[asyncio.Task[None]] = set()
+        self.stopping_tasks: set[asyncio.Task[None]] = set()
         self.own: Announcing | None = None
         self.connects = 0
 
-    # Each kind's own
+    # Implemented by each kind of registry
 
-    def place(self) -> str:
-        """What is followed there: a prefix, a service."""
+    def location(self) -> str:
+        """The prefix or service that is followed."""
         raise NotImplementedError
 
     def announce(self, address: Address, rng: Random) -> Announcing:
-        """Begin to register this program, as the settings want."""
+        """Start to register this program as the settings say."""
         raise NotImplementedError
 
-    async def follow(self, settings: S, core: CatchUp, address: Address) -> None:
+    async def follow(self, settings: S, catch_up: CatchUp, address: Address) -> None:
         """Follow one endpoint until it is lost; raises EndpointLostError or OSError."""
         raise NotImplementedError
 
-    def counts(self) -> dict[str, object]:
-        """Further figures."""
+    def extra_figures(self) -> dict[str, object]:
+        """Additional figures of this kind of registry."""
         raise NotImplementedError
 
-    # The source's life
+    # Life cycle
 
     def start(self) -> None:
         self.telling.recall()
         self.telling.contact(False)
-        self._begin()
+        self._start_following()
 
-    def _know_nothing(self) -> None:
-        """As at the start, of the place that the settings name; what was told of another one stays."""
+    def _reset(self) -> None:
+        """Start anew for the configured location; facts of an earlier location stay until it is read."""
         self.telling.settled = False
         self.core = CatchUp(self.keeps_history)
-        self.entries = Entries(self.place(), self.telling.payload(self.settings.rules))
+        self.entries = Entries(self.location(), self.telling.payload(self.settings.rules))
 
-    def _begin(self) -> None:
+    def _start_following(self) -> None:
         self.task = self.loop.create_task(self._run(self.settings, self.core))
 
     def registers(self, address: Address) -> None:
         if self.own is not None:
             self.own.stop()
-        wanted = self.settings.register
-        self.own = self.announce(address, Random(self.rng.random())) if wanted is not None else None
+        registration = self.settings.register
+        self.own = self.announce(address, Random(self.rng.random())) if registration is not None else None
 
-    def say_of_own(self, text: str) -> None:
+    def log_registration(self, text: str) -> None:
         self.telling.say("register", f"{self.name}: {text}")
 
     async def withdraw(self) -> None:
@@ -115,92 +115,92 @@
             await self.own.withdraw()
 
     def reload(self, settings: S, address: Address) -> None:
-        """Follow what the table says now. What is known stays until all has been read there."""
+        """Follow the changed settings. Known servers stay until the new location has been read completely."""
         if settings == self.settings:
             return
-        again = settings.register != self.settings.register or settings.hosts != self.settings.hosts
+        register_anew = settings.register != self.settings.register or settings.hosts != self.settings.hosts
         self.settings = settings
         self._stop()
-        self._know_nothing()
-        self._begin()
-        if again:
+        self._reset()
+        self._start_following()
+        if register_anew:
             self.registers(address)
 
     def _stop(self) -> None:
         task, self.task = self.task, None
         if task is not None:
             task.cancel()
-            self.ended.add(task)
-            task.add_done_callback(self.ended.discard)
+            self.stopping_tasks.add(task)
+            task.add_done_callback(self.stopping_tasks.discard)
 
     async def close(self) -> None:
         self._stop()
         if self.own is not None:
             self.own.stop()
-        for task in list(self.ended):
+        for task in list(self.stopping_tasks):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         self.telling.close()
 
     def figures(self) -> dict[str, object]:
-        core = self.core
-        told: dict[str, object] = {
+        catch_up = self.core
+        figures: dict[str, object] = {
             "servers": len(self.telling.facts()),
-            "standing": core.standing.value,
-            "revision": core.revision,
+            "standing": catch_up.standing.value,
+            "revision": catch_up.revision,
             "age_s": round(self.telling.age_s(), 3),
-            "answers_behind": core.behind,
-            "histories_begun_anew": core.began_anew,
-            "left_out": core.left_out,
+            "answers_behind": catch_up.behind,
+            "histories_begun_anew": catch_up.began_anew,
+            "left_out": catch_up.left_out,
             "flaws": dict(self.entries.flaws),
             "connects": self.connects,
         }
         if self.own is not None:
-            told["registered"] = self.own.there
-        return told | self.counts()
+            figures["registered"] = self.own.there
+        return figures | self.extra_figures()
 
-    # One endpoint after another
+    # Following endpoints
 
-    async def _run(self, settings: S, core: CatchUp) -> None:
+    async def _run(self, settings: S, catch_up: CatchUp) -> None:
         hosts = Hosts(settings.hosts, settings.spread_ms / 1000, self.rng)
         while True:
-            address, began = hosts.next(), self.loop.time()
+            address, started_at = hosts.next(), self.loop.time()
             refused = False
             self.connects += 1
             try:
-                await self.follow(settings, core, address)
-            except (EndpointLostError, OSError) as problem:
-                refused = getattr(problem, "refused", False)
-                self._lost(core, "{}:{}: {}".format(*address, problem))
-            except Exception as fault:  # of ours: the last list serves, and the next try may do better
-                self._lost(core, f"a fault: {fault!r}")
-            if self.loop.time() - began > LASTED_S:
+                await self.follow(settings, catch_up, address)
+            except (EndpointLostError, OSError) as error:
+                refused = getattr(error, "refused", False)
+                self._endpoint_lost(catch_up, "{}:{}: {}".format(*address, error))
+            except Exception as fault:  # a bug: keep the last list and try the next endpoint
+                self._endpoint_lost(catch_up, f"internal error: {fault!r}")
+            if self.loop.time() - started_at > STABLE_AFTER_S:
                 hosts.lasted()
             await asyncio.sleep(hosts.wait_s(refused))
 
-    def _lost(self, core: CatchUp, reason: str) -> None:
-        self.carry_out(core.lost())
+    def _endpoint_lost(self, catch_up: CatchUp, reason: str) -> None:
+        self.carry_out(catch_up.lost())
         age = self.telling.age_s()
         self.telling.say("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
 
     def carry_out(self, orders: list[Order]) -> list[Order]:
-        """Tell what there is to tell; the orders that need the endpoint are left over."""
-        left: list[Order] = []
+        """Execute the orders that need no endpoint and return the others."""
+        remaining: list[Order] = []
         for order in orders:
             if isinstance(order, Tell):
-                self._tell(order)
+                self._publish(order)
             elif isinstance(order, Contact):
                 self.telling.contact(order.good)
             else:
-                left.append(order)
-        return left
+                remaining.append(order)
+        return remaining
 
-    def _tell(self, told: Tell) -> None:
-        facts = self.entries.take(told, self.telling.wall_ms())
-        if told.whole:
+    def _publish(self, update: Tell) -> None:
+        facts = self.entries.take(update, self.telling.wall_ms())
+        if update.whole:
             facts = self.telling.left_over(facts) | facts
         if facts:
             self.telling.merger.change(self.name, facts)
-        flawed = self.entries.say()
-        if flawed:
-            self.telling.say("flaw", f"{self.name}: {flawed}; not used")
+        flaws = self.entries.say()
+        if flaws:
+            self.telling.say("flaw", f"{self.name}: {flaws}; not used")
--- a/garnethaven/membership/payloads.py
+++ b/garnethaven/membership/payloads.py
@@ -1,14 +1,16 @@
-"""What a server's node says of it: our own form, Curator's service instances, Finagle's server sets. No I/O.
+"""Decodes registry entries of servers: our own form, Curator service instances, Finagle server sets. No I/O.
 
 | form | address | draining | start |
 | --- | --- | --- | --- |
 | `own` | `host_port` | `phase` is not `SERVING` | `up_since_ms` |
-| `curator` | `address`, and `port` or `sslPort` | `enabled` is false | none: a registration is no start |
+| `curator` | `address`, and `port` or `sslPort` | `enabled` is false | none |
 | `serverset` | `serviceEndpoint` or a named additional one | `status` is not `ALIVE` | none |
 
-Zone, kind, cell, size and the drain mark are found where the operator's map says, by a path of names into
-the node's JSON (`payload.rack`). Nothing that can't be read is a licence to send: the node is flawed as a
-whole, or its server drains.
+Curator's registration time is not the start of a server.
+
+Zone, kind, cell, size and the drain mark are read from the paths of the operator's map, for example
+`payload.rack` in the entry's JSON. A field that can't be read never makes a server usable: either the whole
+entry is rejected, or its server drains.
 """
 
 from __future__ import annotations
@@ -24,9 +26,9 @@
 from garnethaven.membership.model import Fact
 
 MS = 1_000_000
-PAYLOAD_MOST = 64 * 1024  # bytes; a larger one is no server's
-CELL_MOST = 1 << 31
-SIZE_MOST = 1e6
+MAX_PAYLOAD_BYTES = 64 * 1024  # bytes; a larger entry is rejected
+MAX_CELL = 1 << 31
+MAX_SIZE = 1e6
 FORMS = ("own", "curator", "serverset")
 MAPPED = ("zone", "kind", "cell", "size", "drain")
 
@@ -34,22 +36,22 @@
 
 
 class PayloadError(Exception):
-    """A node that says nothing of use; the text is its reason, one of few."""
+    """An entry that can't be used; the text is one of a few fixed reasons, which are counted."""
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """How the operator wants nodes read."""
+    """How entries are decoded, from the operator's settings."""
 
     form: str = "own"
-    endpoint: str = ""  # `serverset`: the name of the additional endpoint; empty: the service's own
-    secure: bool = False  # `curator`: the port is `sslPort`
-    places: Mapping[str, str] = field(default_factory=dict)  # MAPPED names to paths
-    allowed: tuple[Network, ...] = ()  # where servers may be; empty: any unicast address
+    endpoint: str = ""  # `serverset`: name of the additional endpoint to use; empty: `serviceEndpoint`
+    secure: bool = False  # `curator`: use `sslPort` as the port
+    places: Mapping[str, str] = field(default_factory=dict)  # names in MAPPED to dotted paths
+    allowed: tuple[Network, ...] = ()  # the networks of servers; empty: any unicast address
 
 
 class Payload:
-    """Reads nodes. `wall_to_local` gives local nanoseconds for wall-clock milliseconds."""
+    """Decodes entries. `wall_to_local` converts wall-clock milliseconds to local nanoseconds."""
 
     def __init__(
         self,
@@ -62,38 +64,38 @@
         self.zones = zones
         self.kinds = kinds
         self.wall_to_local = wall_to_local
-        self.reader = {"own": _own, "curator": _curator, "serverset": _serverset}[rules.form]
+        self.read_form = {"own": _own, "curator": _curator, "serverset": _serverset}[rules.form]
 
     def read(self, data: bytes, czxid: int, ctime_ms: int) -> Fact:
-        """The fact of a node, by its data, the order and the time of its creation; raises PayloadError."""
-        if len(data) > PAYLOAD_MOST:
+        """The fact of an entry with this data, creation id and creation time; raises PayloadError."""
+        if len(data) > MAX_PAYLOAD_BYTES:
             raise PayloadError("too large")
         try:
-            told = json.loads(data)
+            document = json.loads(data)
         except (ValueError, RecursionError):
             raise PayloadError("no JSON") from None
-        if not isinstance(told, dict):
+        if not isinstance(document, dict):
             raise PayloadError("no object")
-        host, port, serving, up_since_ms = self.reader(told, self.rules)
+        host, port, is_serving, up_since_ms = self.read_form(document, self.rules)
         address = self._address(host, port)
-        mapped = {name: self._at(told, name) for name in MAPPED}
+        mapped = {name: self._field(document, name) for name in MAPPED}
         cell, size, drain = mapped["cell"], mapped["size"], mapped["drain"]
-        sound = _whole(cell, 0, CELL_MOST) and _number(size)
-        state = State.UP if serving and sound and not _marked(drain) else State.DRAINING
-        started = self.wall_to_local(up_since_ms or ctime_ms)
+        valid = _is_integer_within(cell, 0, MAX_CELL) and _is_valid_size(size)
+        state = State.UP if is_serving and valid and not _drain_mark_set(drain) else State.DRAINING
+        start_ns = self.wall_to_local(up_since_ms or ctime_ms)
         entry = Endpoint(
             id=0,
             zone=self.zones.get(str(mapped["zone"]), len(self.zones)),
             kind=self.kinds.get(str(mapped["kind"]), len(self.kinds)),
-            cell=cell if sound else 0,
+            cell=cell if valid else 0,
             state=state,
-            units=float(size) if sound else 1.0,
-            started=started,
+            units=float(size) if valid else 1.0,
+            started=start_ns,
         )
         return Fact(address, entry, czxid, up_since_ms)
 
     def _address(self, host: object, port: object) -> Address:
-        if not isinstance(host, str) or not _whole(port, 1, 65535):
+        if not isinstance(host, str) or not _is_integer_within(port, 1, 65535):
             raise PayloadError("no address")
         assert isinstance(port, int)
         try:
@@ -106,76 +108,77 @@
             raise PayloadError("an address outside the allowed ranges")
         return str(address), port
 
-    def _at(self, told: dict[str, Any], name: str) -> Any:
-        """What stands where the map says, or the form's own place, or the default."""
-        path = self.rules.places.get(name) or (OWN_PLACES[name] if self.rules.form == "own" else "")
-        value: Any = told if path else None
+    def _field(self, document: dict[str, Any], name: str) -> Any:
+        """The value at the map's path, else at the path of our own form, else the default."""
+        path = self.rules.places.get(name) or (OWN_FORM_PATHS[name] if self.rules.form == "own" else "")
+        value: Any = document if path else None
         for step in path.split(".") if path else ():
             value = value.get(step) if isinstance(value, dict) else None
         if value is None:
             return DEFAULTS[name]
-        if isinstance(value, str) and name in ("cell", "size"):  # metadata is texts in some estates
-            return _from_text(value, whole=name == "cell")
+        if isinstance(value, str) and name in ("cell", "size"):  # some registries store metadata as strings
+            return _parse_number(value, integer=name == "cell")
         return value
 
 
-OWN_PLACES = {"zone": "locality", "kind": "flavor", "cell": "cell", "size": "size", "drain": ""}
+OWN_FORM_PATHS = {"zone": "locality", "kind": "flavor", "cell": "cell", "size": "size", "drain": ""}
 DEFAULTS: dict[str, Any] = {"zone": "", "kind": "", "cell": 0, "size": 1.0, "drain": False}
 
-Parts = tuple[object, object, bool, int]  # host, port, serving, start in wall-clock milliseconds or 0
+# Host, port, serving, start in wall-clock milliseconds or 0 if unknown.
+NodeFields = tuple[object, object, bool, int]
 
 
-def _own(told: dict[str, Any], rules: Rules) -> Parts:
-    host, mark, port = str(told.get("host_port", "")).rpartition(":")
-    if not mark or not (port.isascii() and port.isdigit()) or len(port) > 5:
+def _own(document: dict[str, Any], rules: Rules) -> NodeFields:
+    host, separator, port = str(document.get("host_port", "")).rpartition(":")
+    if not separator or not (port.isascii() and port.isdigit()) or len(port) > 5:
         raise PayloadError("no address")
-    up_since = told.get("up_since_ms", 0)
-    if not _whole(up_since, 0, 1 << 62):
+    up_since = document.get("up_since_ms", 0)
+    if not _is_integer_within(up_since, 0, 1 << 62):
         raise PayloadError("no start")
-    return host, int(port), told.get("phase") == "SERVING", up_since
+    return host, int(port), document.get("phase") == "SERVING", up_since
 
 
-def _curator(told: dict[str, Any], rules: Rules) -> Parts:
-    port = told.get("sslPort" if rules.secure else "port")
-    return told.get("address"), port, told.get("enabled", True) is True, 0
+def _curator(document: dict[str, Any], rules: Rules) -> NodeFields:
+    port = document.get("sslPort" if rules.secure else "port")
+    return document.get("address"), port, document.get("enabled", True) is True, 0
 
 
-def _serverset(told: dict[str, Any], rules: Rules) -> Parts:
-    endpoint: Any = told.get("serviceEndpoint")
+def _serverset(document: dict[str, Any], rules: Rules) -> NodeFields:
+    endpoint: Any = document.get("serviceEndpoint")
     if rules.endpoint:
-        others = told.get("additionalEndpoints")
-        endpoint = others.get(rules.endpoint) if isinstance(others, dict) else None
+        additional = document.get("additionalEndpoints")
+        endpoint = additional.get(rules.endpoint) if isinstance(additional, dict) else None
     if not isinstance(endpoint, dict):
         raise PayloadError("no address")
-    return endpoint.get("host"), endpoint.get("port"), told.get("status") == "ALIVE", 0
+    return endpoint.get("host"), endpoint.get("port"), document.get("status") == "ALIVE", 0
 
 
-def _whole(value: object, low: int, high: int) -> bool:
+def _is_integer_within(value: object, low: int, high: int) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
 
 
-def _number(value: object) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0 < value <= SIZE_MOST
+def _is_valid_size(value: object) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool) and 0 < value <= MAX_SIZE
 
 
-def _marked(value: object) -> bool:
-    """Whether a drain mark is set; what is neither yes nor no counts as one."""
+def _drain_mark_set(value: object) -> bool:
+    """Whether the drain mark is set; an unknown value counts as set."""
     return value not in (False, 0, "", "false", "0", "no")
 
 
-def _from_text(value: str, whole: bool) -> object:
+def _parse_number(value: str, integer: bool) -> object:
     try:
-        return int(value) if whole else float(value)
+        return int(value) if integer else float(value)
     except ValueError:
         return None
 
 
-def written(form: str, address: Address, facts: Mapping[str, Any]) -> bytes:
-    """The node of a server that registers itself, in one of the forms; `facts` are further fields of it."""
+def encode_entry(form: str, address: Address, facts: Mapping[str, Any]) -> bytes:
+    """The entry of a server that registers itself, in one of the forms; `facts` are additional fields."""
     host, port = address
-    told: dict[str, Any]
+    document: dict[str, Any]
     if form == "curator":
-        told = {
+        document = {
             "name": facts.get("name", ""),
             "id": facts.get("id", f"{host}:{port}"),
             "address": host,
@@ -188,12 +191,12 @@
             "enabled": True,
         }
     elif form == "serverset":
-        told = {
+        document = {
             "serviceEndpoint": {"host": host, "port": port},
             "additionalEndpoints": {},
             "status": "ALIVE",
             "metadata": dict(facts),
         }
     else:
-        told = {"host_port": f"{host}:{port}", "phase": "SERVING"} | dict(facts)
-    return json.dumps(told).encode()
+        document = {"host_port": f"{host}:{port}", "phase": "SERVING"} | dict(facts)
+    return json.dumps(document).encode()
--- a/garnethaven/membership/table.py
+++ b/garnethaven/membership/table.py
@@ -1,4 +1,4 @@
-"""The operator's table `[membership]`: sources beside discovery, and this program's own registration."""
+"""The settings table `[membership]`: sources of servers beside discovery, and this program's registration."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Range(ipaddress.IPv4Network):
-    """A range of addresses."""
+    """A range of IPv4 addresses."""
 
     wanted: ClassVar[str] = "a range of addresses"
 
@@ -35,7 +35,7 @@
 
 
 class Tls(Table, frozen=True):
-    """Files in PEM."""
+    """TLS files in PEM format."""
 
     ca: Annotated[str, said("without it the machine's authorities are trusted", "PEM file")] = ""
     cert: Annotated[str, said("ours, where hosts ask for one", "PEM file")] = ""
@@ -50,14 +50,14 @@
 
     def context(self) -> ssl.SSLContext:
         """Raises OSError (ssl.SSLError is one) where a file can't be used."""
-        made = ssl.create_default_context(cafile=self.ca or None)
+        context = ssl.create_default_context(cafile=self.ca or None)
         if self.cert:
-            made.load_cert_chain(self.cert, self.key or None)
-        return made
+            context.load_cert_chain(self.cert, self.key or None)
+        return context
 
 
 class Places(Table, frozen=True):
-    """Where facts stand in a server's entry, as `payload.rack`."""
+    """The paths of facts in a server's entry, for example `payload.rack`."""
 
     zone: Annotated[str, said("the path of the zone's name")] = ""
     kind: Annotated[str, said("of the kind's name")] = ""
@@ -67,7 +67,7 @@
 
 
 class Registration(Table, frozen=True):
-    """This program's own node."""
+    """This program's own ephemeral node."""
 
     path: Annotated[str, said("the node; its parent must be there", "path", wanted="a path", pattern=PATH)]
     form: Annotated[Form, said("what it holds")] = "own"
@@ -194,7 +194,7 @@
 
 
 class ConsulRegistration(Table, frozen=True):
-    """This program's own service, with a check that it keeps alive."""
+    """This program's own service, with a TTL check that it keeps passing."""
 
     name: Annotated[str, said("the service's name", wanted="a name", pattern="^[^/?#]+$")]
     id: Annotated[str, said("the instance's; the name and the address if left out")] = ""
@@ -250,14 +250,14 @@
 
 
 class Move(Table, frozen=True):
-    """Servers move from one source to another: an end there is none here."""
+    """Servers move between sources: leaving `before` does not remove them from `after`."""
 
     before: Annotated[str, said("the source that they leave")] = field(name="from")
     after: Annotated[str, said("the source that they come to")] = field(name="to")
 
 
 class Membership(Table, frozen=True):
-    """Sources of servers beside discovery; on where one of them is there."""
+    """Sources of servers beside discovery; the feature is on if at least one registry is set."""
 
     precedence: Annotated[
         tuple[str, ...],
@@ -275,8 +275,8 @@
     def __post_init__(self) -> None:
         known = {*REGISTRIES, DISCOVERY}
         needed = {DISCOVERY, *self.registries()}
-        told = set(self.precedence)
-        if len(told) != len(self.precedence) or not needed <= told <= known:
+        named = set(self.precedence)
+        if len(named) != len(self.precedence) or not needed <= named <= known:
             raise WrongFieldError("precedence", f"does not name {', '.join(sorted(needed))}, each once")
         for move in self.moves:
             if move.before == move.after or not {move.before, move.after} <= known:
@@ -286,14 +286,14 @@
                 raise WrongFieldError("zones", f"names an unknown source for {zone!r}")
 
     def registries(self) -> dict[str, Any]:
-        """The registries that are switched on, by name."""
+        """The tables of the configured registries, by name."""
         return {name: table for name in REGISTRIES if (table := getattr(self, name)) is not None}
 
 
 def rules_of(
     form: str, places: Places, allowed: tuple[Range, ...], endpoint: str = "", secure: bool = False
 ) -> Rules:
-    """How entries are read."""
+    """The decoding rules that a registry's settings describe."""
     mapped = {name: path for name in MAPPED if (path := getattr(places, name))}
     return Rules(form, endpoint, secure, mapped, allowed)
 
--- a/garnethaven/membership/zookeeper/__init__.py
+++ b/garnethaven/membership/zookeeper/__init__.py
@@ -1,1 +1,1 @@
-"""A registry of ephemeral nodes, over the ZooKeeper protocol."""
+"""Discovery of servers through ephemeral nodes, over the ZooKeeper client protocol."""
--- a/garnethaven/membership/zookeeper/client.py
+++ b/garnethaven/membership/zookeeper/client.py
@@ -1,7 +1,7 @@
-"""The I/O of a ZooKeeper client: one connection at a time, its timers, and tries at one host after another.
+"""The I/O of a ZooKeeper client: one connection at a time, its timers, and the reconnects.
 
-What is said is decided in session.py, where and when to try in hosts.py. Everything runs on the program's own
-loop: an event is handled in the turn in which its bytes are read.
+session.py implements the protocol, hosts.py chooses the next host and the delay before it. Everything
+runs on the program's event loop: an event is handled in the loop iteration that reads its bytes.
 """
 
 from __future__ import annotations
@@ -13,39 +13,47 @@
 
 from garnethaven.membership.hosts import Hosts
 from garnethaven.membership.zookeeper.records import Op
-from garnethaven.membership.zookeeper.session import Began, Event, Expired, Left, Resumed, Session, State
+from garnethaven.membership.zookeeper.session import (
+    Event,
+    HostUnusable,
+    Session,
+    SessionExpired,
+    SessionResumed,
+    SessionStarted,
+    State,
+)
 
-DIAL_MOST_S = 2.0
-CLOSE_S = 1.0  # for the end of a session to be confirmed
-UNWRITTEN_MOST = 1024 * 1024  # bytes that a host may leave unread before it is left
+MAX_CONNECT_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 1.0  # for the host to confirm that the session is closed
+MAX_UNWRITTEN_BYTES = 1024 * 1024  # written but not read by the host; above it the connection is dropped
 
 
-class User(Protocol):
-    """Who uses the session."""
+class SessionUser(Protocol):
+    """The callbacks of the session's user."""
 
     def up(self) -> None:
-        """A session is up, new or resumed: nothing is watched, everything is to be read anew."""
+        """A session is up, new or resumed: set the watches and read everything."""
 
     def down(self, reason: str) -> None:
-        """Contact is lost; it says nothing of what was known."""
+        """The connection is lost; this does not invalidate what was read before."""
 
     def expired(self) -> None:
-        """The session is over, and the nodes that it owned are gone."""
+        """The session has expired, and its ephemeral nodes no longer exist."""
 
     def event(self, event: Event) -> None:
-        """A reply, a request that was lost, or a notice."""
+        """A reply, a lost request or a watch event."""
 
 
-class Wire(asyncio.Protocol):
-    """One connection; tells its client all that happens, until it is given up."""
+class Connection(asyncio.Protocol):
+    """One connection; reports to its client while it is the client's current one."""
 
     def __init__(self, client: Client) -> None:
         self.client = client
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by class
-        self.transport.set_write_buffer_limits(high=UNWRITTEN_MOST)
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from it
+        self.transport.set_write_buffer_limits(high=MAX_UNWRITTEN_BYTES)
         self.client.connected(self)
 
     def data_received(self, data: bytes) -> None:
@@ -53,13 +61,13 @@
             self.client.received(data)
 
     def pause_writing(self) -> None:
-        """The host reads nothing while we go on asking."""
+        """The host does not read: `MAX_UNWRITTEN_BYTES` bytes are waiting to be sent."""
         if self.client.wire is self:
-            self.client.over("it reads nothing")
+            self.client.drop_connection("the host does not read requests")
 
-    def connection_lost(self, problem: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         if self.client.wire is self:
-            self.client.over(f"the connection ended{f': {problem}' if problem else ''}")
+            self.client.drop_connection(f"the connection ended{f': {error}' if error else ''}")
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -67,14 +75,14 @@
 
 
 class Client:
-    """Keeps a session up for its user until it is closed."""
+    """Keeps a session up for its user until `close` is called, reconnecting to one host after another."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         session: Session,
         hosts: Hosts,
-        user: User,
+        user: SessionUser,
         tls: ssl.SSLContext | None = None,
         tls_name: str = "",
     ) -> None:
@@ -84,77 +92,77 @@
         self.user = user
         self.tls = tls
         self.tls_name = tls_name
-        self.wire: Wire | None = None
-        self.dialing: asyncio.Task[None] | None = None
-        self.retry: asyncio.TimerHandle | None = None
-        self.alarm: asyncio.TimerHandle | None = None
+        self.wire: Connection | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.reconnect_timer: asyncio.TimerHandle | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
         self.up_at = 0.0
         self.closing = False
-        self.ended: asyncio.Future[None] = loop.create_future()
+        self.connection_ended: asyncio.Future[None] = loop.create_future()
         self.connects = 0
         self.expirations = 0
 
     def start(self) -> None:
-        self._dial()
+        self._start_connecting()
 
-    def ask(self, op: Op, body: bytes, tag: object) -> bool:
-        """Ask, where a session is up; the bytes leave with `flush`."""
+    def request(self, op: Op, body: bytes, tag: object) -> bool:
+        """Queue a request if a session is up; `flush` writes it. Returns whether it was queued."""
         if self.session.state is not State.UP:
             return False
-        self.session.ask(op, body, tag)
+        self.session.request(op, body, tag)
         return True
 
     def flush(self) -> None:
-        """Write what has been asked, and set the clock for what is due then."""
+        """Write the queued requests and set the timer for the next ping or the silence limit."""
         wire = self.wire
         if wire is None or wire.transport is None:
             return
-        out = self.session.taken(self.loop.time())
-        if out:
-            wire.transport.write(out)
-        if self.wire is wire:  # a full buffer may have ended it
-            self._set_alarm()
+        output = self.session.take_output(self.loop.time())
+        if output:
+            wire.transport.write(output)
+        if self.wire is wire:  # `write` may have dropped the connection because of a full buffer
+            self._set_tick_timer()
 
     async def close(self) -> None:
-        """End the session, so that what it owns goes at once and not after its time."""
+        """Close the session, so that its nodes are deleted now and not after the session timeout."""
         self.closing = True
-        for timer in (self.retry, self.alarm):
+        for timer in (self.reconnect_timer, self.tick_timer):
             if timer is not None:
                 timer.cancel()
-        if self.dialing is not None:
-            self.dialing.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.wire is not None and self.session.state is State.UP:
-            self.session.ask(Op.CLOSE, b"", None)
+            self.session.request(Op.CLOSE, b"", None)
             self.flush()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(asyncio.shield(self.ended), CLOSE_S)
+                await asyncio.wait_for(asyncio.shield(self.connection_ended), CLOSE_TIMEOUT_S)
         wire, self.wire = self.wire, None
         if wire is not None:
             wire.abort()
 
     # Connecting
 
-    def _dial(self) -> None:
-        self.retry = None
+    def _start_connecting(self) -> None:
+        self.reconnect_timer = None
         if not self.closing:
-            self.dialing = self.loop.create_task(self._connect())
+            self.connect_task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
         host, port = self.hosts.next()
-        limit = min(DIAL_MOST_S, self.session.timeout_s / 3)
-        tls, name = self.tls, (self.tls_name or host) if self.tls else None
+        timeout_s = min(MAX_CONNECT_TIMEOUT_S, self.session.timeout_s / 3)
+        tls, server_name = self.tls, (self.tls_name or host) if self.tls else None
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_s):
                 await self.loop.create_connection(
-                    lambda: Wire(self), host, port, ssl=tls, server_hostname=name
+                    lambda: Connection(self), host, port, ssl=tls, server_hostname=server_name
                 )
-        except (OSError, TimeoutError) as problem:
-            self.dialing = None
+        except (OSError, TimeoutError) as error:
+            self.connect_task = None
             if self.wire is None:
-                self._again(f"{host}:{port} can't be reached: {str(problem) or 'no answer'}")
+                self._schedule_reconnect(f"{host}:{port} can't be reached: {str(error) or 'timed out'}")
 
-    def connected(self, wire: Wire) -> None:
-        self.dialing = None
+    def connected(self, wire: Connection) -> None:
+        self.connect_task = None
         if self.closing or self.wire is not None:
             wire.abort()
             return
@@ -163,62 +171,62 @@
         self.session.connect(self.loop.time())
         self.flush()
 
-    def _again(self, reason: str, refused: bool = False) -> None:
-        """Try the next host, after a while."""
+    def _schedule_reconnect(self, reason: str, refused: bool = False) -> None:
+        """Connect to the next host after the backoff; when closing, only report that the connection ended."""
         if self.closing:
-            if not self.ended.done():
-                self.ended.set_result(None)
+            if not self.connection_ended.done():
+                self.connection_ended.set_result(None)
             return
         self.user.down(reason)
-        self.retry = self.loop.call_later(self.hosts.wait_s(refused), self._dial)
+        self.reconnect_timer = self.loop.call_later(self.hosts.wait_s(refused), self._start_connecting)
 
-    def over(self, reason: str, refused: bool = False) -> None:
-        """The connection is no more: its requests are lost, the session may live."""
+    def drop_connection(self, reason: str, refused: bool = False) -> None:
+        """Drop the connection: its pending requests are lost, the session may be resumed on another."""
         wire, self.wire = self.wire, None
         if wire is not None:
             wire.abort()
-        if self.alarm is not None:
-            self.alarm.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         if self.up_at and self.loop.time() - self.up_at > self.session.timeout_s:
             self.hosts.lasted()
         self.up_at = 0.0
         for event in self.session.closed():
             self.user.event(event)
-        self._again(reason, refused)
+        self._schedule_reconnect(reason, refused)
 
-    # What comes
+    # Input
 
     def received(self, data: bytes) -> None:
         for event in self.session.received(data, self.loop.time()):
             if self.closing:
                 break
-            if isinstance(event, Left):
-                self.over(event.reason, event.refused)
+            if isinstance(event, HostUnusable):
+                self.drop_connection(event.reason, event.refused)
                 return
-            if isinstance(event, Began | Resumed):
+            if isinstance(event, SessionStarted | SessionResumed):
                 self.up_at = self.loop.time()
                 self.user.up()
-            elif isinstance(event, Expired):
+            elif isinstance(event, SessionExpired):
                 self.expirations += 1
                 self.user.expired()
-                self.over("the session has expired")
+                self.drop_connection("the session has expired")
                 return
             else:
                 self.user.event(event)
         self.flush()
 
-    # Time
+    # Timers
 
-    def _set_alarm(self) -> None:
-        if self.alarm is not None:
-            self.alarm.cancel()
-        self.alarm = self.loop.call_at(self.session.due(), self._tick)
+    def _set_tick_timer(self) -> None:
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
+        self.tick_timer = self.loop.call_at(self.session.next_tick_at(), self._tick)
 
     def _tick(self) -> None:
         if self.wire is None:
             return
         for event in self.session.tick(self.loop.time()):
-            if isinstance(event, Left):
-                self.over(event.reason)
+            if isinstance(event, HostUnusable):
+                self.drop_connection(event.reason)
                 return
         self.flush()
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -1,20 +1,21 @@
-"""What to read of the registry and what it tells of servers: replies and events in, requests and facts out.
+"""Follows the servers registered under one directory: replies and watch events in, requests and facts out.
 
 No I/O.
 
-One directory is followed: each child is a server's node. One persistent recursive watch tells of every change
-below it (ZooKeeper 3.6 or later); what a node says is read after its event.
-
-- After every connect, also of the same session, the watch is set and the whole directory read anew: events
-  may have been lost. What is not listed any more is dropped as soon as the list is there, before any node
-  is read.
-- A node's end is believed at once. A node that is made or changed is read; until then what was known before
-  holds, but for one that had ended.
-- At most `READS_MOST` reads are under way; a node that changes again while its read waits is read once.
-- A directory that is not there holds nobody. One that may not be read says nothing: contact is lost.
-- A node that can't be used harms only itself: its server is dropped and it is counted, by reason.
-- What has ended never comes back: a node that is read as it was made before its own end is told by a host
-  that lags, whatever zxid it claims, and the host is left.
+Each child of the directory is a server's node. One persistent recursive watch (ZooKeeper 3.6 or later)
+reports every change below the directory; the event carries no data, so that the node is read after it.
+
+- After every connect, also of the same session, the watch is set and the whole directory is read again,
+  because events may have been lost. Nodes that are missing from the list are removed as soon as the list
+  arrives, before any node is read.
+- A deletion takes effect at once. A created or changed node is read; until the reply arrives, the previous
+  fact of the node stays valid, unless the node had been deleted.
+- At most `MAX_READS_IN_FLIGHT` reads are in flight; a node that changes again while queued is read once.
+- A directory that does not exist has no servers. One that may not be read is an error and leaves the known
+  servers as they are.
+- A node that can't be used affects only its own server, which is removed; such nodes are counted by reason.
+- A deleted node never returns: if a read shows a node with a creation zxid from before its deletion, the host
+  lags, whatever zxid its replies carry, and the host is left.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 from garnethaven.membership.payloads import Payload, PayloadError
 from garnethaven.membership.zookeeper import records
 from garnethaven.membership.zookeeper.records import RECURSIVE, Code, Kind, Op, Reader, Stat
-from garnethaven.membership.zookeeper.session import Event, Noticed, Replied
+from garnethaven.membership.zookeeper.session import Event, ReplyReceived, WatchEvent
 
-READS_MOST = 64  # under way at a time: enough to fill the connection, few enough to let events through
+MAX_READS_IN_FLIGHT = 64  # enough to fill the connection, few enough not to delay watch events
 MEMBERS_MOST = 20_000
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A request to write."""
+class Request:
+    """A request to send; its reply carries the tag."""
 
     op: Op
     body: bytes
@@ -43,198 +44,204 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Watched:
-    pass
+class WatchTag:
+    """The tag of the request that sets the watch."""
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
-    pass
+class ListTag:
+    """The tag of the request that lists the directory."""
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class ReadTag:
+    """The tag of the request that reads a node."""
+
     name: str
 
 
 @dataclass(slots=True)
-class Told:
-    """What follows from one event."""
+class Outcome:
+    """The result of one event: requests to send and changed facts by node name; None removes a server."""
 
-    asks: list[Ask] = field(default_factory=list)
+    requests: list[Request] = field(default_factory=list)
     facts: dict[str, Fact | None] = field(default_factory=dict)
-    whole: bool = False  # all nodes of the directory have been read since the last connect
-    trouble: str = ""  # the directory can't be followed now, and why
-    lags: bool = False  # the host tells what is known to be over
+    complete: bool = False  # every node of the directory has been read since the last connect
+    error: str = ""  # why the directory can't be followed at present; empty: no error
+    host_lags: bool = False  # the host returned a node that is known to be deleted
 
 
-class Following:
-    """Follows one directory. `payload` reads nodes; `persistent` takes nodes that are not ephemeral."""
+class DirectoryFollower:
+    """Follows one directory. `payload` decodes nodes, `persistent` accepts nodes that are not ephemeral."""
 
     def __init__(self, root: str, payload: Payload, persistent: bool = False) -> None:
         self.root = root.rstrip("/") or "/"
         self.prefix = self.root.rstrip("/") + "/"
         self.payload = payload
         self.persistent = persistent
-        self.names = Names()  # nodes that gave a fact, with the zxid of their making
-        self.waiting: deque[str] = deque()
-        self.wanted: set[str] = set()  # in `waiting`
-        self.reading: set[str] = set()
-        self.again: set[str] = set()  # changed while they are read
-        self.first: set[str] = set()  # of the directory's reading, not read yet
+        self.names = Names()  # nodes with a fact, and the zxid of their creation
+        self.queued_reads: deque[str] = deque()
+        self.queued_names: set[str] = set()  # the names in `queued_reads`
+        self.reads_in_flight: set[str] = set()
+        self.names_to_reread: set[str] = set()  # changed while their read is in flight
+        self.unread_names: set[str] = set()  # names of the last list that have not been read yet
         self.listed = False
         self.flaws: Counter[str] = Counter()
-        self.said = ""  # the last flaw, for the log
+        self.last_flaw = ""  # the last unusable node and its reason, for the log
 
-    def connected(self) -> Told:
-        """A session is up: watch and read everything."""
+    def connected(self) -> Outcome:
+        """A session is up: set the watch and read the whole directory."""
         self.names.opened()
-        self.waiting.clear()
-        self.wanted.clear()
-        self.reading.clear()
-        self.again.clear()
-        self.first.clear()
+        self.queued_reads.clear()
+        self.queued_names.clear()
+        self.reads_in_flight.clear()
+        self.names_to_reread.clear()
+        self.unread_names.clear()
         self.listed = False
-        watch = records.string(self.root) + records.INT.pack(RECURSIVE)
-        return Told([Ask(Op.ADD_WATCH, watch, Watched()), self._list()])
-
-    def told(self, event: Event) -> Told:
-        """A reply or an event of the session; others tell nothing here."""
-        if isinstance(event, Noticed):
-            return self._noticed(event)
-        if isinstance(event, Replied):
-            if isinstance(event.tag, Watched):
-                return self._watched(event.code)
-            if isinstance(event.tag, Listed):
-                return self._listed(event)
-            if isinstance(event.tag, Read):
-                return self._read(event.tag.name, event)
-        return Told()
+        watch_body = records.string(self.root) + records.INT.pack(RECURSIVE)
+        return Outcome([Request(Op.ADD_WATCH, watch_body, WatchTag()), self._list_request()])
+
+    def handle(self, event: Event) -> Outcome:
+        """Handle a reply or a watch event of the session; other events have no effect."""
+        if isinstance(event, WatchEvent):
+            return self._watch_event(event)
+        if isinstance(event, ReplyReceived):
+            if isinstance(event.tag, WatchTag):
+                return self._watch_reply(event.code)
+            if isinstance(event.tag, ListTag):
+                return self._list_reply(event)
+            if isinstance(event.tag, ReadTag):
+                return self._read_reply(event.tag.name, event)
+        return Outcome()
 
     # Events
 
-    def _noticed(self, event: Noticed) -> Told:
+    def _watch_event(self, event: WatchEvent) -> Outcome:
         if event.path == self.root:
             if event.kind is Kind.DELETED:
-                return self._all_gone()
-            return Told([self._list()]) if event.kind is Kind.CREATED else Told()
+                return self._directory_deleted()
+            return Outcome([self._list_request()]) if event.kind is Kind.CREATED else Outcome()
         if not event.path.startswith(self.prefix):
-            return Told()
+            return Outcome()
         name = event.path[len(self.prefix) :]
         if not name or "/" in name:
-            return Told()  # below a server's node: nothing of ours
+            return Outcome()  # below a server's node: ignored
         if event.kind is Kind.DELETED:
-            return self._gone(name)
-        return Told(self._want(name))
+            return self._node_deleted(name)
+        return Outcome(self._queue_read(name))
 
-    def _gone(self, name: str) -> Told:
+    def _node_deleted(self, name: str) -> Outcome:
         self.names.end(name)
-        self.first.discard(name)
-        return Told(facts={name: None}, whole=self._whole_now())
+        self.unread_names.discard(name)
+        return Outcome(facts={name: None}, complete=self._check_complete())
 
-    def _all_gone(self) -> Told:
-        gone: dict[str, Fact | None] = dict.fromkeys(self.names.absent(set()))
-        self.first.clear()
-        return Told(facts=gone, whole=self._whole_now())
+    def _directory_deleted(self) -> Outcome:
+        deleted: dict[str, Fact | None] = dict.fromkeys(self.names.absent(set()))
+        self.unread_names.clear()
+        return Outcome(facts=deleted, complete=self._check_complete())
 
     # Replies
 
-    def _watched(self, code: int) -> Told:
+    def _watch_reply(self, code: int) -> Outcome:
         if code == Code.OK:
-            return Told()
+            return Outcome()
         if code == Code.UNIMPLEMENTED:
-            return Told(trouble="the registry has no recursive watches; 3.6 or later is needed")
-        return Told(trouble=f"{self.root} can't be watched, error {code}")
+            return Outcome(error="the registry has no recursive watches; 3.6 or later is needed")
+        return Outcome(error=f"{self.root} can't be watched: ZooKeeper error {code}")
 
-    def _listed(self, event: Replied) -> Told:
+    def _list_reply(self, event: ReplyReceived) -> Outcome:
         if event.code == Code.NO_NODE:
             self.listed = True
-            return self._all_gone()
+            return self._directory_deleted()
         if event.code != Code.OK:
-            why = "may not be read" if event.code == Code.NO_AUTH else f"can't be read, error {event.code}"
-            return Told(trouble=f"{self.root} {why}")
+            reason = (
+                "may not be read"
+                if event.code == Code.NO_AUTH
+                else f"can't be read: ZooKeeper error {event.code}"
+            )
+            return Outcome(error=f"{self.root} {reason}")
         names = Reader(event.body).strings()
         if len(names) > MEMBERS_MOST:
             self._flaw("too many nodes", self.root)
             names = sorted(names)[:MEMBERS_MOST]
         listed = set(names)
-        told = Told()
-        told.facts = dict.fromkeys(self.names.absent(listed))
+        outcome = Outcome()
+        outcome.facts = dict.fromkeys(self.names.absent(listed))
         self.listed = True
-        self.first = listed
+        self.unread_names = listed
         for name in names:
-            told.asks += self._want(name)
-        told.whole = self._whole_now()
-        return told
-
-    def _read(self, name: str, event: Replied) -> Told:
-        self.reading.discard(name)
-        self.first.discard(name)
-        fact = self._fact(name, event)
+            outcome.requests += self._queue_read(name)
+        outcome.complete = self._check_complete()
+        return outcome
+
+    def _read_reply(self, name: str, event: ReplyReceived) -> Outcome:
+        self.reads_in_flight.discard(name)
+        self.unread_names.discard(name)
+        fact = self._fact_of(name, event)
         if fact is None:
             self.names.drop(name)
         elif not self.names.takes(name, fact.born):
-            return Told(lags=True)
-        if name in self.again:
-            self.again.discard(name)
-            return Told(self._want(name), {name: fact}, self._whole_now())
-        return Told(self._more(), {name: fact}, self._whole_now())
+            return Outcome(host_lags=True)
+        if name in self.names_to_reread:
+            self.names_to_reread.discard(name)
+            return Outcome(self._queue_read(name), {name: fact}, self._check_complete())
+        return Outcome(self._next_reads(), {name: fact}, self._check_complete())
 
-    def _fact(self, name: str, event: Replied) -> Fact | None:
+    def _fact_of(self, name: str, event: ReplyReceived) -> Fact | None:
         if event.code == Code.NO_NODE:
-            return None  # it has gone since, which its event tells too
+            return None  # deleted in the meantime; the watch reports it too
         if event.code != Code.OK:
             self._flaw("may not be read" if event.code == Code.NO_AUTH else f"error {event.code}", name)
             return None
-        read = Reader(event.body)
-        data, stat = read.buffer(), read.stat()
+        reader = Reader(event.body)
+        data, stat = reader.buffer(), reader.stat()
         if not stat.owner and not self.persistent:
             self._flaw("not ephemeral", name)
             return None
-        return self._parsed(name, data, stat)
+        return self._parse(name, data, stat)
 
-    def _parsed(self, name: str, data: bytes, stat: Stat) -> Fact | None:
+    def _parse(self, name: str, data: bytes, stat: Stat) -> Fact | None:
         try:
             return self.payload.read(data, stat.czxid, stat.ctime_ms)
-        except PayloadError as problem:
-            self._flaw(str(problem), name)
+        except PayloadError as flaw:
+            self._flaw(str(flaw), name)
             return None
 
     def _flaw(self, reason: str, name: str) -> None:
         self.flaws[reason] += 1
-        self.said = f"{name[:80]!r}: {reason}"
+        self.last_flaw = f"{name[:80]!r}: {reason}"
 
     # Reads
 
-    def _list(self) -> Ask:
-        return Ask(Op.GET_CHILDREN2, records.string(self.root) + b"\0", Listed())
+    def _list_request(self) -> Request:
+        return Request(Op.GET_CHILDREN2, records.string(self.root) + b"\0", ListTag())
 
-    def _want(self, name: str) -> list[Ask]:
-        """Read a node, unless that is waiting to be done; one under way may be too early.
+    def _queue_read(self, name: str) -> list[Request]:
+        """Queue the read of a node, unless it is queued already.
 
-        And is done again.
+        A read in flight may return the state from before the change, so that the node is read again after it.
         """
-        if name in self.reading:
-            self.again.add(name)
-        elif name not in self.wanted:
-            self.wanted.add(name)
-            self.waiting.append(name)
-        return self._more()
-
-    def _more(self) -> list[Ask]:
-        asks: list[Ask] = []
-        while self.waiting and len(self.reading) < READS_MOST:
-            name = self.waiting.popleft()
-            self.wanted.discard(name)
-            self.reading.add(name)
-            asks.append(self._ask(name))
-        return asks
-
-    def _ask(self, name: str) -> Ask:
-        return Ask(Op.GET_DATA, records.string(self.prefix + name) + b"\0", Read(name))
-
-    def _whole_now(self) -> bool:
-        whole = self.listed and not self.first
-        if whole:
+        if name in self.reads_in_flight:
+            self.names_to_reread.add(name)
+        elif name not in self.queued_names:
+            self.queued_names.add(name)
+            self.queued_reads.append(name)
+        return self._next_reads()
+
+    def _next_reads(self) -> list[Request]:
+        requests: list[Request] = []
+        while self.queued_reads and len(self.reads_in_flight) < MAX_READS_IN_FLIGHT:
+            name = self.queued_reads.popleft()
+            self.queued_names.discard(name)
+            self.reads_in_flight.add(name)
+            requests.append(self._read_request(name))
+        return requests
+
+    def _read_request(self, name: str) -> Request:
+        return Request(Op.GET_DATA, records.string(self.prefix + name) + b"\0", ReadTag(name))
+
+    def _check_complete(self) -> bool:
+        complete = self.listed and not self.unread_names
+        if complete:
             self.names.whole()
-        return whole
+        return complete
--- a/garnethaven/membership/zookeeper/records.py
+++ b/garnethaven/membership/zookeeper/records.py
@@ -1,6 +1,6 @@
-"""The ZooKeeper client protocol's records, as far as this client needs them: published encoding.
+"""The records of the ZooKeeper client protocol that this client needs, in their published encoding.
 
-Bounded reads.
+Every read checks lengths against the message before it takes data.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 REPLY = struct.Struct(">iqi")  # xid, zxid, error
 REQUEST = struct.Struct(">ii")  # xid, operation
 STAT = struct.Struct(">qqqqiiiqiiq")
-FRAME_MOST = 8 * 1024 * 1024  # bytes; 5,000 long names, or a node of 1 MB, need far less
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # bytes; a list of 5,000 long names or a node of 1 MB is far smaller
 
 WATCH_XID, PING_XID, AUTH_XID = -1, -2, -4
 RECURSIVE = 1
@@ -34,7 +34,7 @@
 
 
 class Code(IntEnum):
-    """Errors that are told apart here."""
+    """The error codes that this client handles separately."""
 
     OK = 0
     UNIMPLEMENTED = -6
@@ -53,11 +53,13 @@
 
 
 class RecordError(Exception):
-    """What came is not what the protocol says."""
+    """A received message does not follow the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class Stat:
+    """The fields of a node's stat record that are used here."""
+
     czxid: int
     ctime_ms: int
     version: int
@@ -66,59 +68,60 @@
 
 
 class Reader:
-    """Takes fields in order; raises RecordError where they are not there."""
+    """Decodes the fields of a message in order; raises RecordError if the message is too short or invalid."""
 
-    __slots__ = ("at", "data")
+    __slots__ = ("data", "offset")
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def _take(self, form: struct.Struct) -> tuple[int, ...]:
+    def _unpack(self, layout: struct.Struct) -> tuple[int, ...]:
         try:
-            values = form.unpack_from(self.data, self.at)
+            values = layout.unpack_from(self.data, self.offset)
         except struct.error:
-            raise RecordError("a message ends early") from None
-        self.at += form.size
+            raise RecordError("the message ends before its last field") from None
+        self.offset += layout.size
         return values
 
     def number(self) -> int:
-        return self._take(INT)[0]
+        return self._unpack(INT)[0]
 
     def long(self) -> int:
-        return self._take(LONG)[0]
+        return self._unpack(LONG)[0]
 
     def reply(self) -> tuple[int, int, int]:
-        xid, zxid, code = self._take(REPLY)
+        """The reply header: xid, zxid, error code."""
+        xid, zxid, code = self._unpack(REPLY)
         return xid, zxid, code
 
     def buffer(self) -> bytes:
         length = self.number()
         if length < 0:
             return b""
-        if length > len(self.data) - self.at:
-            raise RecordError("a field is longer than its message")
-        self.at += length
-        return self.data[self.at - length : self.at]
+        if length > len(self.data) - self.offset:
+            raise RecordError("a field is longer than the message")
+        self.offset += length
+        return self.data[self.offset - length : self.offset]
 
     def string(self) -> str:
         try:
             return self.buffer().decode()
         except UnicodeDecodeError:
-            raise RecordError("a name is no UTF-8") from None
+            raise RecordError("a string is not valid UTF-8") from None
 
     def strings(self) -> list[str]:
         count = self.number()
-        if count * INT.size > len(self.data) - self.at:
-            raise RecordError("a list is longer than its message")
+        if count * INT.size > len(self.data) - self.offset:
+            raise RecordError("a list is longer than the message")
         return [self.string() for _ in range(count)]
 
     def stat(self) -> Stat:
-        czxid, _, ctime, _, version, _, _, owner, _, _, pzxid = self._take(STAT)
+        czxid, _, ctime, _, version, _, _, owner, _, _, pzxid = self._unpack(STAT)
         return Stat(czxid, ctime, version, owner, pzxid)
 
-    def more(self) -> bool:
-        return self.at < len(self.data)
+    def has_more(self) -> bool:
+        return self.offset < len(self.data)
 
 
 def buffer(value: bytes) -> bytes:
@@ -133,9 +136,13 @@
     return INT.pack(len(message)) + message
 
 
-def connect_request(seen: int, timeout_ms: int, session: int, password: bytes, read_only: bool) -> bytes:
-    told = INT.pack(0) + LONG.pack(seen) + INT.pack(timeout_ms) + LONG.pack(session) + buffer(password)
-    return frame(told + bytes((read_only,)))
+def connect_request(
+    last_zxid: int, timeout_ms: int, session_id: int, password: bytes, read_only: bool
+) -> bytes:
+    request = (
+        INT.pack(0) + LONG.pack(last_zxid) + INT.pack(timeout_ms) + LONG.pack(session_id) + buffer(password)
+    )
+    return frame(request + bytes((read_only,)))
 
 
 def auth_request(credential: str) -> bytes:
@@ -143,7 +150,7 @@
 
 
 def create_body(path: str, data: bytes, digest: str | None) -> bytes:
-    """An ephemeral node; open to all, or to whoever this session has proved to be."""
-    permissions, scheme, who = (OPEN_ACL[0], "auth", "") if digest else OPEN_ACL
-    acl = INT.pack(1) + INT.pack(permissions) + string(scheme) + string(who)
+    """The body that creates an ephemeral node, open to all or, with a digest, to its identity only."""
+    permissions, scheme, identity = (OPEN_ACL[0], "auth", "") if digest else OPEN_ACL
+    acl = INT.pack(1) + INT.pack(permissions) + string(scheme) + string(identity)
     return string(path) + buffer(data) + acl + INT.pack(EPHEMERAL)
--- a/garnethaven/membership/zookeeper/session.py
+++ b/garnethaven/membership/zookeeper/session.py
@@ -1,21 +1,23 @@
 """One session with a ZooKeeper ensemble, without I/O: bytes and times in, events and bytes out.
 
-| state | what came | what follows |
+| state | input | result |
 | --- | --- | --- |
-| IDLE | `connect` | the connect request is written; GREETING |
-| GREETING | an answer with a session | `Began` (new) or `Resumed`; UP |
-| GREETING | an answer without one | `Expired`: the session and what it owned are gone; IDLE |
-| GREETING | a host that has seen less than we have | it is left (`Behind`); IDLE |
-| UP | a reply | `Replied` for the request that it belongs to; replies come in order |
-| UP | an event | `Noticed` |
-| UP | silence for two thirds of the session's time | `Dead`: the connection is given up; IDLE |
-| any | the connection's end | all requests under way end with `Lost`; IDLE |
-
-The largest zxid that any reply told is never gone behind: it is told at each connect, sound hosts then
-refuse where they lag, and a host that answers with less all the same is left. A reply that was not asked
-for or can't be read ends the connection; a frame beyond `FRAME_MOST` is not waited for.
-
-Times are seconds of the caller's clock.
+| IDLE | `connect` | the connect request is written; HANDSHAKE |
+| HANDSHAKE | a connect response with a session id | `SessionStarted` (new) or `SessionResumed`; UP |
+| HANDSHAKE | a connect response without one | `SessionExpired`: the session and its nodes are gone; IDLE |
+| HANDSHAKE | a read-only host, unless `read_only` is set | `HostUnusable` |
+| UP | a reply | `ReplyReceived` for its request; replies arrive in the order of the requests |
+| UP | a watch event | `WatchEvent` |
+| UP | a reply with a zxid below one received before | `HostUnusable`: the host lags |
+| UP | nothing received for two thirds of the session timeout | `HostUnusable` |
+| any | the connection is closed | every pending request ends with `RequestLost`; IDLE |
+
+The session never accepts a state older than the largest zxid received in a reply: each connect request
+carries that zxid, so a correct host that lags refuses the connection, and a host that replies with a
+smaller one nevertheless is left. A reply without a matching request or a message that can't be decoded ends
+the connection, as does a frame length above `MAX_FRAME_BYTES`.
+
+All times are in seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -28,8 +30,8 @@
 from garnethaven.membership.zookeeper import records
 from garnethaven.membership.zookeeper.records import (
     AUTH_XID,
-    FRAME_MOST,
     INT,
+    MAX_FRAME_BYTES,
     PING_XID,
     REQUEST,
     WATCH_XID,
@@ -40,216 +42,231 @@
     RecordError,
 )
 
-PING_PART = 1 / 3  # of the session's time: after so much silence of ours a ping is due
-DEAD_PART = 2 / 3  # after so much of theirs the host is given up, with time left to find another
+PING_FRACTION = 1 / 3  # of the session timeout without a write: a ping is sent
+DEAD_FRACTION = 2 / 3  # of the session timeout without input: another host is tried while the session lives
 
 
 class State(Enum):
     IDLE = "no connection"
-    GREETING = "waits for the session"
+    HANDSHAKE = "waits for the connect response"
     UP = "up"
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
-    """A new session: nothing is watched, nothing owned."""
+class SessionStarted:
+    """A new session has started: it has no watches and owns no nodes."""
 
 
 @dataclass(slots=True, frozen=True)
-class Resumed:
-    """The same session on another connection: what it owned is there, events may have been lost."""
+class SessionResumed:
+    """The same session continues on a new connection: its nodes exist, watch events may have been lost."""
 
 
 @dataclass(slots=True, frozen=True)
-class Expired:
-    """The session is over, and with it what it owned; the next connect begins another."""
+class SessionExpired:
+    """The session and its ephemeral nodes no longer exist; the next connect starts a new session."""
 
 
 @dataclass(slots=True, frozen=True)
-class Replied:
+class ReplyReceived:
+    """The reply to the request that was made with `tag`; `code` is a ZooKeeper error code, 0 if none."""
+
     tag: object
     code: int
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Lost:
-    """A request whose reply will not come; it may have been done."""
+class RequestLost:
+    """The connection ended before the reply to a request; the host may have executed it."""
 
     tag: object
 
 
 @dataclass(slots=True, frozen=True)
-class Noticed:
+class WatchEvent:
+    """A watch event: what happened to the node at `path`."""
+
     kind: Kind
     path: str
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
-    """The connection is of no use: close it and try another host."""
+class HostUnusable:
+    """The connection can't be used: close it and try another host."""
 
     reason: str
-    refused: bool = False  # what we are or proved is not accepted: haste would not help
+    refused: bool = False  # the host rejected our credential: an immediate retry would fail too
 
 
-Event = Began | Resumed | Expired | Replied | Lost | Noticed | Left
+Event = (
+    SessionStarted | SessionResumed | SessionExpired | ReplyReceived | RequestLost | WatchEvent | HostUnusable
+)
 
 
 class Session:
-    """The pure side of one client. `timeout_ms` is wished for; the host says what holds."""
+    """The protocol state of one client. `timeout_ms` is requested; the host decides the session timeout."""
 
     def __init__(self, timeout_ms: int, digest: str | None = None, read_only: bool = False) -> None:
-        self.wished_ms = timeout_ms
+        self.requested_timeout_ms = timeout_ms
         self.digest = digest
         self.read_only = read_only
         self.state = State.IDLE
         self.id = 0
         self.password = bytes(16)
         self.timeout_s = timeout_ms / 1000
-        self.seen = 0  # the largest zxid
-        self.held = bytearray()
-        self.out = bytearray()
+        self.last_zxid = 0  # the largest zxid received in a reply
+        self.input_buffer = bytearray()
+        self.output_buffer = bytearray()
         self.xid = 0
-        self.under_way: deque[tuple[int, object]] = deque()
-        self.heard_at = self.said_at = 0.0
-        self.pinged = False  # a ping's reply is to come
+        self.pending_requests: deque[tuple[int, object]] = deque()
+        self.last_received_at = self.last_sent_at = 0.0
+        self.ping_pending = False  # a ping has been sent and not been answered yet
 
-    # Ours
+    # Output
 
     def connect(self, now: float) -> None:
-        """A connection is open: greet. The bytes are in `taken`, as all that is to be written."""
-        self.state = State.GREETING
-        self.pinged = False
-        self.held.clear()
-        self.out.clear()
-        self.heard_at = self.said_at = now
-        self.out += records.connect_request(self.seen, self.wished_ms, self.id, self.password, self.read_only)
-
-    def ask(self, op: Op, body: bytes, tag: object) -> None:
-        """A request; its reply comes as `Replied` with the tag, or never, as `Lost`."""
+        """Write the connect request on a newly opened connection; `take_output` returns its bytes."""
+        self.state = State.HANDSHAKE
+        self.ping_pending = False
+        self.input_buffer.clear()
+        self.output_buffer.clear()
+        self.last_received_at = self.last_sent_at = now
+        self.output_buffer += records.connect_request(
+            self.last_zxid, self.requested_timeout_ms, self.id, self.password, self.read_only
+        )
+
+    def request(self, op: Op, body: bytes, tag: object) -> None:
+        """Write a request; `ReplyReceived` or `RequestLost` ends it. Raises RuntimeError unless UP."""
         if self.state is not State.UP:
-            raise RuntimeError("no session")
+            raise RuntimeError("no session is up")
         self.xid = self.xid % 0x7FFFFFF0 + 1
-        self.under_way.append((self.xid, tag))
-        self.out += records.frame(REQUEST.pack(self.xid, op) + body)
+        self.pending_requests.append((self.xid, tag))
+        self.output_buffer += records.frame(REQUEST.pack(self.xid, op) + body)
 
-    def taken(self, now: float) -> bytes:
-        """What is to be written now."""
-        out = bytes(self.out)
-        self.out.clear()
+    def take_output(self, now: float) -> bytes:
+        """Remove and return the bytes to write to the connection now."""
+        out = bytes(self.output_buffer)
+        self.output_buffer.clear()
         if out:
-            self.said_at = now
+            self.last_sent_at = now
         return out
 
-    # The clock's
+    # Timers
 
-    def due(self) -> float:
-        """When `tick` is to be called at the latest."""
-        dead = self.heard_at + self.timeout_s * DEAD_PART
-        return min(dead, self.said_at + self.timeout_s * PING_PART) if self.state is State.UP else dead
+    def next_tick_at(self) -> float:
+        """The time by which `tick` has to be called."""
+        dead = self.last_received_at + self.timeout_s * DEAD_FRACTION
+        return (
+            min(dead, self.last_sent_at + self.timeout_s * PING_FRACTION) if self.state is State.UP else dead
+        )
 
     def tick(self, now: float) -> list[Event]:
+        """Write a ping if one is due; `HostUnusable` if the host has been silent for too long."""
         if self.state is State.IDLE:
             return []
-        if now >= self.heard_at + self.timeout_s * DEAD_PART:
-            return [Left("it says nothing")]
-        if self.state is State.UP and now >= self.said_at + self.timeout_s * PING_PART:
+        if now >= self.last_received_at + self.timeout_s * DEAD_FRACTION:
+            return [HostUnusable("the host sent nothing for two thirds of the session timeout")]
+        if self.state is State.UP and now >= self.last_sent_at + self.timeout_s * PING_FRACTION:
             self._ping()
         return []
 
     def _ping(self) -> None:
-        self.pinged = True
-        self.out += records.frame(REQUEST.pack(PING_XID, Op.PING))
+        self.ping_pending = True
+        self.output_buffer += records.frame(REQUEST.pack(PING_XID, Op.PING))
 
-    # Theirs
+    # Input
 
     def received(self, data: bytes, now: float) -> list[Event]:
-        """Bytes have come; what they tell, in order. After a `Left` nothing more is read."""
-        self.heard_at = now
-        self.held += data
+        """Decode received bytes into events, in order. After a `HostUnusable` the rest is not read."""
+        self.last_received_at = now
+        self.input_buffer += data
         events: list[Event] = []
         try:
             for message in self._frames():
                 events += self._message(message)
-                if self.state is State.IDLE or (events and isinstance(events[-1], Left)):
+                if self.state is State.IDLE or (events and isinstance(events[-1], HostUnusable)):
                     break
-        except RecordError as problem:
-            events.append(Left(f"it can't be read: {problem}"))
+        except RecordError as error:
+            events.append(HostUnusable(f"a message can't be decoded: {error}"))
         return events
 
     def closed(self) -> list[Event]:
-        """The connection is over, whoever ended it."""
+        """The connection has ended, closed by either side: returns the requests that are lost."""
         self.state = State.IDLE
-        self.held.clear()
-        self.out.clear()
-        lost: list[Event] = [Lost(tag) for _, tag in self.under_way]
-        self.under_way.clear()
+        self.input_buffer.clear()
+        self.output_buffer.clear()
+        lost: list[Event] = [RequestLost(tag) for _, tag in self.pending_requests]
+        self.pending_requests.clear()
         return lost
 
     def forget(self) -> None:
-        """Begin a new session at the next connect, perhaps with another ensemble."""
-        self.id, self.password, self.seen = 0, bytes(16), 0
+        """Start a new session at the next connect, also for another ensemble."""
+        self.id, self.password, self.last_zxid = 0, bytes(16), 0
 
     def _frames(self) -> Iterator[bytes]:
-        at = 0
+        offset = 0
         try:
-            while len(self.held) - at >= INT.size:
-                (length,) = INT.unpack_from(self.held, at)
-                if not 0 <= length <= FRAME_MOST:
-                    raise RecordError(f"a frame of {length} bytes")
-                end = at + INT.size + length
-                if len(self.held) < end:
+            while len(self.input_buffer) - offset >= INT.size:
+                (length,) = INT.unpack_from(self.input_buffer, offset)
+                if not 0 <= length <= MAX_FRAME_BYTES:
+                    raise RecordError(f"the frame length {length} is out of range")
+                end = offset + INT.size + length
+                if len(self.input_buffer) < end:
                     break
-                message = bytes(self.held[at + INT.size : end])
-                at = end
+                message = bytes(self.input_buffer[offset + INT.size : end])
+                offset = end
                 yield message
         finally:
-            del self.held[:at]
+            del self.input_buffer[:offset]
 
     def _message(self, message: bytes) -> list[Event]:
-        if self.state is State.GREETING:
-            return self._greeted(Reader(message))
-        read = Reader(message)
-        xid, zxid, code = read.reply()
+        if self.state is State.HANDSHAKE:
+            return self._handshake_reply(Reader(message))
+        reader = Reader(message)
+        xid, zxid, code = reader.reply()
         if xid == WATCH_XID:
-            return self._event(read)
+            return self._watch_event(reader)
         if zxid > 0:
-            if zxid < self.seen:
-                return [Left(f"it lags: {zxid:#x} is before {self.seen:#x}")]
-            self.seen = zxid
+            if zxid < self.last_zxid:
+                return [HostUnusable(f"the host lags: its zxid {zxid:#x} is before {self.last_zxid:#x}")]
+            self.last_zxid = zxid
         if xid == PING_XID:
-            self.pinged = False
+            self.ping_pending = False
             return []
         if xid == AUTH_XID:
-            return [] if code == Code.OK else [Left("it refuses our credential", refused=True)]
-        if not self.under_way or self.under_way[0][0] != xid:
-            raise RecordError(f"a reply to {xid}, which was not asked for")
-        _, tag = self.under_way.popleft()
-        return [Replied(tag, code, message[read.at :])]
-
-    def _greeted(self, read: Reader) -> list[Event]:
-        read.number()
-        timeout_ms, session, password = read.number(), read.long(), read.buffer()
-        read_only = bool(read.data[read.at]) if read.more() else False
-        if not session or timeout_ms <= 0:
+            return (
+                []
+                if code == Code.OK
+                else [HostUnusable("the host rejects the digest credential", refused=True)]
+            )
+        if not self.pending_requests or self.pending_requests[0][0] != xid:
+            raise RecordError(f"the reply with xid {xid} does not match the oldest pending request")
+        _, tag = self.pending_requests.popleft()
+        return [ReplyReceived(tag, code, message[reader.offset :])]
+
+    def _handshake_reply(self, reader: Reader) -> list[Event]:
+        reader.number()
+        timeout_ms, session_id, password = reader.number(), reader.long(), reader.buffer()
+        read_only = bool(reader.data[reader.offset]) if reader.has_more() else False
+        if not session_id or timeout_ms <= 0:
             self.state = State.IDLE
             self.id, self.password = 0, bytes(16)
-            return [Expired()]
+            return [SessionExpired()]
         if read_only and not self.read_only:
-            return [Left("it is read-only")]
-        resumed = session == self.id
-        self.state, self.id, self.password = State.UP, session, password
+            return [HostUnusable("the host is read-only")]
+        resumed = session_id == self.id
+        self.state, self.id, self.password = State.UP, session_id, password
         self.timeout_s = timeout_ms / 1000
         if self.digest is not None:
-            self.out += records.auth_request(self.digest)
-        return [Resumed() if resumed else Began()]
+            self.output_buffer += records.auth_request(self.digest)
+        return [SessionResumed() if resumed else SessionStarted()]
 
-    def _event(self, read: Reader) -> list[Event]:
-        kind, _, path = read.number(), read.number(), read.string()
+    def _watch_event(self, reader: Reader) -> list[Event]:
+        kind, _, path = reader.number(), reader.number(), reader.string()
         if kind not in set(Kind):
-            return []  # of the session, which the connection tells anyway
-        if not self.pinged:
-            # An event tells no zxid, a ping's reply does: no host that has not seen this will do any more.
+            return []  # a session state event; the connection itself shows the state
+        if not self.ping_pending:
+            # An event carries no zxid, the reply to a ping does: it excludes hosts that lag behind it.
             self._ping()
-        return [Noticed(Kind(kind), path)]
+        return [WatchEvent(Kind(kind), path)]
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -1,7 +1,4 @@
-"""The source that follows a registry's ephemeral nodes: a client, what it follows.
-
-And the model's side of it.
-"""
+"""The discovery source that follows ephemeral nodes of a ZooKeeper ensemble and updates the merger."""
 
 from __future__ import annotations
 
@@ -17,20 +14,17 @@
 from garnethaven.membership.table import ZOOKEEPER, ZooKeeper
 from garnethaven.membership.telling import Telling
 from garnethaven.membership.zookeeper.client import Client
-from garnethaven.membership.zookeeper.following import Following, Told
+from garnethaven.membership.zookeeper.following import DirectoryFollower, Outcome
 from garnethaven.membership.zookeeper.records import RecordError
-from garnethaven.membership.zookeeper.registration import Register
+from garnethaven.membership.zookeeper.registration import NodeRegistration
 from garnethaven.membership.zookeeper.session import Event, Session
 from garnethaven.tables import At
 
-RETRY_S = 1.0  # before a directory that could not be followed is tried again
+FOLLOW_RETRY_DELAY_S = 1.0  # after an error, before the directory is read again
 
 
 class RegistrySource:
-    """One registry, followed into the merger. Errors of it are logged, at a bounded rate.
-
-    And never raised.
-    """
+    """Follows one registry and updates the merger. Errors are logged, at a bounded rate, and never raised."""
 
     def __init__(
         self,
@@ -46,11 +40,11 @@
         self.rng = Random(seed)
         self.telling = Telling(ZOOKEEPER, merger, loop, names, log, settings.cache)
         self.troubles = 0
-        self.retry: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.generation = 0
         self.closing: set[asyncio.Task[None]] = set()
         self.settings = settings
-        self.register: Register | None = None
+        self.register: NodeRegistration | None = None
         self._set_up(settings)
 
     def _set_up(self, settings: ZooKeeper) -> None:
@@ -58,13 +52,13 @@
         self.generation += 1
         self.telling.settled = False
         payload = self.telling.payload(settings.rules)
-        self.following = Following(settings.root, payload, settings.persistent)
+        self.following = DirectoryFollower(settings.root, payload, settings.persistent)
         session = Session(settings.session_timeout_ms, settings.digest or None, settings.read_only)
         self.client = Client(
             self.loop,
             session,
             Hosts(settings.hosts, settings.spread_ms / 1000, self.rng),
-            User(self, self.generation),
+            CurrentCallbacks(self, self.generation),
             settings.tls.context() if settings.tls else None,
             settings.tls.name if settings.tls else "",
         )
@@ -76,51 +70,53 @@
         self.client.start()
 
     def registers(self, address: tuple[str, int]) -> None:
-        """Announce this program at `address`, where the settings want it."""
-        wanted = self.settings.register
-        if wanted is None:
+        """Register this program if the settings say so; `address` is used if the settings have none."""
+        registration = self.settings.register
+        if registration is None:
             self.register = None
             return
-        if wanted.address is None:
-            wanted = replace(wanted, address=At(address))
-        self.register = Register(wanted, self.settings.digest or None, self.client, self.telling.log)
+        if registration.address is None:
+            registration = replace(registration, address=At(address))
+        self.register = NodeRegistration(
+            registration, self.settings.digest or None, self.client, self.telling.log
+        )
         if self.client.up_at:
             self.register.up()
             self.client.flush()
 
     async def withdraw(self) -> None:
-        """Take the own node back, before the program drains; waits no longer than the settings say."""
+        """Delete this program's node before it drains; waits no longer than `withdraw_ms`."""
         if self.register is not None:
             await self.register.withdraw()
 
     def reload(self, settings: ZooKeeper, address: tuple[str, int]) -> None:
-        """Follow what the table says now. What is known stays until the new directory has been read whole."""
+        """Follow the changed settings. Known servers stay until the new directory has been read."""
         if settings == self.settings:
             return
-        old = self.client
-        task = self.loop.create_task(old.close())
+        old_client = self.client
+        task = self.loop.create_task(old_client.close())
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         self._set_up(settings)
         self.registers(address)
         self.client.start()
 
     async def close(self) -> None:
-        if self.retry is not None:
-            self.retry.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         await self.client.close()
         for task in list(self.closing):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         self.telling.close()
 
-    # The client's user
+    # Callbacks of the client
 
     def up(self) -> None:
-        self._do(self.following.connected())
+        self._apply(self.following.connected())
         if self.register is not None:
             self.register.up()
 
@@ -130,7 +126,9 @@
         self.telling.say("down", f"registry: {reason}; the last list is kept, {self.age_s():.1f} s old")
 
     def expired(self) -> None:
-        self.telling.say("expired", "registry: our session has expired; that says nothing of the servers")
+        self.telling.say(
+            "expired", "registry: the session has expired; a new one is started, the servers are kept"
+        )
         if self.register is not None:
             self.register.expired()
 
@@ -138,54 +136,54 @@
         if self.register is not None and self.register.event(event):
             return
         try:
-            told = self.following.told(event)
-        except RecordError as problem:
-            self.client.over(f"it can't be read: {problem}")
+            outcome = self.following.handle(event)
+        except RecordError as error:
+            self.client.drop_connection(f"a reply can't be decoded: {error}")
             return
-        self._do(told)
+        self._apply(outcome)
 
-    def _do(self, told: Told) -> None:
-        for ask in told.asks:
-            self.client.ask(ask.op, ask.body, ask.tag)
-        if told.lags:
-            self.client.over("it lags: it tells a node that has ended")
+    def _apply(self, outcome: Outcome) -> None:
+        for request in outcome.requests:
+            self.client.request(request.op, request.body, request.tag)
+        if outcome.host_lags:
+            self.client.drop_connection("the host lags: it returned a node that was deleted")
             return
         prefix = self.following.prefix
-        if told.facts:
-            self.merger.change(ZOOKEEPER, {prefix + name: fact for name, fact in told.facts.items()})
-        if told.whole:
-            self._settle(prefix)
-        if told.trouble:
-            self._trouble(told.trouble)
-        if self.following.said:
-            self.telling.say("flaw", f"registry: node {self.following.said}; its server is not used")
-            self.following.said = ""
-
-    def _settle(self, prefix: str) -> None:
-        """The directory has been read whole: contact is good, and nothing older is left."""
+        if outcome.facts:
+            self.merger.change(ZOOKEEPER, {prefix + name: fact for name, fact in outcome.facts.items()})
+        if outcome.complete:
+            self._directory_complete(prefix)
+        if outcome.error:
+            self._directory_failed(outcome.error)
+        if self.following.last_flaw:
+            self.telling.say("flaw", f"registry: node {self.following.last_flaw}; its server is not used")
+            self.following.last_flaw = ""
+
+    def _directory_complete(self, prefix: str) -> None:
+        """The directory has been read completely: contact is good, servers of an earlier list are removed."""
         self.telling.contact(True)
         if not self.telling.settled:
-            now = {prefix + name for name in self.following.names.held}
-            self.merger.change(ZOOKEEPER, self.telling.left_over(now))
+            current_keys = {prefix + name for name in self.following.names.held}
+            self.merger.change(ZOOKEEPER, self.telling.left_over(current_keys))
 
-    def _trouble(self, trouble: str) -> None:
-        """The directory can't be followed just now: nothing is dropped, and it is tried again."""
+    def _directory_failed(self, error: str) -> None:
+        """The directory can't be followed at present: keep the servers and read it again after a delay."""
         self.troubles += 1
         self.telling.contact(False)
-        self.telling.say("trouble", f"registry: {trouble}; the last list is kept")
-        if self.retry is None:
-            self.retry = self.loop.call_later(RETRY_S, self._follow_again)
+        self.telling.say("trouble", f"registry: {error}; the last list is kept")
+        if self.retry_timer is None:
+            self.retry_timer = self.loop.call_later(FOLLOW_RETRY_DELAY_S, self._retry_follow)
 
-    def _follow_again(self) -> None:
-        self.retry = None
+    def _retry_follow(self) -> None:
+        self.retry_timer = None
         if self.client.up_at:
-            self._do(self.following.connected())
+            self._apply(self.following.connected())
             self.client.flush()
 
-    # Telling
+    # Figures
 
     def age_s(self) -> float:
-        """How long nothing sound has been heard of the registry, in seconds."""
+        """Seconds since the list was last known to be current; 0 while it is followed."""
         return self.telling.age_s()
 
     def figures(self) -> dict[str, object]:
@@ -197,30 +195,30 @@
         }
 
 
-class User:
-    """The client's user; one that has been replaced by a reload says nothing more."""
+class CurrentCallbacks:
+    """The callbacks of one client; ignored once a reload has replaced the client."""
 
     def __init__(self, source: RegistrySource, generation: int) -> None:
         self.source = source
         self.generation = generation
 
-    def _now(self) -> bool:
+    def _is_current(self) -> bool:
         return self.source.generation == self.generation
 
     def up(self) -> None:
-        if self._now():
+        if self._is_current():
             self.source.up()
 
     def down(self, reason: str) -> None:
-        if self._now():
+        if self._is_current():
             self.source.down(reason)
 
     def expired(self) -> None:
-        if self._now():
+        if self._is_current():
             self.source.expired()
 
     def event(self, event: Event) -> None:
-        if self._now():
+        if self._is_current():
             self.source.event(event)
 
 
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -1,4 +1,4 @@
-"""The source of a Consul catalog against the stand-in, which the package py-consul judges."""
+"""The Consul source against the stand-in cluster, which is checked with the client of py-consul."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     services,
     trust_of,
 )
-from garnethaven.membership.payloads import PAYLOAD_MOST
+from garnethaven.membership.payloads import MAX_PAYLOAD_BYTES
 from garnethaven.membership.table import Consul, ConsulHost, ConsulRegistration, Membership
 from standins.consul.cluster import Cluster
 from tests.loopback import run, until
@@ -57,7 +57,7 @@
         return self.source_of("consul")
 
     def serving(self) -> Any:
-        """The agent that is asked now."""
+        """The agent that answers the source's queries at present."""
         return next(agent for agent in self.cluster.agents if agent.writers)
 
 
@@ -104,7 +104,7 @@
 def test_a_removal_in_a_break_is_found_by_absence_and_a_new_life_is_cold() -> None:
     async def case() -> None:
         async with world(1, 2, 3) as made:
-            born = made.entry(3).started
+            first_start = made.entry(3).started
             for agent in made.cluster.agents:
                 agent.stop()
             await made.vanish(2, 3)
@@ -112,7 +112,7 @@
             await holds(lambda: made.up() == {1, 2, 3}, 0.2)
             for agent in made.cluster.agents:
                 await agent.start()
-            await until(lambda: made.up() == {1, 3} and made.entry(3).started > born)
+            await until(lambda: made.up() == {1, 3} and made.entry(3).started > first_start)
             await until(lambda: made.consul.telling.age_s() == 0.0)
 
     run(case())
@@ -224,7 +224,7 @@
             (agent,) = made.cluster.agents
             agent.index_told = told
             agent.cut()
-            await until(lambda: any("its index is" in line for line in made.log))
+            await until(lambda: any("has an invalid index" in line for line in made.log))
             assert agent.queries < 40 and made.up() == {1}
 
     run(case())
@@ -247,7 +247,7 @@
             await made.cluster.tell()
             await until(lambda: not made.module)
             assert made.consul.figures()["flaws"] == {"no JSON": 1, "too large": 1}
-            assert all(len(one.value) <= PAYLOAD_MOST + 1 for one in made.consul.core.entries.values())
+            assert all(len(one.value) <= MAX_PAYLOAD_BYTES + 1 for one in made.consul.core.entries.values())
 
     run(case())
 
@@ -258,13 +258,13 @@
         async with world(1, 2) as made:
             for number in (2, 3):
                 other.catalog.register("checks", f"n{number}", *address(number), {})
-            least: list[int] = []
+            server_counts: list[int] = []
             assert made.sources is not None
-            made.sources.merger.changed.append(lambda: least.append(len(made.up())))
+            made.sources.merger.changed.append(lambda: server_counts.append(len(made.up())))
             hosts = (ConsulHost(("127.0.0.1", other.agents[0].port)),)
             made.sources.reload(Membership(consul=made.settings(hosts=hosts)))
             await made.sees(2, 3)
-            assert min(least) >= 2
+            assert min(server_counts) >= 2
         await other.close()
 
     run(case())
@@ -280,7 +280,7 @@
 
             await until(lambda: "t" in instances() and made.consul.own.there)
             assert (instances()["t"].port, instances()["t"].checks["service:t"].status) == (999, "passing")
-            made.cluster.catalog.deregister("t")  # the agent has forgotten it
+            made.cluster.catalog.deregister("t")  # the agent loses the registration
             await until(lambda: "t" in instances() and made.consul.own.there)
             await made.consul.withdraw()
             assert "t" not in instances()
@@ -290,10 +290,10 @@
 
 def test_what_answers_say() -> None:
     assert trust_of("default", {}, 0) is trust_of("consistent", {}, 0) is Trust.PROVEN
-    heard = {"x-consul-knownleader": "true", "x-consul-lastcontact": "900"}
-    assert trust_of("stale", heard, 1000) is Trust.PLAIN
-    assert trust_of("stale", heard, 800) is Trust.DOUBTFUL
-    assert trust_of("stale", heard | {"x-consul-knownleader": "false"}, 1000) is Trust.DOUBTFUL
+    headers = {"x-consul-knownleader": "true", "x-consul-lastcontact": "900"}
+    assert trust_of("stale", headers, 1000) is Trust.PLAIN
+    assert trust_of("stale", headers, 800) is Trust.DOUBTFUL
+    assert trust_of("stale", headers | {"x-consul-knownleader": "false"}, 1000) is Trust.DOUBTFUL
     assert serves([{"CheckID": "a", "Status": "warning"}], warning=True)
     assert not serves([{"CheckID": "a", "Status": "warning"}], warning=False)
     assert index_of({"x-consul-index": "7"}) == 7
@@ -307,7 +307,7 @@
 
 
 def test_the_stand_in_is_a_registry_to_the_librarys_own_client() -> None:
-    def judge(port: int) -> None:
+    def check_with_library(port: int) -> None:
         client = consul.Consul(host="127.0.0.1", port=port)
         assert client.kv.put("a/1", "x")
         index, found = client.kv.get("a/", recurse=True)
@@ -323,7 +323,7 @@
 
     async def case() -> None:
         cluster = await Cluster(1).start()
-        await asyncio.to_thread(judge, cluster.agents[0].port)
+        await asyncio.to_thread(check_with_library, cluster.agents[0].port)
         await cluster.close()
 
     run(case())
@@ -343,8 +343,8 @@
         "Checks": [],
     }
     (entry,) = services(json.dumps([item]).encode(), warning=True).values()
-    told = json.loads(entry.value)
-    assert (told["host_port"], told["phase"], told["up_since_ms"]) == (
+    document = json.loads(entry.value)
+    assert (document["host_port"], document["phase"], document["up_since_ms"]) == (
         "10.0.0.9:80",
         "SERVING",
         1700000000000,
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -1,4 +1,4 @@
-"""The source of an etcd cluster against the stand-in, which the package aetcd's own client judges."""
+"""The etcd source against the stand-in cluster, which is checked with the client of the package aetcd."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from msgspec.structs import replace
 
 from garnethaven.interface import Endpoint, ListKind, State
-from garnethaven.membership.etcd.client import end_of
-from garnethaven.membership.payloads import PAYLOAD_MOST
+from garnethaven.membership.etcd.client import prefix_end
+from garnethaven.membership.payloads import MAX_PAYLOAD_BYTES
 from garnethaven.membership.table import Etcd, EtcdHost, EtcdRegistration, Membership, Tls
 from standins.etcd.cluster import Cluster, Member
 from tests.loopback import run, until
@@ -38,7 +38,7 @@
         self.cluster.delete(*(f"{PREFIX}n{number}" for number in numbers))
 
     async def watched(self) -> Member:
-        """The member that is watched; the first list may be there before its watch is."""
+        """The member that serves the watch, which may open only after the first list has arrived."""
         await until(lambda: any(member.watches for member in self.cluster.members))
         return next(member for member in self.cluster.members if member.watches)
 
@@ -94,12 +94,12 @@
                 member.go()
             made.vanish(2)
             made.appear(4)
-            await holds(lambda: made.up() == {1, 2, 3}, 0.2)  # silence is no removal
+            await holds(lambda: made.up() == {1, 2, 3}, 0.2)  # an unreachable registry removes nothing
             reads = made.etcd.reads
             for member in made.cluster.members:
                 member.down = False
             await made.sees(1, 3, 4)
-            assert made.etcd.reads == reads  # caught up from the revision that was held
+            assert made.etcd.reads == reads  # caught up from the last revision, without another full read
             await until(lambda: made.etcd.telling.age_s() == 0.0)
 
     run(case())
@@ -141,16 +141,16 @@
 def test_a_key_removed_and_put_back_in_a_gap_is_a_new_life() -> None:
     async def case() -> None:
         async with world(1, 2) as made:
-            born = made.entry(1).started
+            first_start = made.entry(1).started
             for member in made.cluster.members:
                 member.go()
             made.vanish(1)
             made.appear(1)
-            made.appear(2, cell=7)  # only changed: the same life
+            made.appear(2, cell=7)  # only changed: the server has not restarted
             for member in made.cluster.members:
                 member.down = False
-            await until(lambda: made.up() == {1, 2} and made.entry(1).started > born)
-            assert made.entry(2).started == born
+            await until(lambda: made.up() == {1, 2} and made.entry(1).started > first_start)
+            assert made.entry(2).started == first_start
             made.vanish(1)
             made.appear(1, up_since_ms=1)
             await until(lambda: made.up() == {1, 2})
@@ -274,7 +274,7 @@
             made.appear(2)
             await made.sees(1, 2, 5)
             assert made.etcd.figures()["flaws"] == {"no JSON": 1, "too large": 1}
-            assert max(len(one.value) for one in made.core.entries.values()) == PAYLOAD_MOST + 1
+            assert max(len(one.value) for one in made.core.entries.values()) == MAX_PAYLOAD_BYTES + 1
             assert sum("not used" in line for line in made.log) == 1
 
     run(case())
@@ -287,7 +287,7 @@
             first.silent = True
             made.vanish(1)
             await made.sees(2)
-            assert any("told nothing" in line for line in made.log)
+            assert any("sent no answer" in line for line in made.log)
 
     run(case())
 
@@ -297,12 +297,12 @@
         async with world(1, 2) as made:
             made.cluster.put("/other/n2", payload(2))
             made.cluster.put("/other/n3", payload(3))
-            least = []
+            server_counts = []
             assert made.sources is not None
-            made.sources.merger.changed.append(lambda: least.append(len(made.up())))
+            made.sources.merger.changed.append(lambda: server_counts.append(len(made.up())))
             made.sources.reload(Membership(etcd=made.settings(prefix="/other/")))
             await made.sees(2, 3)
-            assert min(least) >= 2
+            assert min(server_counts) >= 2
 
     run(case())
 
@@ -315,13 +315,13 @@
             for member in made.cluster.members:
                 member.go()
             made.vanish(1)
-            again = World(made.cluster)
-            again.follow_table(Membership(etcd=again.settings(cache=path)))
-            await again.sees(1, 2)
+            restarted = World(made.cluster)
+            restarted.follow_table(Membership(etcd=restarted.settings(cache=path)))
+            await restarted.sees(1, 2)
             for member in made.cluster.members:
                 member.down = False
-            await again.sees(2)
-            await again.close()
+            await restarted.sees(2)
+            await restarted.close()
 
     run(case())
 
@@ -333,8 +333,8 @@
                 member.go()
             await until(lambda: made.etcd.telling.age_s() > 0.0)
             loop = asyncio.get_running_loop()
-            later = loop.time
-            monkeypatch.setattr(made.etcd.telling.loop, "time", lambda: later() + 3600.0)
+            real_time = loop.time
+            monkeypatch.setattr(made.etcd.telling.loop, "time", lambda: real_time() + 3600.0)
             assert made.etcd.telling.age_s() > 3600.0
             assert made.up() == {1, 2}
             monkeypatch.undo()
@@ -356,10 +356,10 @@
 def test_over_tls(tmp_path: Path) -> None:
     async def case() -> None:
         authority = trustme.CA()
-        its = authority.issue_cert("127.0.0.1")
+        server_cert = authority.issue_cert("127.0.0.1")
         authority.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
-        chain = its.cert_chain_pems[0].bytes()
-        credentials = grpc.ssl_server_credentials([(its.private_key_pem.bytes(), chain)])
+        chain = server_cert.cert_chain_pems[0].bytes()
+        credentials = grpc.ssl_server_credentials([(server_cert.private_key_pem.bytes(), chain)])
         tls = Tls(ca=str(tmp_path / "ca.pem"))
         async with world(1, 2, credentials=credentials, tls=tls) as made:
             made.vanish(1)
@@ -376,30 +376,30 @@
             await until(lambda: b"/sidecars/t" in store.keys)
             assert b'"host_port": "127.0.0.1:999"' in store.keys[b"/sidecars/t"].value
             (lease,) = store.leases
-            made.cluster.end_lease(lease)  # lost: put back on another
+            made.cluster.end_lease(lease)  # the lease is lost: the key is put with another
             await until(lambda: b"/sidecars/t" in store.keys and lease not in store.leases)
             await until(lambda: made.etcd.own.lease != 0)
             own = made.etcd.own
-            took_back, again = own.take_back, asyncio.Event()
+            take_back, kept_after_withdrawal = own.take_back, asyncio.Event()
 
-            async def slowly() -> None:
-                """A sign of life is due while the key is taken back."""
-                await took_back()
-                await own._keep(own.line)
-                again.set()
+            async def take_back_then_keep() -> None:
+                """Renew the lease while the key is being withdrawn: the key must not be put again."""
+                await take_back()
+                await own._keep(own.member)
+                kept_after_withdrawal.set()
 
-            own.take_back = slowly
+            own.take_back = take_back_then_keep
             await made.etcd.withdraw()
-            assert again.is_set()
+            assert kept_after_withdrawal.is_set()
             assert b"/sidecars/t" not in store.keys and not store.leases
 
     run(case())
 
 
 def test_the_end_of_a_prefix() -> None:
-    assert end_of(b"/a/") == b"/a0"
-    assert end_of(b"a\xff") == b"b"
-    assert end_of(b"\xff\xff") == b"\0"
+    assert prefix_end(b"/a/") == b"/a0"
+    assert prefix_end(b"a\xff") == b"b"
+    assert prefix_end(b"\xff\xff") == b"\0"
 
 
 def test_the_stand_in_is_a_registry_to_the_librarys_own_client() -> None:
@@ -410,8 +410,13 @@
         async with aetcd.Client("127.0.0.1", cluster.members[0].port) as client:
             assert await client.get(b"k") is None
             await client.put(b"k", b"1")
-            got = await client.get(b"k")
-            assert (got.value, got.create_revision, got.mod_revision, got.version) == (b"1", 2, 2, 1)
+            stored = await client.get(b"k")
+            assert (stored.value, stored.create_revision, stored.mod_revision, stored.version) == (
+                b"1",
+                2,
+                2,
+                1,
+            )
             watch = await client.watch_prefix(b"k")
             await client.put(b"k2", b"2")
             await client.delete(b"k")
@@ -423,7 +428,7 @@
             assert [(event.kind, event.kv.key) for event in events] == [("PUT", b"k2"), ("DELETE", b"k")]
             lease = await client.lease(1)
             await client.put(b"l", b"x", lease=lease)
-            await until(lambda: b"l" not in cluster.store.keys)  # nobody keeps it alive
+            await until(lambda: b"l" not in cluster.store.keys)  # the lease is not renewed
             await client.compact(cluster.store.revision)
             found = [one.key async for one in _all(await client.get_prefix(b"k"))]
             assert found == [b"k2"]
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -1,4 +1,4 @@
-"""The registry's failures on loopback sockets: sessions, hosts, events, payloads, lags, our own session."""
+"""ZooKeeper failures on loopback sockets: sessions, hosts, lost events, bad payloads, lagging hosts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         async with world(1, 2) as made:
             before = made.entry(1).started
             made.vanish(1)
-            made.appear(1)  # in one breath: both events may be read in one turn
+            made.appear(1)  # at once: both events may arrive in one read
             await until(lambda: made.up() == {1, 2} and made.entry(1).started > before)
 
     run(case())
@@ -99,13 +99,13 @@
 def test_our_own_expired_session_says_nothing_of_the_servers() -> None:
     async def case() -> None:
         async with world(1, 2, 3) as made:
-            session, handed = made.own_session(), made.handed_over
+            session, updates_before = made.own_session(), made.handed_over
             made.ensemble.expire(session)
             await until(lambda: made.own_session() not in (0, session))
             await until(lambda: made.age_s() == 0.0)
             assert made.up() == {1, 2, 3}
             assert made.client.expirations == 1
-            assert made.handed_over == handed  # nothing has changed
+            assert made.handed_over == updates_before  # the same list is not passed on again
             made.vanish(1)
             await made.sees(2, 3)
 
@@ -213,7 +213,9 @@
                 "an address outside the allowed ranges",
                 "not ephemeral",
             }
-            assert sum("its server is not used" in line for line in made.log) == 1  # a bounded rate
+            assert (
+                sum("its server is not used" in line for line in made.log) == 1
+            )  # log lines of one kind are rate limited
 
     run(case())
 
@@ -275,7 +277,7 @@
             began = loop.time()
             made.vanish(1)
             await until(lambda: 1 not in made.up())
-            assert loop.time() - began < 5.0  # a bound for a slow machine; batches.py holds the rule
+            assert loop.time() - began < 5.0  # generous for slow machines; batches.py has the actual limit
             await made.sees(*(set(range(300)) - {1}))
             assert made.handed_over > calm
 
@@ -287,15 +289,15 @@
         async with world(1, 2) as made:
             made.ensemble.make("/other")
             session = made.sessions[5] = made.ensemble.begin(40_000)
-            told = {"address": address(5)[0], "port": 80}
-            made.ensemble.make("/other/x", json.dumps(told).encode(), session)
+            fields = {"address": address(5)[0], "port": 80}
+            made.ensemble.make("/other/x", json.dumps(fields).encode(), session)
             seen: list[set[int]] = []
             made.sources.merger.changed.append(lambda: seen.append(made.up()))
             old = made.own_session()
             made.source.reload(made.registry(root="/other", form="curator"), ("127.0.0.1", 1))
             await made.sees(5)
-            assert all(step for step in seen)  # never without servers on the way
-            await until(lambda: old not in made.ensemble.sessions)  # the old session was closed
+            assert all(step for step in seen)  # the list is never empty during the change
+            await until(lambda: old not in made.ensemble.sessions)  # the old session is closed
             made.ensemble.expire(session.id)
             await made.sees()
 
@@ -306,7 +308,7 @@
     async def case() -> None:
         cache = str(tmp_path / "last.json")
         async with world(1, 2, 3, cache=cache) as made:
-            await made.sources.close()  # which writes it
+            await made.sources.close()  # writes the cache
             made.module.clear()
             for host in made.ensemble.hosts:
                 host.stop()
@@ -318,7 +320,7 @@
             for host in made.ensemble.hosts:
                 await host.start()
             await made.sees(1, 3)
-            assert made.entry(1).started == started  # the same creation is no start
+            assert made.entry(1).started == started  # the same node: the server has not restarted
 
     run(case())
 
@@ -349,19 +351,19 @@
             made.vanish(1)
             await made.sees(2, 9)
             made.sources.merger.from_discovery(ListKind.FULL, [(Endpoint(77), address(1))])
-            assert made.up() == {2}  # what discovery says of 1 is older than its end
+            assert made.up() == {2}  # the registry's removal of 1 is newer than the entry of discovery
 
     run(case())
 
 
 def test_over_tls_the_hosts_are_proved_and_so_are_we(tmp_path: Path) -> None:
     async def case() -> None:
-        authority, stranger = trustme.CA(), trustme.CA()
+        authority, other_authority = trustme.CA(), trustme.CA()
         authority.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
-        stranger.cert_pem.write_to_path(str(tmp_path / "other.pem"))
-        ours = authority.issue_cert("client.example")
-        ours.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
-        ours.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
+        other_authority.cert_pem.write_to_path(str(tmp_path / "other.pem"))
+        client_cert = authority.issue_cert("client.example")
+        client_cert.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
+        client_cert.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         authority.issue_cert("127.0.0.1").configure_cert(context)
         authority.configure_trust(context)
@@ -397,7 +399,7 @@
                 host.cut()
             connects = made.client.connects
             await until(lambda: made.client.connects > connects and made.age_s() == 0.0)
-            assert "/me" not in tree.nodes  # nothing makes it again
+            assert "/me" not in tree.nodes  # a new connection does not create it again
 
     run(case())
 
@@ -413,7 +415,7 @@
             await until(lambda: made.ensemble.tree.nodes["/me"].stat.owner == made.own_session() != 0)
             await made.sources.close()
             made.follow(register=Registration("/taken"))
-            await until(lambda: any("is another's" in line for line in made.log))
+            await until(lambda: any("belongs to another session" in line for line in made.log))
             assert made.ensemble.tree.nodes["/taken"].stat.owner == earlier.id
 
     run(case())
@@ -447,14 +449,14 @@
             for one in worlds:
                 await one.sees(1)
             first = made.ensemble.hosts[0]
-            lost = sum(line.session is not None for line in first.lines)
-            assert lost > 5
+            lost_clients = sum(line.session is not None for line in first.lines)
+            assert lost_clients > 5
             before = [len(host.connects) for host in made.ensemble.hosts]
             first.stop()
             others = made.ensemble.hosts[1:]
-            await until(lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost)
-            came = zip(others, before[1:], strict=True)
-            moments = sorted(moment for host, count in came for moment in host.connects[count:])
+            await until(lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost_clients)
+            connects_after = zip(others, before[1:], strict=True)
+            moments = sorted(moment for host, count in connects_after for moment in host.connects[count:])
             assert moments[-1] - moments[0] > 0.3
             assert max(sum(at <= one < at + 0.1 for one in moments) for at in moments) < 0.6 * len(moments)
             for one in worlds:
--- a/tests/membership/test_payloads.py
+++ b/tests/membership/test_payloads.py
@@ -1,4 +1,4 @@
-"""What nodes say, in three forms, and what becomes of those that say nothing of use."""
+"""Decoding registry entries in the three forms, and the rejection of entries that can't be used."""
 
 from __future__ import annotations
 
@@ -10,7 +10,14 @@
 
 from garnethaven.interface import State
 from garnethaven.membership.model import Fact
-from garnethaven.membership.payloads import FORMS, PAYLOAD_MOST, Payload, PayloadError, Rules, written
+from garnethaven.membership.payloads import (
+    FORMS,
+    MAX_PAYLOAD_BYTES,
+    Payload,
+    PayloadError,
+    Rules,
+    encode_entry,
+)
 
 ZONES, KINDS = {"a": 0, "b": 1}, {"m": 0, "n": 1}
 OWN = {
@@ -32,7 +39,7 @@
     "registrationTimeUTC": 123,
     "serviceType": "DYNAMIC",
 }
-SET = {
+SERVER_SET = {
     "serviceEndpoint": {"host": "10.0.0.1", "port": 80},
     "additionalEndpoints": {"admin": {"host": "10.0.0.1", "port": 99}},
     "status": "ALIVE",
@@ -40,8 +47,8 @@
 }
 
 
-def read(told: Any, ctime_ms: int = 9000, **rules: Any) -> Fact:
-    data = told if isinstance(told, bytes) else json.dumps(told).encode()
+def read(document: Any, ctime_ms: int = 9000, **rules: Any) -> Fact:
+    data = document if isinstance(document, bytes) else json.dumps(document).encode()
     payload = Payload(Rules(**rules), ZONES, KINDS, lambda wall_ms: wall_ms * 10)
     return payload.read(data, 42, ctime_ms)
 
@@ -57,8 +64,8 @@
 
 
 def test_without_a_start_the_nodes_creation_counts_and_proves_nothing() -> None:
-    told = {key: value for key, value in OWN.items() if key != "up_since_ms"}
-    fact = read(told)
+    document = {key: value for key, value in OWN.items() if key != "up_since_ms"}
+    fact = read(document)
     assert (fact.entry.started, fact.proof) == (90_000, 0)
 
 
@@ -75,12 +82,12 @@
 
 
 def test_server_sets() -> None:
-    assert read(SET, form="serverset").address == ("10.0.0.1", 80)
-    assert read(SET, form="serverset", endpoint="admin").address == ("10.0.0.1", 99)
+    assert read(SERVER_SET, form="serverset").address == ("10.0.0.1", 80)
+    assert read(SERVER_SET, form="serverset", endpoint="admin").address == ("10.0.0.1", 99)
     for status in ("STOPPING", "DEAD", "STARTING", None):
-        assert read(SET | {"status": status}, form="serverset").entry.state is State.DRAINING
+        assert read(SERVER_SET | {"status": status}, form="serverset").entry.state is State.DRAINING
     with pytest.raises(PayloadError):
-        read(SET, form="serverset", endpoint="none")
+        read(SERVER_SET, form="serverset", endpoint="none")
 
 
 @pytest.mark.parametrize(
@@ -89,7 +96,7 @@
         ("own", b""),
         ("own", b"\xff\xfe"),
         ("own", b"[" * 100_000),
-        ("own", b"x" * (PAYLOAD_MOST + 1)),
+        ("own", b"x" * (MAX_PAYLOAD_BYTES + 1)),
         ("own", b"[]"),
         ("own", b"3"),
         ("own", {}),
@@ -112,7 +119,7 @@
 def test_a_node_that_can_not_be_read_is_no_licence_to_send(form: str, told: Any) -> None:
     with pytest.raises(PayloadError) as raised:
         read(told, form=form)
-    assert len(str(raised.value)) < 60  # a reason, not the payload
+    assert len(str(raised.value)) < 60  # a fixed reason, without the payload
 
 
 @pytest.mark.parametrize(
@@ -146,5 +153,5 @@
 
 @pytest.mark.parametrize("form", FORMS)
 def test_what_is_written_of_ourselves_is_read_alike(form: str) -> None:
-    fact = read(written(form, ("10.0.0.9", 81), {"name": "us"}), form=form)
+    fact = read(encode_entry(form, ("10.0.0.9", 81), {"name": "us"}), form=form)
     assert (fact.address, fact.entry.state) == (("10.0.0.9", 81), State.UP)
