--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -1,4 +1,4 @@
-"""A registry of any kind on loopback and the sources that follow it, with what the module would be told."""
+"""The sources that follow a registry on loopback, and the list that the decision module receives."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def config(seed: int = 1) -> Config:
-    told = facts()
+    settings = facts()
     return Config(
         name="t",
         listen=("127.0.0.1", 999),
@@ -26,18 +26,18 @@
         memory_mb=64,
         sockets=256,
         known={},
-        settings=read_settings(told),
-        names=read_names(told),
+        settings=read_settings(settings),
+        names=read_names(settings),
     )
 
 
 def payload(number: int, **changes: Any) -> bytes:
-    told = {
+    fields = {
         "host_port": f"10.0.{number // 250}.{number % 250 + 1}:80",
         "phase": "SERVING",
         "cell": number // 3,
     }
-    return json.dumps(told | changes).encode()
+    return json.dumps(fields | changes).encode()
 
 
 def address(number: int) -> tuple[str, int]:
@@ -45,7 +45,7 @@
 
 
 class Estate:
-    """The program's side."""
+    """The followed sources, the resulting servers, and the log lines."""
 
     def __init__(self) -> None:
         self.module: dict[int, Endpoint] = {}
@@ -74,13 +74,13 @@
         return self.sources.registries[name]
 
     def numbers(self) -> Iterable[int]:
-        """Of all servers that there may be."""
+        """The numbers of all servers that a test may use."""
         return range(100)
 
     def up(self) -> set[int]:
-        """The numbers of the servers that may be used."""
+        """The numbers of the servers whose state is UP."""
         known = {number_of(address(number)): number for number in self.numbers()}
-        return {known[one] for one, entry in self.module.items() if entry.state is State.UP}
+        return {known[server_id] for server_id, entry in self.module.items() if entry.state is State.UP}
 
     async def sees(self, *numbers: int) -> None:
         await until(lambda: self.up() == set(numbers))
@@ -94,7 +94,7 @@
 
 
 async def holds(condition: Callable[[], bool], seconds: float) -> None:
-    """That a condition goes on holding for a while."""
+    """Assert that the condition stays true for this many seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         assert condition()
--- a/tests/membership/test_registry_settings.py
+++ b/tests/membership/test_registry_settings.py
@@ -1,4 +1,4 @@
-"""The tables of key-value registries, checked strictly; off means absent."""
+"""Strict checks of the settings of key-value registries; nothing is imported while they are off."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "etcd.toml"))["membership"]
-    assert isinstance(told, Membership) and told.etcd is not None
-    assert (len(told.etcd.hosts), told.etcd.register is not None) == (3, True)
+    membership = read_operator(str(ROOT / "deploy" / "examples" / "etcd.toml"))["membership"]
+    assert isinstance(membership, Membership) and membership.etcd is not None
+    assert (len(membership.etcd.hosts), membership.etcd.register is not None) == (3, True)
 
 
 def test_members_have_the_registrys_own_port(tmp_path: Path) -> None:
-    told = read(f"[membership.etcd]\n{GOOD}", tmp_path).etcd
-    assert told is not None and told.hosts == (("127.0.0.1", 2379), ("127.0.0.2", 9))
+    etcd = read(f"[membership.etcd]\n{GOOD}", tmp_path).etcd
+    assert etcd is not None and etcd.hosts == (("127.0.0.1", 2379), ("127.0.0.2", 9))
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
 )
 def test_a_bad_field_is_named(line: str, field: str, tmp_path: Path) -> None:
     name = line.partition(" ")[0]
-    kept = "".join(f"{told}\n" for told in GOOD.splitlines() if not told.startswith(name + " "))
+    kept = "".join(f"{entry}\n" for entry in GOOD.splitlines() if not entry.startswith(name + " "))
     with pytest.raises(OperatorError, match=f"'membership.etcd.{field}' ") as raised:
         read(f"[membership.etcd]\n{line}\n{kept}", tmp_path)
     assert "." in field or "line 2" in str(raised.value)
@@ -62,9 +62,13 @@
 
 
 def test_the_example_of_consul_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "consul.toml"))["membership"]
-    assert isinstance(told, Membership) and told.consul is not None
-    assert (told.consul.service, told.consul.mode, told.consul.map.cell) == ("checks", "stale", "rack")
+    membership = read_operator(str(ROOT / "deploy" / "examples" / "consul.toml"))["membership"]
+    assert isinstance(membership, Membership) and membership.consul is not None
+    assert (membership.consul.service, membership.consul.mode, membership.consul.map.cell) == (
+        "checks",
+        "stale",
+        "rack",
+    )
 
 
 @pytest.mark.parametrize(
@@ -97,14 +101,14 @@
 
 
 def test_the_rig_in_short_misses_no_removal() -> None:
-    code, figures, said = play("registry", "--seed", "6", "--seconds", "14")
-    assert code in (0, 1), said
-    assert figures["sent"] > 1000, said
-    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (said, figures)
+    code, figures, output = play("registry", "--seed", "6", "--seconds", "14")
+    assert code in (0, 1), output
+    assert figures["sent"] > 1000, output
+    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
     assert figures["missing"] == figures["doubled"] == 0
     for kind in ("etcd", "consul"):
-        told = figures[kind]
-        assert told["removals_missed"] == told["resurrected"] == 0, figures
-        assert told["removals_in_gaps"] >= 4 and told["compactions"] >= 2
+        counts = figures[kind]
+        assert counts["removals_missed"] == counts["resurrected"] == 0, figures
+        assert counts["removals_in_gaps"] >= 4 and counts["compactions"] >= 2
     outcomes = ("served", "refused", "failed", "gone", "missing")
     assert sum(figures[name] for name in outcomes) == figures["sent"]
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's table, checked strictly; off means absent."""
+"""Strict checks of the settings of the ZooKeeper source; nothing is imported while it is off."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 def read(text: str, tmp_path: Path) -> Membership:
     path = tmp_path / "o.toml"
     path.write_text(text)
-    told = read_operator(str(path))["membership"]
-    assert isinstance(told, Membership)
-    return told
+    membership = read_operator(str(path))["membership"]
+    assert isinstance(membership, Membership)
+    return membership
 
 
 def test_nothing_of_it_is_imported_where_it_is_off() -> None:
@@ -27,11 +27,11 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "membership.toml"))["membership"]
-    assert isinstance(told, Membership) and told.zookeeper is not None
-    assert len(told.zookeeper.hosts) == 3
-    assert told.zookeeper.rules.form == "curator"
-    assert told.zookeeper.register is not None
+    membership = read_operator(str(ROOT / "deploy" / "examples" / "membership.toml"))["membership"]
+    assert isinstance(membership, Membership) and membership.zookeeper is not None
+    assert len(membership.zookeeper.hosts) == 3
+    assert membership.zookeeper.rules.form == "curator"
+    assert membership.zookeeper.register is not None
 
 
 def test_defaults_and_the_registrys_own_port(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
 )
 def test_a_bad_field_is_named(line: str, field: str, tmp_path: Path) -> None:
     name = line.partition(" ")[0]
-    kept = "".join(f"{told}\n" for told in GOOD.splitlines() if not told.startswith(name + " "))
+    kept = "".join(f"{entry}\n" for entry in GOOD.splitlines() if not entry.startswith(name + " "))
     with pytest.raises(OperatorError, match=f"'membership.zookeeper.{field}' ") as raised:
         read(f"[membership.zookeeper]\n{line}\n{kept}", tmp_path)
     assert "." in field or "line 2" in str(raised.value)
