--- a/garnethaven/membership/consul/client.py
+++ b/garnethaven/membership/consul/client.py
@@ -17,7 +17,7 @@
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 CONNECT_TIMEOUT_S = 2.0
 CALL_TIMEOUT_S = 3.0
-WAIT_JITTER_DIVISOR = 16  # the agent adds up to 1/16 of the wait as jitter
+WAIT_JITTER_DIVISOR = 16  # the agent adds up to 1/16 of the wait, to spread the clients' queries
 
 
 class Agent:
--- a/garnethaven/membership/table.py
+++ b/garnethaven/membership/table.py
@@ -250,7 +250,7 @@
 
 
 class Move(Table, frozen=True):
-    """Servers move between sources: leaving `before` does not remove them from `after`."""
+    """Servers move between sources: one removed from `before` stays in the list while `after` has it."""
 
     before: Annotated[str, said("the source that they leave")] = field(name="from")
     after: Annotated[str, said("the source that they come to")] = field(name="to")
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -11,8 +11,8 @@
 - A deletion takes effect at once. A created or changed node is read; until the reply arrives, the previous
   fact of the node stays valid, unless the node had been deleted.
 - At most `MAX_READS_IN_FLIGHT` reads are in flight; a node that changes again while queued is read once.
-- A directory that does not exist has no servers. One that may not be read is an error and leaves the known
-  servers as they are.
+- A directory that does not exist has no servers. One that may not be read is an error: contact counts as
+  lost, and the known servers stay.
 - A node that can't be used affects only its own server, which is removed; such nodes are counted by reason.
 - A deleted node never returns: if a read shows a node with a creation zxid from before its deletion, the host
   lags, whatever zxid its replies carry, and the host is left.
--- a/garnethaven/membership/zookeeper/registration.py
+++ b/garnethaven/membership/zookeeper/registration.py
@@ -4,7 +4,7 @@
 | --- | --- |
 | a session is up | create the node; if the reply to an earlier create was lost, NODE_EXISTS shows it |
 | NODE_EXISTS, owned by this session | registered: the session was resumed, or a reply was lost |
-| NODE_EXISTS, another session, same data or not ephemeral | left by an earlier run: delete and create |
+| NODE_EXISTS, another session, same data (our address) or not ephemeral | delete an earlier run's, create |
 | NODE_EXISTS, another session, other data | logged; the program stays unregistered |
 | the session expired | the node was deleted with it; the next session creates another |
 | withdraw | delete the node; it is not created again |
