--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -454,7 +454,9 @@
             before = [len(host.connects) for host in made.ensemble.hosts]
             first.stop()
             others = made.ensemble.hosts[1:]
-            await wait_until(lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost_clients)
+            await wait_until(
+                lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost_clients
+            )
             connects_after = zip(others, before[1:], strict=True)
             moments = sorted(moment for host, count in connects_after for moment in host.connects[count:])
             assert moments[-1] - moments[0] > 0.3
