--- a/garnethaven/budgets/__init__.py
+++ b/garnethaven/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets of the whole fleet: rights that each have one holder, and are handed to who needs them."""
+"""Fleet-wide budgets: tokens have one holder each and are lent to the members that need them."""
--- a/garnethaven/budgets/feature.py
+++ b/garnethaven/budgets/feature.py
@@ -1,6 +1,6 @@
-"""The table `[budgets]` at work: the engine's `Spending`, over the members of `[peers]`.
+"""The feature behind the table `[budgets]`: implements the engine's `Spending` with the members of `[peers]`.
 
-Without `[peers]` each program has its even part by `homes` or `fleetSize`, and nobody to ask.
+Without `[peers]` each process spends its even share by `homes` or `fleetSize` and borrows from nobody.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 def budgets_of(table: Budgets) -> dict[int, Budget]:
-    """Those that are set, by kind."""
-    lasts = int(table.lasts_s * S)
-    wanted = {
+    """Returns the configured budgets by the number of their kind."""
+    lifetime = int(table.lasts_s * S)
+    settings_by_kind = {
         Spend.RETRY: (table.retries_per_s, table.retries_share),
         Spend.COPY: (table.copies_per_s, table.copies_share),
         Spend.PROBE: (table.probes_per_s, 0.0),
@@ -30,12 +30,14 @@
         Spend.DISCOVERY: (table.discovery_per_s, 0.0),
     }
     return {
-        int(kind): Budget(per_s, share, lasts) for kind, (per_s, share) in wanted.items() if per_s or share
+        int(kind): Budget(per_s, share, lifetime)
+        for kind, (per_s, share) in settings_by_kind.items()
+        if per_s or share
     }
 
 
 class BudgetsFeature(Feature[Budgets, "Parts"]):
-    """The engine's `Spending`."""
+    """Implements the engine's `Spending`."""
 
     name = "budgets"
 
@@ -52,21 +54,23 @@
         parts, table = self.parts, self.table
         self.peers = parts.peers if parts.peers is not None and parts.peers.peer is not None else None
         since = clock()
-        homes = table.homes or parts.engine.settings.fleet_size
+        origin_count = table.homes or parts.engine.settings.fleet_size
         if self.peers is not None:
-            # A name that another process has shows within that: nothing is earned under it twice.
+            # A name conflict is detected within the horizon; until then nothing is earned under the name.
             since += int(self.peers.horizon_s * S)
-            homes = table.homes or self.peers.listed()
-        self.lending = Lending(budgets_of(table), max(1, homes), table.earns, since)
+            origin_count = table.homes or self.peers.listed()
+        self.lending = Lending(budgets_of(table), max(1, origin_count), table.earns, since)
         if self.peers is not None and self.peers.peer is not None:
             self.lending.join(self.peers.peer)
-            self.peers.after.append(self._look)
+            self.peers.after.append(self._check_name_conflict)
         parts.engine.spending = self
 
     async def open(self) -> None:
         if self.lending is not None and self.peers is None:
-            homes = self.lending.homes
-            self.parts.engine.log(f"budgets: no [peers]: one part of {homes} is spent here, and no other")
+            origin_count = self.lending.origin_count
+            self.parts.engine.log(
+                f"budgets: no [peers]: spending one of {origin_count} even shares here; nothing is borrowed"
+            )
 
     def renewed(self) -> None:
         budgets = budgets_of(self.table)
@@ -77,12 +81,12 @@
         self.lending.set_budgets(clock(), budgets)
         self.parts.engine.spending = self if budgets else None
 
-    def _look(self, now: int) -> None:
+    def _check_name_conflict(self, now: int) -> None:
         assert self.lending is not None and self.peers is not None and self.peers.peer is not None
         if self.peers.peer.mute(now):
-            self.lending.loses_all(now + CLASH)
+            self.lending.forfeit_all(now + CLASH)
 
-    # The engine's side
+    # Spending, called by the engine
 
     def may_spend(self, kind: Spend, subject: int = 0) -> bool:
         assert self.lending is not None
@@ -100,15 +104,15 @@
             return {}
         now = clock()
         kinds: dict[str, dict[str, float]] = {}
-        for (kind, _), held in lending.held.items():
-            told = kinds.setdefault(Spend(kind).name.lower(), {"held": 0.0, "spent": 0.0, "subjects": 0})
-            told["held"] = round(told["held"] + held.purse.held(now), 3)
-            told["spent"] += held.purse.spent
-            told["subjects"] += 1
+        for (kind, _), account in lending.accounts.items():
+            figures = kinds.setdefault(Spend(kind).name.lower(), {"held": 0.0, "spent": 0.0, "subjects": 0})
+            figures["held"] = round(figures["held"] + account.balance.available(now), 3)
+            figures["spent"] += account.balance.spent
+            figures["subjects"] += 1
         return {
-            "homes": lending.most_homes,
-            "given": round(lending.given, 3),
-            "taken": round(lending.taken, 3),
+            "homes": lending.max_origin_count,
+            "given": round(lending.transferred_out, 3),
+            "taken": round(lending.transferred_in, 3),
             "refused": lending.refused,
             "unreadable": lending.unreadable,
             "kinds": kinds,
--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -1,18 +1,19 @@
-"""One member's purses, and what it asks of others and gives them. Pure; the topic `budgets` in rows.
+"""One member's token balances, and the transfer of tokens between members. No I/O; topic `budgets` in rows.
 
-Who earns is told by the operator, by number, to all alike. Where files differ for a while, the largest number
-that anybody tells counts at everybody who hears it: less is earned, never more.
+The operator configures the number of members that earn tokens (origins), the same on all members. While
+configurations differ, every member uses the largest number it has received: less is earned then, never more.
 
-Who is refused for want of rights is *short*: it says so in its rows and asks more members than usual,
-naming what it lacks in each question. Who is asked gives up what it can spare, in the answer, in proportion
-to what all that are short have told: so nobody who needs rights is kept from them by who asked first. It
-keeps what it used lately, and `KEPT` of what it earns: a member is never without for another's sake.
+A member that refuses an action for lack of tokens is *short*. It publishes its shortage in its rows and asks
+more members than usual, naming the missing amount in each question. A member that is asked transfers what it
+can spare, in its answer, in proportion to the shortages that all members have published: nobody who needs
+tokens is left without because another asked first. It keeps what it spent recently and `RESERVE_RATIO` of
+what it earns, so that lending never leaves a member without tokens.
 
-A gift's rights are as old as told, plus the time since the question (conversation.py): delays make them end
-sooner, never later. Gifts of one process are numbered; one that has come before, or is older than one that
-has, is worth nothing.
+The age of transferred tokens is the published age plus the time since the question (conversation.py): delays
+make them expire earlier, never later. Transfers of one process are numbered; a duplicate, or one older than
+the latest received, is ignored.
 
-`may_spend` is answered at once, and says yes for what no budget is set for: then today's bounds hold alone.
+`may_spend` answers at once and returns True for kinds without a budget, which have only their local limits.
 """
 
 from __future__ import annotations
@@ -25,270 +26,299 @@
 import msgspec
 from msgspec import Meta
 
-from garnethaven.budgets.purse import SECOND, Purse, Rights
+from garnethaven.budgets.purse import SECOND, TokenBalance, TokenBatch
 from garnethaven.peers.conversation import Exchange, Peer, Topic
 
 TOPIC = "budgets"
-KEPT = 0.25  # of what a member earns in `lasts`: it does not give that away
-LOOK = SECOND  # over which spending and shortage are counted
-SUBJECTS_MOST = 4096  # purses of one member; the one that was asked longest ago is dropped with its rights
-WANTS_MOST = 16  # in one question, the largest first
-BATCHES_MOST = 32  # in one gift of one purse
-GIVEN_MOST = 32  # batches in one answer, from which on no further purse is opened: it is one datagram
-EAGER, EAGER_MOST = 5, 64  # more members that are asked in a period by who is short, without their rows
-ROUNDS = 2.0  # in which all others are asked while a right lasts, as far as `EAGER_MOST` goes
-GIVERS_MOST = 4096
-READ_MOST = 8192
-HOMES_MOST = 4096  # that are believed of another: more would leave nothing to anybody
-MS = 1_000_000
+RESERVE_RATIO = 0.25  # of what a member earns in a token lifetime; never lent
+USAGE_WINDOW = SECOND  # over which spending and shortages are counted
+SUBJECTS_MOST = 4096  # accounts of one member; the least recently used is dropped with its tokens
+MAX_SHORTAGES = 16  # in one question, largest first
+MAX_BATCHES_PER_TRANSFER = 32
+MAX_BATCHES_PER_ANSWER = 32  # no further account is added after that: an answer is one datagram
+# Additional peers that a short member asks in each period, without their rows.
+MIN_EXTRA_PEERS, MAX_EXTRA_PEERS = 5, 64
+# How often all other members are asked within a token lifetime, as far as `MAX_EXTRA_PEERS` allows.
+ROUNDS_PER_LIFETIME = 2.0
+GIVERS_MOST = 4096  # lending processes whose latest transfer number is kept
+MAX_DECODED_ROWS = 8192
+HOMES_MOST = 4096  # accepted from a peer: a larger number would reduce everybody's rate to almost nothing
+NS_PER_MS = 1_000_000
 
 Key = tuple[int, int]  # kind, subject
 
 
 class Budget(NamedTuple):
-    """Over the whole fleet: `per_s` a second, or `share` of what earns it; and so much at once."""
+    """A fleet-wide budget: `per_s` tokens per second plus `share` tokens per event that earns them."""
 
     per_s: float
     share: float
-    lasts: int  # nanoseconds: burst / rate
+    lifetime: int  # nanoseconds: burst / rate
 
 
-class Short(NamedTuple):
-    """What a member lacks of one purse."""
+class Shortage(NamedTuple):
+    """The amount of tokens that a member is missing in one account."""
 
     kind: int
     subject: int
     amount: float
 
 
-class Told(NamedTuple):
-    """What a member says in its rows: how many it was told earn, 0 where it does not, and what it lacks."""
+class PublishedState(NamedTuple):
+    """A member's topic: the configured number of origins (0: this member earns none) and its shortages."""
 
-    homes: int
-    short: Annotated[list[Short], Meta(max_length=16)]
+    origin_count: int
+    shortages: Annotated[list[Shortage], Meta(max_length=16)]
 
 
-class Gift(NamedTuple):
+class Transfer(NamedTuple):
+    """Tokens of one account on their way to another member."""
+
     kind: int
     subject: int
-    rights: Annotated[list[tuple[int, float]], Meta(max_length=BATCHES_MOST)]  # age in milliseconds, amount
+    # Age in milliseconds, amount.
+    batches: Annotated[list[tuple[int, float]], Meta(max_length=MAX_BATCHES_PER_TRANSFER)]
+
 
+class Transfers(NamedTuple):
+    """All transfers of one answer. `serial` increases with each answer of a process."""
 
-class Gifts(NamedTuple):
     serial: int
-    gifts: Annotated[list[Gift], Meta(max_length=WANTS_MOST)]
+    entries: Annotated[list[Transfer], Meta(max_length=MAX_SHORTAGES)]
 
 
-TOLD = msgspec.msgpack.Decoder(Told).decode
-WANTS = msgspec.msgpack.Decoder(Annotated[list[Short], Meta(max_length=WANTS_MOST)]).decode
-GIFTS = msgspec.msgpack.Decoder(Gifts).decode
+decode_published_state = msgspec.msgpack.Decoder(PublishedState).decode
+decode_shortages = msgspec.msgpack.Decoder(Annotated[list[Shortage], Meta(max_length=MAX_SHORTAGES)]).decode
+decode_transfers = msgspec.msgpack.Decoder(Transfers).decode
 
 
 @dataclass(slots=True)
-class Held:
-    """A purse, and what was wanted of it in this look and the one before."""
+class Account:
+    """A token balance, and the cost spent and refused in the previous and the current usage window."""
 
-    purse: Purse
+    balance: TokenBalance
     spent: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    lacked: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    asked_at: int = 0
+    refused_cost: list[float] = field(default_factory=lambda: [0.0, 0.0])
+    last_used_at: int = 0
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
+        """Starts a new usage window."""
         self.spent = [self.spent[1], 0.0]
-        self.lacked = [self.lacked[1], 0.0]
+        self.refused_cost = [self.refused_cost[1], 0.0]
 
 
 class Lending:
-    """One member's. `homes` is the number of members that earn, 0 where this one does not."""
+    """One member's accounts. `origin_count` is the configured number of members that earn."""
 
-    def __init__(self, budgets: Mapping[int, Budget], homes: int, earns: bool, since: int) -> None:
-        self.peer: Peer | None = None  # nobody is asked or given anything
+    def __init__(self, budgets: Mapping[int, Budget], origin_count: int, earns: bool, since: int) -> None:
+        self.peer: Peer | None = None  # None: no tokens are transferred
         self.budgets = dict(budgets)
-        self.homes = homes  # as this member was told
-        self.most_homes = homes  # as anybody that was heard was told
+        self.origin_count = origin_count  # as configured here
+        self.max_origin_count = origin_count  # the largest known of any member
         self.earns = earns
-        self.held: dict[Key, Held] = {}
-        self.began = since  # what is earned by the clock is earned since then
-        self.turned_at = since
+        self.accounts: dict[Key, Account] = {}
+        self.earns_since = since  # tokens are earned by time from here on
+        self.rotated_at = since
         self.serial = 0
-        self.got: dict[int, int] = {}  # by giving process, the last gift
-        self.others: dict[Key, float] = {}  # what others are short of, as told
-        self.read: dict[str, tuple[tuple[int, int], Told]] = {}
-        self.given = self.taken = self.refused = 0.0
+        self.last_serials: dict[int, int] = {}  # by lending process, the number of its latest transfer
+        self.remote_shortages: dict[Key, float] = {}  # published by other members, summed
+        self.decoded_rows: dict[str, tuple[tuple[int, int], PublishedState]] = {}
+        self.transferred_out = self.transferred_in = self.refused = 0.0
         self.unreadable = 0
 
     def join(self, peer: Peer) -> None:
-        """From now on other members are asked, told and given."""
+        """Starts publishing to, asking and answering other members."""
         self.peer = peer
-        peer.topics[TOPIC] = Topic(self._tells, lambda: None)
-        peer.exchanges[TOPIC] = Exchange(self._wants, self._gives, self._takes)
+        peer.topics[TOPIC] = Topic(self._publish, lambda: None)
+        peer.exchanges[TOPIC] = Exchange(self._wanted, self._transfer_out, self._transfer_in)
 
     def set_budgets(self, now: int, budgets: Mapping[int, Budget]) -> None:
-        """Other budgets from now on; what was earned by the old ones is kept for as long as it lasts."""
+        """Replaces the budgets; tokens earned under the old ones are kept until they expire."""
         self.budgets = dict(budgets)
-        for (kind, subject), held in list(self.held.items()):
+        for (kind, subject), account in list(self.accounts.items()):
             budget = self.budgets.get(kind)
             if budget is None:
-                del self.held[kind, subject]
+                del self.accounts[kind, subject]
                 continue
-            held.purse.held(now)
-            fresh = Purse(self._rate(budget), budget.lasts, max(now, self.began))
-            fresh.take(now, held.purse.batches)
-            held.purse = fresh
-        self.began = max(now, self.began)  # no purse that is made later earns by what held before
-
-    def set_homes(self, now: int, homes: int) -> None:
-        """Others were told that so many earn: by less each from now on."""
-        if homes != self.most_homes:
-            self.most_homes = homes
+            account.balance.available(now)
+            balance = TokenBalance(self._rate(budget), budget.lifetime, max(now, self.earns_since))
+            balance.deposit(now, account.balance.batches)
+            account.balance = balance
+        # A balance created later earns nothing for the time before.
+        self.earns_since = max(now, self.earns_since)
+
+    def set_origin_count(self, now: int, origin_count: int) -> None:
+        """Uses another number of origins from now on."""
+        if origin_count != self.max_origin_count:
+            self.max_origin_count = origin_count
             self.set_budgets(now, self.budgets)
 
-    def loses_all(self, since: int) -> None:
-        """Another process has this member's name: nothing is held, and nothing is earned before then."""
-        self.held.clear()
-        self.began = max(self.began, since)
+    def forfeit_all(self, since: int) -> None:
+        """Drops all tokens, since another process has this member's name; earns none before `since`."""
+        self.accounts.clear()
+        self.earns_since = max(self.earns_since, since)
 
     def _rate(self, budget: Budget) -> float:
-        return budget.per_s / self.most_homes if self.earns else 0.0
+        return budget.per_s / self.max_origin_count if self.earns else 0.0
 
-    def _held(self, now: int, key: Key) -> Held:
-        held = self.held.get(key)
-        if held is None:
+    def _account(self, now: int, key: Key) -> Account:
+        account = self.accounts.get(key)
+        if account is None:
             budget = self.budgets[key[0]]
-            held = Held(Purse(self._rate(budget), budget.lasts, self.began))
-            if len(self.held) >= SUBJECTS_MOST:
-                del self.held[min(self.held, key=lambda one: self.held[one].asked_at)]
-                self.began = now  # what it held is gone, and must not be earned again by being made anew
-            self.held[key] = held
-        held.asked_at = now
-        return held
+            account = Account(TokenBalance(self._rate(budget), budget.lifetime, self.earns_since))
+            if len(self.accounts) >= SUBJECTS_MOST:
+                del self.accounts[
+                    min(self.accounts, key=lambda candidate: self.accounts[candidate].last_used_at)
+                ]
+                self.earns_since = now  # its tokens are dropped and must not be earned again by a new account
+            self.accounts[key] = account
+        account.last_used_at = now
+        return account
 
     # Spending
 
     def may_spend(self, now: int, kind: int, subject: int, cost: float) -> bool:
-        """Whether this may be done now; what is refused makes this member short."""
+        """Spends `cost` tokens; a refusal is recorded as this member's shortage."""
         if kind not in self.budgets:
             return True
-        held = self._held(now, (kind, subject))
-        if held.purse.spend(now, cost):
-            held.spent[1] += cost
+        account = self._account(now, (kind, subject))
+        if account.balance.spend(now, cost):
+            account.spent[1] += cost
             return True
-        held.lacked[1] += cost
+        account.refused_cost[1] += cost
         self.refused += cost
         return False
 
     def earn(self, now: int, kind: int, subject: int = 0, count: float = 1.0) -> None:
-        """Something happened that earns a share of this budget."""
+        """Adds the tokens for `count` events that earn a share of this budget."""
         budget = self.budgets.get(kind)
         if budget is not None and budget.share > 0.0:
-            self._held(now, (kind, subject)).purse.earn(now, budget.share * count)
+            self._account(now, (kind, subject)).balance.earn(now, budget.share * count)
 
-    # Telling and asking
+    # Publishing and asking
 
-    def _short(self) -> list[Short]:
-        """What this member lacks, the most first."""
-        short = [
-            Short(kind, subject, round(max(held.lacked), 2))
-            for (kind, subject), held in self.held.items()
-            if max(held.lacked) > 0.0
+    def _local_shortages(self) -> list[Shortage]:
+        """Returns this member's shortages, largest first."""
+        shortages = [
+            Shortage(kind, subject, round(max(account.refused_cost), 2))
+            for (kind, subject), account in self.accounts.items()
+            if max(account.refused_cost) > 0.0
         ]
-        short.sort(key=lambda one: -one.amount)
-        return short[:WANTS_MOST]
+        shortages.sort(key=lambda shortage: -shortage.amount)
+        return shortages[:MAX_SHORTAGES]
 
-    def _tells(self, now: int) -> Told:
+    def _publish(self, now: int) -> PublishedState:
         assert self.peer is not None
-        if now - self.turned_at >= LOOK:
-            self.turned_at = now
-            for held in self.held.values():
-                held.turn()
-        short = self._short()
-        self.peer.eager = self._eager() if short else 0
-        self._hear(now)
-        return Told(self.homes if self.earns else 0, short)
-
-    def _eager(self) -> int:
-        """Members to ask beyond the usual, so that rights of all come before they end."""
+        if now - self.rotated_at >= USAGE_WINDOW:
+            self.rotated_at = now
+            for account in self.accounts.values():
+                account.rotate()
+        shortages = self._local_shortages()
+        self.peer.eager = self._extra_peers() if shortages else 0
+        self._update_remote_state(now)
+        return PublishedState(self.origin_count if self.earns else 0, shortages)
+
+    def _extra_peers(self) -> int:
+        """Returns how many additional peers to ask per period, so that all are asked before tokens expire."""
         assert self.peer is not None
-        lasts = min(budget.lasts for budget in self.budgets.values())
-        wanted = ROUNDS * self.peer.members.counted() * self.peer.rules.period / lasts
-        return max(EAGER, min(EAGER_MOST, math.ceil(wanted)))
-
-    def _hear(self, now: int) -> None:
-        """What all others that are known are short of, and how many they were told earn."""
+        lifetime = min(budget.lifetime for budget in self.budgets.values())
+        peers_per_period = (
+            ROUNDS_PER_LIFETIME * self.peer.members.counted() * self.peer.rules.period / lifetime
+        )
+        return max(MIN_EXTRA_PEERS, min(MAX_EXTRA_PEERS, math.ceil(peers_per_period)))
+
+    def _update_remote_state(self, now: int) -> None:
+        """Sums the shortages published by other members and takes over the largest number of origins."""
         assert self.peer is not None
-        self.others, homes = {}, self.homes
-        for name, kept in self.peer.rows.kept.items():
-            if name == self.peer.own:
+        self.remote_shortages, origin_count = {}, self.origin_count
+        for member, kept in self.peer.rows.kept.items():
+            if member == self.peer.own:
                 continue
-            told = self._read(name, kept.row.version, kept.row.told.get(TOPIC))
-            homes = max(homes, min(told.homes, HOMES_MOST))  # also of the silent: they go on earning
-            if self.peer.rows.hears(now, name):
-                for one in told.short:
-                    key = one.kind, one.subject
-                    self.others[key] = self.others.get(key, 0.0) + max(0.0, one.amount)
-        self.set_homes(now, homes)
-
-    def _read(self, name: str, version: tuple[int, int], raw: msgspec.Raw | None) -> Told:
-        known = self.read.get(name)
-        if known is None or known[0] != version:
-            told = Told(0, [])
+            state = self._decoded_state(member, kept.row.version, kept.row.told.get(TOPIC))
+            # Includes members not heard lately: they go on earning.
+            origin_count = max(origin_count, min(state.origin_count, HOMES_MOST))
+            if self.peer.rows.hears(now, member):
+                for shortage in state.shortages:
+                    key = shortage.kind, shortage.subject
+                    self.remote_shortages[key] = self.remote_shortages.get(key, 0.0) + max(
+                        0.0, shortage.amount
+                    )
+        self.set_origin_count(now, origin_count)
+
+    def _decoded_state(self, name: str, version: tuple[int, int], raw: msgspec.Raw | None) -> PublishedState:
+        cached = self.decoded_rows.get(name)
+        if cached is None or cached[0] != version:
+            state = PublishedState(0, [])
             if raw is not None:
                 try:
-                    told = TOLD(raw)
+                    state = decode_published_state(raw)
                 except msgspec.MsgspecError:
                     self.unreadable += 1
-            known = self.read[name] = version, told
-            if len(self.read) > READ_MOST:
-                self.read.clear()
-        return known[1]
-
-    def _wants(self, now: int) -> list[Short] | None:
-        return self._short() or None
-
-    # Giving and taking
-
-    def _gives(self, now: int, name: str, raw: msgspec.Raw) -> Gifts | None:
-        """Give up for the one that asks what can be spared; it is gone here before the answer is made."""
-        gifts: list[Gift] = []
-        room = GIVEN_MOST
-        for want in WANTS(raw):
-            if want.kind not in self.budgets or not 0.0 < want.amount < float("inf") or room <= 0:
+            cached = self.decoded_rows[name] = version, state
+            if len(self.decoded_rows) > MAX_DECODED_ROWS:
+                self.decoded_rows.clear()
+        return cached[1]
+
+    def _wanted(self, now: int) -> list[Shortage] | None:
+        return self._local_shortages() or None
+
+    # Transfers
+
+    def _transfer_out(self, now: int, name: str, raw: msgspec.Raw) -> Transfers | None:
+        """Removes what can be spared for the member that asks; done before the answer is built."""
+        transfers: list[Transfer] = []
+        batches_left = MAX_BATCHES_PER_ANSWER
+        for shortage in decode_shortages(raw):
+            if (
+                shortage.kind not in self.budgets
+                or not 0.0 < shortage.amount < float("inf")
+                or batches_left <= 0
+            ):
                 continue
-            amount = self._spare(now, want)
+            amount = self._spare_amount(now, shortage)
             if amount <= 0.0:
                 continue
-            rights = self.held[want.kind, want.subject].purse.give(now, amount)
-            told = [(-(-(now - one.born) // MS), math.floor(one.amount * 1e6) / 1e6) for one in rights]
-            room -= len(told)
-            if told:
-                gifts.append(Gift(want.kind, want.subject, told))
-                self.given += sum(amount for _, amount in told)
-        if not gifts:
+            batches = self.accounts[shortage.kind, shortage.subject].balance.withdraw(now, amount)
+            ages_and_amounts = [
+                (-(-(now - batch.earned_at) // NS_PER_MS), math.floor(batch.amount * 1e6) / 1e6)
+                for batch in batches
+            ]
+            batches_left -= len(ages_and_amounts)
+            if ages_and_amounts:
+                transfers.append(Transfer(shortage.kind, shortage.subject, ages_and_amounts))
+                self.transferred_out += sum(amount for _, amount in ages_and_amounts)
+        if not transfers:
             return None
         self.serial += 1
-        return Gifts(self.serial, gifts)
+        return Transfers(self.serial, transfers)
 
-    def _spare(self, now: int, want: Short) -> float:
-        key = want.kind, want.subject
-        held = self._held(now, key)
-        if max(held.lacked) > 0.0:
+    def _spare_amount(self, now: int, shortage: Shortage) -> float:
+        key = shortage.kind, shortage.subject
+        account = self._account(now, key)
+        if max(account.refused_cost) > 0.0:
             return 0.0
-        budget, purse = self.budgets[want.kind], held.purse
-        keeps = max(KEPT * purse.rate * budget.lasts / SECOND, max(held.spent))
-        spare = purse.held(now) - keeps
-        part = want.amount / max(want.amount, self.others.get(key, 0.0))
-        return min(want.amount, spare * part)
-
-    def _takes(self, now: int, asked_at: int, process: int, raw: msgspec.Raw) -> None:
-        told = GIFTS(raw)
-        if told.serial <= self.got.get(process, 0):
+        budget, balance = self.budgets[shortage.kind], account.balance
+        reserve = max(RESERVE_RATIO * balance.rate * budget.lifetime / SECOND, max(account.spent))
+        spare = balance.available(now) - reserve
+        share = shortage.amount / max(shortage.amount, self.remote_shortages.get(key, 0.0))
+        return min(shortage.amount, spare * share)
+
+    def _transfer_in(self, now: int, asked_at: int, process: int, raw: msgspec.Raw) -> None:
+        transfers = decode_transfers(raw)
+        if transfers.serial <= self.last_serials.get(process, 0):
             return
-        self.got.pop(process, None)
-        self.got[process] = told.serial
-        if len(self.got) > GIVERS_MOST:
-            del self.got[next(iter(self.got))]
-        for gift in told.gifts:
-            if gift.kind not in self.budgets:
+        self.last_serials.pop(process, None)
+        self.last_serials[process] = transfers.serial
+        if len(self.last_serials) > GIVERS_MOST:
+            del self.last_serials[next(iter(self.last_serials))]
+        for transfer in transfers.entries:
+            if transfer.kind not in self.budgets:
                 continue
-            rights = [Rights(asked_at - age_ms * MS, amount) for age_ms, amount in gift.rights if age_ms >= 0]
-            self.taken += self._held(now, (gift.kind, gift.subject)).purse.take(now, rights)
+            batches = [
+                TokenBatch(asked_at - age_ms * NS_PER_MS, amount)
+                for age_ms, amount in transfer.batches
+                if age_ms >= 0
+            ]
+            self.transferred_in += self._account(now, (transfer.kind, transfer.subject)).balance.deposit(
+                now, batches
+            )
--- a/garnethaven/budgets/purse.py
+++ b/garnethaven/budgets/purse.py
@@ -1,27 +1,29 @@
-"""A budget's rights at one member: earned, spent, given away, and worth nothing after a while. Pure.
+"""One member's token balance for a budget: tokens are earned, spent, transferred, and expire. No I/O.
 
-Theory. A budget allows the fleet `rate` a second and `burst` at once. It is divided at the source: each
-member of the list earns its even part of the rate, whether or not it hears anybody, and nobody else earns
-any. (A budget that is a share of something, as repeats of first tries, is earned where that happens.) What
-is earned is a *right*. It has one holder; it is spent once, by its holder, or given up by its holder before
-the datagram that hands it on is made, and taken in once however often that comes; and it is worth nothing
-any more when it is older than `lasts` = burst / rate. Ages are bounded from above on each way
-(gossip/rows.py), and a clock that is slow by `DRIFT` is allowed for: a right never lasts longer than that
-by any clock.
+Theory. A budget allows the fleet `rate` actions per second and a burst of `burst`. The rate is divided at the
+source: each member that tokens originate from earns an even share of the rate, whether or not it receives
+messages from the others, and no other member earns any. (A budget that is a ratio of some event, such as
+retries per first attempt, is earned where that event happens.) One token pays for one action. It has exactly
+one holder. It is either spent once by its holder, or removed from the holder's balance before the datagram
+that transfers it is built and added once by the receiver, however often that datagram arrives. It expires
+when it is older than `lifetime` = burst / rate. Ages are bounded from above in each direction
+(gossip/rows.py), and `lifetime` is shortened by `CLOCK_DRIFT` to allow for a slow clock, so that no token
+outlives it by any clock.
 
-Invariant. Let spent(t1, t2) be what all members spend in a span. Each right spent in it was earned in
-(t1 - lasts, t2), and each at most once:
+Invariant. Let spent(t1, t2) be what all members spend in a span. Each token spent in it was earned in
+(t1 - lifetime, t2), and each at most once:
 
-    spent(t1, t2) <= rate * (t2 - t1 + lasts) = rate * (t2 - t1) + burst
+    spent(t1, t2) <= rate * (t2 - t1 + lifetime) = rate * (t2 - t1) + burst
 
-at every moment, in any partition, whatever is lost, repeated or late, and whoever crashes: a right that is on
-its way or at one who died is never made again. Nothing is agreed on, so nothing can be disagreed on.
+at every moment, in any partition, with any loss, duplication or delay of messages, and after any crash: a
+token in transit, or held by a member that crashed, is never issued a second time. There is no consensus, so
+there is none that could fail.
 
-A process that begins has no rights and earns from then on: a crash loses at most what was held, and a restart
-mints nothing twice. That it earns needs no permission, so nobody ever stands without for longer than it takes
-to earn one right.
+A process starts with an empty balance and earns from then on: a crash loses at most the tokens held, and a
+restart issues no token twice. Earning needs no permission, so no member is without a token for longer than it
+takes to earn one.
 
-Times are whole nanoseconds of the caller's monotonic clock.
+Times are integer nanoseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -31,140 +33,140 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-GRAINS = 16  # batches in which rights of one budget are kept: an age is exact to a sixteenth of `lasts`
-STEPS = 128  # of `lasts`: how often what the clock earns is counted
-DRIFT = 0.02
-CRUMB = 1e-9
-WORTH_GIVING = 0.75  # of `lasts`: an older right would end on its way
+BATCHES_PER_LIFETIME = 16  # batches that a balance is kept in: ages are exact to 1/16 of the lifetime
+UPDATES_PER_LIFETIME = 128  # how often tokens earned by time are added
+CLOCK_DRIFT = 0.02  # relative
+EPSILON = 1e-9  # tolerance for floating-point rounding, in tokens
+MAX_TRANSFER_AGE = 0.75  # of the lifetime; an older token would expire in transit
 
 
-class Rights(NamedTuple):
-    """So many, that were earned no later than then."""
+class TokenBatch(NamedTuple):
+    """An amount of tokens, and the latest time at which any of them was earned."""
 
-    born: int
+    earned_at: int
     amount: float
 
 
-class Purse:
-    """One budget of one subject at one member. `rate`: what is earned here by the clock, a second.
+class TokenBalance:
+    """One member's tokens of one budget for one subject. `rate`: tokens earned here per second.
 
-    Between two looks, a `STEPS`th of `lasts` apart, nothing is earned and nothing grows too old but what is
-    due: the usual question costs a comparison.
+    Tokens are added and expired only when an update is due, at most every 1 / `UPDATES_PER_LIFETIME` of the
+    lifetime or when the oldest batch expires, so that the usual call costs one comparison.
     """
 
-    __slots__ = ("batches", "earned_at", "lasts", "look_at", "rate", "spent", "total")
+    __slots__ = ("accrued_until", "batches", "lifetime", "next_update", "rate", "spent", "total")
 
-    def __init__(self, rate: float, lasts: int, now: int) -> None:
+    def __init__(self, rate: float, lifetime: int, now: int) -> None:
         self.rate = rate
-        self.lasts = int(lasts / (1.0 + DRIFT))
-        self.batches: deque[Rights] = deque()  # the oldest first
-        self.total = 0.0  # of these
-        self.earned_at = now
-        self.look_at = now
+        self.lifetime = int(lifetime / (1.0 + CLOCK_DRIFT))
+        self.batches: deque[TokenBatch] = deque()  # oldest first
+        self.total = 0.0  # tokens in `batches`
+        self.accrued_until = now
+        self.next_update = now
         self.spent = 0.0
 
     @property
-    def grain(self) -> int:
-        return max(1, self.lasts // GRAINS)
+    def batch_span(self) -> int:
+        return max(1, self.lifetime // BATCHES_PER_LIFETIME)
 
-    def held(self, now: int) -> float:
-        """Rights that may be spent now."""
-        if now >= self.look_at:
-            self._look(now)
+    def available(self, now: int) -> float:
+        """Returns the number of unexpired tokens."""
+        if now >= self.next_update:
+            self._update(now)
         return self.total
 
-    def _look(self, now: int) -> None:
-        """Earn what is due and drop what is too old."""
+    def _update(self, now: int) -> None:
+        """Adds the tokens earned by time and removes expired batches."""
         self._earn_by_clock(now)
-        oldest = now - self.lasts
-        while self.batches and self.batches[0].born <= oldest:
+        expired_before = now - self.lifetime
+        while self.batches and self.batches[0].earned_at <= expired_before:
             self.batches.popleft()
         self.total = sum(batch.amount for batch in self.batches)
-        self.look_at = now + max(1, self.lasts // STEPS)
+        self.next_update = now + max(1, self.lifetime // UPDATES_PER_LIFETIME)
         if self.batches:
-            self.look_at = min(self.look_at, self.batches[0].born + self.lasts)
+            self.next_update = min(self.next_update, self.batches[0].earned_at + self.lifetime)
 
     def _earn_by_clock(self, now: int) -> None:
-        """What a moment earns is as old as the beginning of its grain."""
-        if self.rate <= 0.0 or now <= self.earned_at:
-            self.earned_at = max(self.earned_at, now)
+        """Adds tokens earned since the last update; each counts as earned at the start of its batch span."""
+        if self.rate <= 0.0 or now <= self.accrued_until:
+            self.accrued_until = max(self.accrued_until, now)
             return
-        since, grain = max(self.earned_at, now - self.lasts), self.grain
-        while since < now:
-            begin = since - since % grain
-            until = min(now, begin + grain)
-            self._put(Rights(begin, self.rate * (until - since) / SECOND))
-            since = until
-        self.earned_at = now
-
-    def _put(self, rights: Rights) -> None:
-        """Rights of one grain are one batch."""
+        start, span = max(self.accrued_until, now - self.lifetime), self.batch_span
+        while start < now:
+            batch_start = start - start % span
+            end = min(now, batch_start + span)
+            self._add(TokenBatch(batch_start, self.rate * (end - start) / SECOND))
+            start = end
+        self.accrued_until = now
+
+    def _add(self, batch: TokenBatch) -> None:
+        """Adds tokens, merged into the batch of the same span."""
         batches = self.batches
-        if batches and batches[-1].born == rights.born:
-            batches[-1] = Rights(rights.born, batches[-1].amount + rights.amount)
-        elif batches and batches[-1].born > rights.born:
-            self.batches = deque(_merged(sorted([*batches, rights]), self.grain))
+        if batches and batches[-1].earned_at == batch.earned_at:
+            batches[-1] = TokenBatch(batch.earned_at, batches[-1].amount + batch.amount)
+        elif batches and batches[-1].earned_at > batch.earned_at:
+            self.batches = deque(_merge_batches(sorted([*batches, batch]), self.batch_span))
         else:
-            batches.append(rights)
-        self.total += rights.amount
-        self.look_at = min(self.look_at, rights.born + self.lasts)
+            batches.append(batch)
+        self.total += batch.amount
+        self.next_update = min(self.next_update, batch.earned_at + self.lifetime)
 
     def earn(self, now: int, amount: float) -> None:
-        """Something happened here that earns rights."""
-        self._put(Rights(now - now % self.grain, amount))
+        """Adds tokens for an event that earns them."""
+        self._add(TokenBatch(now - now % self.batch_span, amount))
 
     def spend(self, now: int, cost: float) -> bool:
-        """Whether there are rights for it, of which the oldest are spent."""
-        if now >= self.look_at:
-            self._look(now)
-        if self.total + CRUMB < cost:
+        """Spends `cost` tokens, oldest first; returns False and spends nothing where there are too few."""
+        if now >= self.next_update:
+            self._update(now)
+        if self.total + EPSILON < cost:
             return False
         self.total -= cost
         self.spent += cost
-        batches, left = self.batches, cost
-        while left > CRUMB and batches:
-            born, amount = batches[0]
-            if amount > left + CRUMB:
-                batches[0] = Rights(born, amount - left)
+        batches, remaining = self.batches, cost
+        while remaining > EPSILON and batches:
+            earned_at, amount = batches[0]
+            if amount > remaining + EPSILON:
+                batches[0] = TokenBatch(earned_at, amount - remaining)
                 break
-            left -= amount
+            remaining -= amount
             batches.popleft()
         return True
 
-    def give(self, now: int, amount: float) -> list[Rights]:
-        """Give up so many at the most: the oldest that are young enough to be of use where they go.
+    def withdraw(self, now: int, amount: float) -> list[TokenBatch]:
+        """Removes and returns at most `amount` tokens: the oldest that would not expire in transit.
 
-        Those that stay are the youngest: what a member keeps for itself does not grow old in its hands.
+        The youngest tokens stay, so that the member's own reserve does not expire early.
         """
-        left, given, kept = min(amount, self.held(now)), [], []
-        too_old = now - int(self.lasts * WORTH_GIVING)
+        remaining, withdrawn, kept = min(amount, self.available(now)), [], []
+        too_old = now - int(self.lifetime * MAX_TRANSFER_AGE)
         for batch in self.batches:
-            taken = min(left, batch.amount) if batch.born > too_old else 0.0
-            if taken > CRUMB:
-                given.append(Rights(batch.born, taken))
-                left -= taken
-            if batch.amount - taken > CRUMB:
-                kept.append(Rights(batch.born, batch.amount - taken))
+            moved = min(remaining, batch.amount) if batch.earned_at > too_old else 0.0
+            if moved > EPSILON:
+                withdrawn.append(TokenBatch(batch.earned_at, moved))
+                remaining -= moved
+            if batch.amount - moved > EPSILON:
+                kept.append(TokenBatch(batch.earned_at, batch.amount - moved))
         self.batches = deque(kept)
-        self.look_at = now
-        return given
-
-    def take(self, now: int, rights: Iterable[Rights]) -> float:
-        """Take in what another gave up; how much of it is worth anything."""
-        worth = 0.0
-        for one in rights:
-            if now - self.lasts < one.born <= now and one.amount > 0.0:
-                self._put(one)
-                worth += one.amount
-        return worth
-
-
-def _merged(batches: list[Rights], grain: int) -> list[Rights]:
-    """Batches of one grain as one, as old as the oldest of them."""
-    made: list[Rights] = []
+        self.next_update = now
+        return withdrawn
+
+    def deposit(self, now: int, batches: Iterable[TokenBatch]) -> float:
+        """Adds tokens received from another member; returns the amount that has not expired."""
+        accepted = 0.0
+        for batch in batches:
+            if now - self.lifetime < batch.earned_at <= now and batch.amount > 0.0:
+                self._add(batch)
+                accepted += batch.amount
+        return accepted
+
+
+def _merge_batches(batches: list[TokenBatch], span: int) -> list[TokenBatch]:
+    """Merges batches that lie within one span; the result has the age of the oldest."""
+    merged: list[TokenBatch] = []
     for batch in batches:
-        if made and batch.born - made[-1].born < grain:
-            made[-1] = Rights(made[-1].born, made[-1].amount + batch.amount)
+        if merged and batch.earned_at - merged[-1].earned_at < span:
+            merged[-1] = TokenBatch(merged[-1].earned_at, merged[-1].amount + batch.amount)
         else:
-            made.append(batch)
-    return made
+            merged.append(batch)
+    return merged
--- a/garnethaven/budgets/table.py
+++ b/garnethaven/budgets/table.py
@@ -6,7 +6,7 @@
 
 from garnethaven.tables import Table, bounded, said
 
-PER_S_MOST = 100_000
+MAX_PER_S = 100_000
 
 
 class Budgets(Table, frozen=True):
@@ -15,15 +15,15 @@
     retries_share: Annotated[
         float, bounded(0, 1, "clients' marked retries and repeats, for each first try of the fleet")
     ] = 0.0
-    retries_per_s: Annotated[float, bounded(0, PER_S_MOST, "the same, beside that share", "a second")] = 0.0
+    retries_per_s: Annotated[float, bounded(0, MAX_PER_S, "the same, beside that share", "a second")] = 0.0
     copies_share: Annotated[float, bounded(0, 1, "second copies, for each first try of the fleet")] = 0.0
-    copies_per_s: Annotated[float, bounded(0, PER_S_MOST, "the same, beside that share", "a second")] = 0.0
-    probes_per_s: Annotated[float, bounded(0, PER_S_MOST, "probes of one server", "a second")] = 0.0
+    copies_per_s: Annotated[float, bounded(0, MAX_PER_S, "the same, beside that share", "a second")] = 0.0
+    probes_per_s: Annotated[float, bounded(0, MAX_PER_S, "probes of one server", "a second")] = 0.0
     cold_dials_per_s: Annotated[
-        float, bounded(0, PER_S_MOST, "connections to one server that has just started", "a second")
+        float, bounded(0, MAX_PER_S, "connections to one server that has just started", "a second")
     ] = 0.0
     discovery_per_s: Annotated[
-        float, bounded(0, PER_S_MOST, "calls to discovery out of turn", "a second")
+        float, bounded(0, MAX_PER_S, "calls to discovery out of turn", "a second")
     ] = 0.0
     lasts_s: Annotated[
         float,
--- a/tests/budgets/test_engine.py
+++ b/tests/budgets/test_engine.py
@@ -1,4 +1,4 @@
-"""What the engine does where a budget has no room: at once, by the rules, and as ever where none is set."""
+"""What the engine does where a budget has no tokens left, and where no budget is set."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "budgets.toml"))["budgets"]
-    assert isinstance(told, Budgets) and told.homes == 3 and told.retries_share == 0.1
+    table = read_operator(str(ROOT / "deploy" / "examples" / "budgets.toml"))["budgets"]
+    assert isinstance(table, Budgets) and table.homes == 3 and table.retries_share == 0.1
 
 
 @pytest.mark.parametrize(
@@ -54,22 +54,22 @@
     }
 
 
-class Room:
-    """A budget with so much room for each kind; what it was asked for."""
+class SpendingStub:
+    """Allows a fixed number of actions of each kind and records the calls."""
 
-    def __init__(self, **room: int) -> None:
-        self.room = {Spend[name]: left for name, left in room.items()}
-        self.asked: list[tuple[Spend, int]] = []
-        self.first = 0
+    def __init__(self, **remaining: int) -> None:
+        self.remaining = {Spend[name]: count for name, count in remaining.items()}
+        self.calls: list[tuple[Spend, int]] = []
+        self.first_tries = 0
 
     def may_spend(self, kind: Spend, subject: int = 0) -> bool:
-        self.asked.append((kind, subject))
-        left = self.room.get(kind, 1_000)
-        self.room[kind] = left - 1
-        return left > 0
+        self.calls.append((kind, subject))
+        remaining = self.remaining.get(kind, 1_000)
+        self.remaining[kind] = remaining - 1
+        return remaining > 0
 
     def first_try(self) -> None:
-        self.first += 1
+        self.first_tries += 1
 
 
 BUSY = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -78,14 +78,14 @@
 def test_a_marked_retry_without_room_is_refused_at_once_and_reaches_no_server() -> None:
     async def case() -> None:
         async with running(says(ANSWER)) as (sidecar, (peer,)):
-            room = Room(RETRY=1)
-            sidecar.engine.spending = room
+            spending_stub = SpendingStub(RETRY=1)
+            sidecar.engine.spending = spending_stub
             assert (await sidecar.ask(request()))[0] == 200
-            again = {"X_Again": "1"}
-            assert (await sidecar.ask(request(X_Call_Id="c2", **again)))[0] == 200
-            assert (await sidecar.ask(request(X_Call_Id="c3", **again)))[0] == 503
-            assert len(peer.requests) == 2 and room.first == 1
-            assert room.asked == [(Spend.RETRY, 0)] * 2
+            retry_header = {"X_Again": "1"}
+            assert (await sidecar.ask(request(X_Call_Id="c2", **retry_header)))[0] == 200
+            assert (await sidecar.ask(request(X_Call_Id="c3", **retry_header)))[0] == 503
+            assert len(peer.requests) == 2 and spending_stub.first_tries == 1
+            assert spending_stub.calls == [(Spend.RETRY, 0)] * 2
             assert not sidecar.engine.open_ids and not sidecar.engine.calls
 
     run(case())
@@ -94,10 +94,10 @@
 def test_a_further_attempt_without_room_is_not_made_and_the_request_ends() -> None:
     async def case() -> None:
         async with running(says(BUSY), says(BUSY)) as (sidecar, peers):
-            sidecar.engine.spending = Room(RETRY=0)
+            sidecar.engine.spending = SpendingStub(RETRY=0)
             assert (await sidecar.ask(request()))[0] == 503
             assert sum(len(peer.requests) for peer in peers) == 1
-            sidecar.engine.spending = Room(RETRY=1)
+            sidecar.engine.spending = SpendingStub(RETRY=1)
             assert (await sidecar.ask(request(X_Call_Id="c2")))[0] == 503
             assert sum(len(peer.requests) for peer in peers) == 3
             await until(lambda: not sidecar.engine.calls)
@@ -112,12 +112,12 @@
             members = [peer.member(f"s{n}") for n, peer in enumerate(peers)]
             members[1]["up_since_ms"] = started
             sidecar.tell(members)
-            room = Room(COLD_DIAL=0)
-            sidecar.engine.spending = room
+            spending_stub = SpendingStub(COLD_DIAL=0)
+            sidecar.engine.spending = spending_stub
             for number in range(12):
                 assert (await sidecar.ask(request(X_Call_Id=f"c{number}")))[0] == 200
             assert not peers[1].requests and len(peers[0].requests) == 12
-            cold = [subject for kind, subject in room.asked if kind is Spend.COLD_DIAL]
+            cold = [subject for kind, subject in spending_stub.calls if kind is Spend.COLD_DIAL]
             assert cold and len(set(cold)) == 1
 
     run(case())
--- a/tests/budgets/test_exploring.py
+++ b/tests/budgets/test_exploring.py
@@ -1,8 +1,7 @@
-"""Three members and the rights that they earn in three seconds: every order of what may happen.
+"""Explores every order of events among three members and the tokens that they earn in three seconds.
 
-Asking, arrival, loss, repeat, crash and a new beginning. Held to in each state: what was spent and what may
-still be spent is never more than what was earned, whoever asked whom, whatever was lost, came twice or
-late, and whoever crashed and began anew.
+Events are asking, arrival, loss, duplication, crash and restart. Checked in each state: tokens spent plus
+tokens that may still be spent never exceed the tokens earned.
 """
 
 from __future__ import annotations
@@ -13,26 +12,26 @@
 
 import msgspec
 
-from garnethaven.budgets.lending import TOPIC, Budget, Lending, Short
+from garnethaven.budgets.lending import TOPIC, Budget, Lending, Shortage
 from garnethaven.peers.conversation import PACK
 from tests.exploring import explore
 
 S = 1_000_000_000
 NAMES = "abc"
-PER_S = 3.0
-LASTS = 2 * S
+RATE_PER_S = 3.0
+LIFETIME = 2 * S
 TICKS = 3
 DEPTH = 6
-WHOLE = 3
-WANT = msgspec.Raw(PACK([Short(1, 0, 1.0)]))
+FULL_DEPTH = 3
+REQUESTED = msgspec.Raw(PACK([Shortage(1, 0, 1.0)]))
 Step = tuple[str, Any, Any]
 
 
 @dataclass
-class Flying:
-    """An answer on its way: to whom, when its question was sent, by which process it was given."""
+class InTransit:
+    """An answer in transit: its receiver, when its question was sent, and the process that sent it."""
 
-    to: str
+    receiver: str
     asked_at: int
     process: int
     gifts: bytes
@@ -41,17 +40,17 @@
 def member(process: int, now: int) -> tuple[Any, Lending]:
     rows = SimpleNamespace(kept={})
     peer: Any = SimpleNamespace(topics={}, exchanges={}, rows=rows, process=process, own="")
-    lending = Lending({1: Budget(PER_S, 0.0, LASTS)}, len(NAMES), True, now)
+    lending = Lending({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, len(NAMES), True, now)
     lending.join(peer)
     return peer, lending
 
 
 @dataclass
-class Small:
+class World:
     now: int = S
     members: dict[str, tuple[Any, Lending]] = field(default_factory=dict)
-    flying: list[Flying] = field(default_factory=list)
-    left: dict[str, int] = field(default_factory=lambda: {"lose": 1, "repeat": 1, "crash": 1})
+    in_transit: list[InTransit] = field(default_factory=list)
+    faults_left: dict[str, int] = field(default_factory=lambda: {"lose": 1, "repeat": 1, "crash": 1})
     processes: int = 0
     earned: float = 0.0
     spent: float = 0.0
@@ -65,76 +64,91 @@
         found: list[Step] = [("tick", None, None)] if self.ticks else []
         found += [("spend", name, None) for name in self.members]
         found += [("ask", one, other) for one in self.members for other in self.members if one != other]
-        flights = range(len(self.flying))
-        found += [("arrive", number, None) for number in flights]
-        for what in ("lose", "repeat"):
-            found += [(what, number, None) for number in flights if self.left[what]]
-        found += [("crash", name, None) for name in self.members if self.left["crash"]]
+        answers_in_transit = range(len(self.in_transit))
+        found += [("arrive", number, None) for number in answers_in_transit]
+        for action in ("lose", "repeat"):
+            found += [(action, number, None) for number in answers_in_transit if self.faults_left[action]]
+        found += [("crash", name, None) for name in self.members if self.faults_left["crash"]]
         found += [("begin", name, None) for name in NAMES if name not in self.members]
         return found
 
     def step(self, step: Step) -> None:
-        what, one, other = step
-        if what in self.left:
-            self.left[what] -= 1
-        if what == "tick":
+        action, argument, second_argument = step
+        if action in self.faults_left:
+            self.faults_left[action] -= 1
+        if action == "tick":
             self.ticks -= 1
             self.now += S
-            self.earned += PER_S / len(NAMES) * len(self.members)
-        elif what == "spend":
-            self.spent += self.members[one][1].may_spend(self.now, 1, 0, 1.0)
-        elif what == "ask":
-            peer, _ = self.members[other]
-            gifts = peer.exchanges[TOPIC].gives(self.now, one, WANT)
+            self.earned += RATE_PER_S / len(NAMES) * len(self.members)
+        elif action == "spend":
+            self.spent += self.members[argument][1].may_spend(self.now, 1, 0, 1.0)
+        elif action == "ask":
+            peer, _ = self.members[second_argument]
+            gifts = peer.exchanges[TOPIC].gives(self.now, argument, REQUESTED)
             if gifts is not None:
-                self.flying.append(Flying(one, self.now, peer.process, PACK(gifts)))
-        elif what == "crash":
-            del self.members[one]
-        elif what == "begin":
-            self.begin(one)
+                self.in_transit.append(InTransit(argument, self.now, peer.process, PACK(gifts)))
+        elif action == "crash":
+            del self.members[argument]
+        elif action == "begin":
+            self.begin(argument)
         else:
-            flight = self.flying[one] if what == "repeat" else self.flying.pop(one)
-            if what != "lose" and flight.to in self.members:
-                peer, _ = self.members[flight.to]
-                raw = msgspec.Raw(flight.gifts)
-                peer.exchanges[TOPIC].takes(self.now, flight.asked_at, flight.process, raw)
+            answer = self.in_transit[argument] if action == "repeat" else self.in_transit.pop(argument)
+            if action != "lose" and answer.receiver in self.members:
+                peer, _ = self.members[answer.receiver]
+                raw = msgspec.Raw(answer.gifts)
+                peer.exchanges[TOPIC].takes(self.now, answer.asked_at, answer.process, raw)
 
     def mark(self) -> object:
         return (
             self.ticks,
             self.spent,
-            tuple(self.left.values()),
+            tuple(self.faults_left.values()),
             tuple(
-                (name, lending.serial, tuple(lending.got.items()), self._purse(lending))
+                (name, lending.serial, tuple(lending.last_serials.items()), self._account_state(lending))
                 for name, (_, lending) in sorted(self.members.items())
             ),
-            tuple(sorted((f.to, f.asked_at, f.process, f.gifts) for f in self.flying)),
+            tuple(
+                sorted(
+                    (answer.receiver, answer.asked_at, answer.process, answer.gifts)
+                    for answer in self.in_transit
+                )
+            ),
         )
 
-    def _purse(self, lending: Lending) -> object:
-        held = lending.held.get((1, 0))
-        lacked = tuple(held.lacked) if held is not None else ()
-        return (tuple(held.purse.batches) if held is not None else None, lending.began, lacked)
+    def _account_state(self, lending: Lending) -> object:
+        account = lending.accounts.get((1, 0))
+        refused_cost = tuple(account.refused_cost) if account is not None else ()
+        return (
+            tuple(account.balance.batches) if account is not None else None,
+            lending.earns_since,
+            refused_cost,
+        )
 
-    def held(self) -> float:
-        """What may be spent now, at all members; what is on its way is nobody's yet."""
+    def available(self) -> float:
+        """Tokens that all members may spend now, without those in transit."""
         total = 0.0
         for _, lending in self.members.values():
-            held = lending.held.get((1, 0))
-            total += held.purse.held(self.now) if held is not None else self._idle(lending)
+            account = lending.accounts.get((1, 0))
+            total += (
+                account.balance.available(self.now) if account is not None else self._without_account(lending)
+            )
         return total
 
-    def _idle(self, lending: Lending) -> float:
-        return PER_S / len(NAMES) * min(self.now - lending.began, LASTS) / S
+    def _without_account(self, lending: Lending) -> float:
+        return RATE_PER_S / len(NAMES) * min(self.now - lending.earns_since, LIFETIME) / S
 
     def holds(self) -> None:
-        assert self.spent + self.held() <= self.earned + 1e-6, (self.spent, self.held(), self.earned)
+        assert self.spent + self.available() <= self.earned + 1e-6, (
+            self.spent,
+            self.available(),
+            self.earned,
+        )
 
 
 def test_nothing_is_spent_that_was_not_earned_and_nothing_twice() -> None:
-    world = Small()
+    world = World()
     for name in NAMES:
         world.begin(name)
     world.step(("tick", None, None))
-    _, sizes = explore(world, DEPTH, Small.holds, WHOLE, 120)
+    _, sizes = explore(world, DEPTH, World.holds, FULL_DEPTH, 120)
     assert sum(sizes) > 2_000
