--- a/garnethaven/budgets/table.py
+++ b/garnethaven/budgets/table.py
@@ -22,9 +22,9 @@
     cold_dials_per_s: Annotated[
         float, bounded(0, MAX_PER_S, "connections to one server that has just started", "a second")
     ] = 0.0
-    discovery_per_s: Annotated[
-        float, bounded(0, MAX_PER_S, "calls to discovery out of turn", "a second")
-    ] = 0.0
+    discovery_per_s: Annotated[float, bounded(0, MAX_PER_S, "calls to discovery out of turn", "a second")] = (
+        0.0
+    )
     lasts_s: Annotated[
         float,
         bounded(0.5, 60, "how long a right lasts: the burst is the rate times that", "seconds"),
--- a/garnethaven/tenants/__init__.py
+++ b/garnethaven/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Admission by what a tenant asks of the whole fleet, judged by each sidecar for itself."""
+"""Fleet-wide rate limits for tenants, with each sidecar deciding on its own requests."""
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -1,24 +1,24 @@
-"""How far over its allowance a tenant can get, and how far below it can be held. Pure; seconds and requests.
+"""Bounds on how far a tenant gets above or below its allowance. No I/O; units are seconds and requests.
 
-For members N, allowance A a second with a burst B, and times from gossip/spread.py (horizon H by loss, delay,
-period and questions a period) and admission.py (settle S = 1.02 H + 2 periods, memory M of a demand):
+For N members, an allowance of A per second with a burst B, and times from gossip/spread.py (horizon H by
+loss, delay, period and questions per period) and admission.py (settle S = 1.02 H + 2 periods, demand window
+M), the excess in any span, beyond A times the span, is
 
     over  <= B + N  +  n * A / N * S
 
-in any span, beyond A times the span. The first terms are the buckets of all members, full at its start, each
-one request deep at the least. The last is for n members that began in it and that the others did not count
-(any more): each takes its even part for as long as it takes them to. Neither cuts nor losses nor delays are
-in it: they make parts smaller (admission.py), and that is the second bound. Below what it asks for, and may
-have, a tenant is held
+The first terms are the buckets of all members, full at the start of the span, each at least one request
+large. The last is for n members that started in it and that the others did not count (any more): each uses
+its even share until they do. Partitions, losses and delays do not add to the excess: they make shares smaller
+(admission.py), which the second bound covers. A tenant gets less than it requests and may have
 
-    after each change of demand by at most      A * (P + H + S + M + F * K)
-    while a share c is cut off, a second, by    c * A
-    and after the cut for                       A * (H + S)
+    after each change of demand, at most        A * (P + H + S + M + F * K)
+    per second while a fraction c is cut off    c * A
+    and after the partition ends                A * (H + S)
 
-of which the first is for demand that moves to members that told of none, while those that it came from keep
-the share F of an even part for K seconds (`FLOOR`, `KEEP`); the second for the part of the
-allowance that those hold whom one does not hear, used there by whoever asks there, and lost where nobody
-does. With links that lose so much that news does not reach all, H stands for nothing and c is 1 - 1/N.
+The first is for demand that moves to members that have published none, while the previous ones keep the
+fraction F of an even share for K seconds (`FLOOR_RATIO`, `FLOOR_RETENTION_S`). The second is the part of the
+allowance reserved for members that are not heard: it is used by requests there, and unused where there are
+none. On links that lose so much that updates do not reach all members, H has no meaning and c is 1 - 1/N.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from dataclasses import dataclass
 
 from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, period_of, rounds
-from garnethaven.tenants.admission import FLOOR, KEEP, MEMORY
+from garnethaven.tenants.admission import DEMAND_WINDOW_S, FLOOR_RATIO, FLOOR_RETENTION_S
 
-DRIFT = 0.02  # between two clocks, twice what is borne of one
+CLOCK_DRIFT = 0.02  # relative, between two clocks: twice the tolerance of one clock
 
 
 @dataclass(frozen=True)
 class Estate:
-    """What the bound depends on."""
+    """The parameters of the bounds."""
 
     members: int
     per_s: float
@@ -42,10 +42,10 @@
     base_period_s: float = 0.2
     loss: float = 0.1
     delay_s: float = 0.05
-    cut: float = 0.0  # the share of the members that this one does not hear
-    cut_s: float = 0.0  # for how long
-    beginners: int = 0  # that began and were not counted
-    changes: int = 1  # of demand, from members to others
+    cut: float = 0.0  # fraction of the members that this one does not hear
+    cut_s: float = 0.0  # duration of the partition
+    beginners: int = 0  # members that started and were not counted
+    changes: int = 1  # how often demand moves between members
 
     @property
     def period_s(self) -> float:
@@ -61,24 +61,30 @@
 
     @property
     def reaches(self) -> bool:
-        """Whether news reaches all with such losses."""
+        """Whether updates reach all members with such losses."""
         return rounds(self.members, self.asks, self.loss) < ROUNDS_MOST
 
 
 def settle_s(horizon: float, period: float) -> float:
-    """What a rise waits for: others' figures are no older, by any clock, at any of their looks."""
-    return horizon * (1.0 + DRIFT) + 2.0 * period
+    """Returns how long a share waits before it rises: no member uses older demands, by any clock."""
+    return horizon * (1.0 + CLOCK_DRIFT) + 2.0 * period
 
 
 def over(estate: Estate) -> float:
-    """Requests beyond the allowance times the span, in any span."""
-    even = estate.per_s / estate.members
-    return estate.burst + estate.members + estate.beginners * even * estate.settle_s
+    """Returns the bound on requests admitted beyond the allowance times the span, in any span."""
+    even_share = estate.per_s / estate.members
+    return estate.burst + estate.members + estate.beginners * even_share * estate.settle_s
 
 
 def under(estate: Estate) -> float:
-    """Requests that are asked for within the allowance and refused, over a whole episode."""
-    late = estate.period_s + estate.horizon_s + estate.settle_s + MEMORY + FLOOR * KEEP
-    healing = estate.horizon_s + estate.settle_s if estate.cut_s else 0.0
-    cut = 1.0 - 1.0 / estate.members if not estate.reaches else estate.cut
-    return estate.per_s * (estate.changes * late + cut * estate.cut_s + healing)
+    """Returns the bound on requests refused although within the allowance, over a whole episode."""
+    adaptation_s = (
+        estate.period_s
+        + estate.horizon_s
+        + estate.settle_s
+        + DEMAND_WINDOW_S
+        + FLOOR_RATIO * FLOOR_RETENTION_S
+    )
+    recovery_s = estate.horizon_s + estate.settle_s if estate.cut_s else 0.0
+    cut_fraction = 1.0 - 1.0 / estate.members if not estate.reaches else estate.cut
+    return estate.per_s * (estate.changes * adaptation_s + cut_fraction * estate.cut_s + recovery_s)
--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -1,6 +1,6 @@
-"""The table `[tenants]` at work: asked by the engine before each request, fed by the peers' rows.
+"""The feature behind the table `[tenants]`: admission before each request, fed by the peers' rows.
 
-Without `[peers]` each program holds tenants to its even part of the fleet, as one does that hears nobody.
+Without `[peers]` each process limits tenants to its even share, like a member that receives from nobody.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 if TYPE_CHECKING:
     from garnethaven.parts import Parts
 
-SHOWN_MOST = 40  # tenants in the operators' view, those that ask for most
+MAX_SHOWN_TENANTS = 40  # in the operators' view: those with the most requests
 
 
 class KeptTokens:
-    """This member's buckets as a part of the state (state/)."""
+    """Persists this member's token buckets (state/)."""
 
     def __init__(self, admission: Admission) -> None:
         self.admission = admission
@@ -37,21 +37,23 @@
 
     def take_back(self, kept: bytes, away_s: float) -> None:
         try:
-            told = msgspec.json.decode(kept, type=dict[int, float])
-        except msgspec.MsgspecError as problem:
-            raise ValueError(str(problem)) from None
-        self.admission.take_back(clock(), told)
+            tokens = msgspec.json.decode(kept, type=dict[int, float])
+        except msgspec.MsgspecError as error:
+            raise ValueError(str(error)) from None
+        self.admission.restore(clock(), tokens)
 
 
 def allowances_of(table: Tenants) -> tuple[Mapping[str, Allowance], Allowance | None]:
-    """Of tenants by name, and of every other name."""
-    named = {one.name: Allowance(one.per_s, one.burst) for one in table.allowances}
-    others = Allowance(table.others_per_s, table.others_burst) if table.others_per_s else None
-    return named, others
+    """Returns the allowances by tenant name, and the allowance of every other name."""
+    named_allowances = {
+        allowance.name: Allowance(allowance.per_s, allowance.burst) for allowance in table.allowances
+    }
+    default_allowance = Allowance(table.others_per_s, table.others_burst) if table.others_per_s else None
+    return named_allowances, default_allowance
 
 
 class TenantsFeature(Feature[Tenants, "Parts"]):
-    """The engine's `Admission`."""
+    """Implements the engine's `Admission`."""
 
     name = "tenants"
 
@@ -60,65 +62,75 @@
         self.admission: Admission | None = None
         self.sharing: Sharing | None = None
         self.refused = 0
-        self.named: set[str] = set()  # members whose figures can't be, as the log has named them
+        self.reported_members: set[str] = set()  # members already logged for implausible counters
 
-    def _on(self) -> bool:
+    def _enabled(self) -> bool:
         return bool(self.table.allowances) or self.table.others_per_s > 0.0
 
     def prepare(self) -> None:
-        if self._on():
+        if self._enabled():
             self._make()
 
     def _make(self) -> None:
         parts = self.parts
         peers = parts.peers
-        named, others = allowances_of(self.table)
+        named_allowances, default_allowance = allowances_of(self.table)
         salt = peers.table.key or b"" if peers is not None else b""
-        wait_s = settle_s(peers.horizon_s, peers.period_s) if peers is not None else 1.0
+        settle_seconds = settle_s(peers.horizon_s, peers.period_s) if peers is not None else 1.0
         now = clock()
         peer = peers.peer if peers is not None else None
-        size = peer.members.counted() if peer is not None else parts.engine.settings.fleet_size
-        self.admission = Admission(named, others, self.table.slots, int(wait_s * S), now, size, salt)
+        member_count = peer.members.counted() if peer is not None else parts.engine.settings.fleet_size
+        self.admission = Admission(
+            named_allowances,
+            default_allowance,
+            self.table.slots,
+            int(settle_seconds * S),
+            now,
+            member_count,
+            salt,
+        )
         if peers is not None and peer is not None:
             self.sharing = Sharing(peer, self.admission)
-            peers.after.append(self._look)
+            peers.after.append(self._update)
         parts.keepers["tenants"] = KeptTokens(self.admission)
         parts.engine.admission = self
 
     async def open(self) -> None:
         if self.admission is not None and self.sharing is None:
-            size = self.parts.engine.settings.fleet_size
-            self.parts.engine.log(f"tenants: no [peers]: each is held to one part of {size} here")
+            member_count = self.parts.engine.settings.fleet_size
+            self.parts.engine.log(
+                f"tenants: no [peers]: each tenant is limited to 1/{member_count} of its allowance here"
+            )
 
     def renewed(self) -> None:
         if self.admission is None:
-            if self._on():
+            if self._enabled():
                 self._make()
             return
-        named, others = allowances_of(self.table)
-        self.admission.set_allowances(named, others, self.table.slots)
-        self.parts.engine.admission = self if self._on() else None
+        named_allowances, default_allowance = allowances_of(self.table)
+        self.admission.set_allowances(named_allowances, default_allowance, self.table.slots)
+        self.parts.engine.admission = self if self._enabled() else None
 
-    def _look(self, now: int) -> None:
+    def _update(self, now: int) -> None:
         assert self.sharing is not None
         self.sharing.look(now)
-        for member, told in self.sharing.implausible.items():
-            if member not in self.named:
-                text = f"tenants: {member} tells {told.demand:g} a second of a tenant: more than can be"
+        for member, counters in self.sharing.implausible.items():
+            if member not in self.reported_members:
+                text = f"tenants: {member} publishes an implausible demand: {counters.demand:g} requests/s"
                 if self.parts.engine.says(text):
-                    self.named.add(member)
+                    self.reported_members.add(member)
         self.sharing.implausible.clear()
 
-    # The engine's side
+    # Admission, called by the engine
 
     def turns_away(self, call: Call) -> int | None:
-        """None where the call may go on; else the nanoseconds after which its client may come again."""
+        """Returns None if the call is admitted, else the nanoseconds after which the client may retry."""
         admission = self.admission
         assert admission is not None
-        number = admission.id_of(call.tenant)
-        if number is None:
+        tenant_id = admission.id_of(call.tenant)
+        if tenant_id is None:
             return None
-        wait = admission.asks(clock(), number)
+        wait = admission.asks(clock(), tenant_id)
         if wait is None:
             return None
         self.refused += 1
@@ -131,16 +143,23 @@
         if admission is None:
             return {}
         totals = dict(self.sharing.totals()) if self.sharing is not None else {}
-        names = {number: name for name, number in admission.ids.items()}
-        totals = totals or {one.id: Totals(one.asked, one.taken) for one in admission.tenants.values()}
+        names = {tenant_id: name for name, tenant_id in admission.ids.items()}
+        totals = totals or {
+            local.id: Totals(local.requested, local.admitted) for local in admission.tenants.values()
+        }
         tenants = {}
-        for number, fleet in sorted(totals.items(), key=lambda one: -one[1].asked)[:SHOWN_MOST]:
-            told: dict[str, float] = {"fleet_asked": fleet.asked, "fleet_taken": fleet.taken}
-            tenant = admission.tenants.get(number)
+        for tenant_id, fleet_totals in sorted(totals.items(), key=lambda entry: -entry[1].asked)[
+            :MAX_SHOWN_TENANTS
+        ]:
+            tenant_figures: dict[str, float] = {
+                "fleet_asked": fleet_totals.asked,
+                "fleet_taken": fleet_totals.taken,
+            }
+            tenant = admission.tenants.get(tenant_id)
             if tenant is not None:
-                told |= {"asked": tenant.asked, "taken": tenant.taken}
-                told |= {"part_per_s": round(tenant.part, 3), "tokens": math.floor(tenant.tokens)}
-            tenants[names.get(number, f"slot {number}")] = told
+                tenant_figures |= {"asked": tenant.requested, "taken": tenant.admitted}
+                tenant_figures |= {"part_per_s": round(tenant.share, 3), "tokens": math.floor(tenant.tokens)}
+            tenants[names.get(tenant_id, f"slot {tenant_id}")] = tenant_figures
         unreadable = self.sharing.unreadable if self.sharing is not None else 0
         return {"refused": self.refused, "unreadable": unreadable, "tenants": tenants}
 
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -1,4 +1,4 @@
-"""Between members' rows and one member's admission: the topic `tenants` in each row. Pure."""
+"""Connects the members' rows with one member's admission: the topic `tenants` in each row. No I/O."""
 
 from __future__ import annotations
 
@@ -10,102 +10,117 @@
 
 from garnethaven.gossip.rows import Row
 from garnethaven.peers.conversation import Peer, Topic
-from garnethaven.tenants.admission import LISTED, TOLD_MOST, Admission, Told, View, implausible
+from garnethaven.tenants.admission import (
+    FIRST_CONFIGURED_ID,
+    MAX_PUBLISHED_TENANTS,
+    Admission,
+    TenantCounters,
+    View,
+    implausible,
+)
 
 TOPIC = "tenants"
-DECODE = msgspec.msgpack.Decoder(list[Told]).decode
+decode_counters = msgspec.msgpack.Decoder(list[TenantCounters]).decode
 
 
 class Totals(NamedTuple):
-    """What the fleet has counted of a tenant, as far as this member has heard."""
+    """The fleet's counters of one tenant, as far as this member has received them."""
 
     asked: int
     taken: int
 
 
 class Sharing:
-    """One member's counts in its rows, and the others' counts in its admission."""
+    """Publishes one member's counters in its rows and feeds the others' rows to its admission."""
 
     def __init__(self, peer: Peer, admission: Admission) -> None:
         self.peer = peer
         self.admission = admission
-        self.read: dict[str, tuple[tuple[int, int], list[Told]]] = {}
-        self.counts: dict[
-            tuple[str, int], dict[int, Totals]
-        ] = {}  # by life; what a later row has no room for
+        self.decoded_rows: dict[str, tuple[tuple[int, int], list[TenantCounters]]] = {}
+        # By member and incarnation; includes tenants that a later row no longer lists.
+        self.counts_by_life: dict[tuple[str, int], dict[int, Totals]] = {}
         self.unreadable = 0
-        self.implausible: dict[str, Told] = {}  # by member, for the log
-        peer.topics[TOPIC] = Topic(admission.tells, self._anew)
+        self.implausible: dict[str, TenantCounters] = {}  # by member, for the log
+        peer.topics[TOPIC] = Topic(admission.publish, self._reset_counters)
 
-    def _anew(self) -> None:
-        """A new life begins: what was counted so far stands in the rows of the one before."""
+    def _reset_counters(self) -> None:
+        """Resets the counters for a new incarnation: earlier counts stay in the rows of the previous one."""
         for tenant in self.admission.tenants.values():
-            tenant.asked = tenant.taken = 0
-            tenant.marks.clear()
+            tenant.requested = tenant.admitted = 0
+            tenant.request_counts.clear()
 
     def look(self, now: int) -> None:
-        """Take what is known now into the parts."""
+        """Updates the admission with the rows received so far."""
         for kept in self.peer.rows.kept.values():
-            self._told(kept.row)
+            self._decoded_row(kept.row)
         rows = self.peer.view(now)
-        told: dict[int, list[float]] = defaultdict(list)
+        demands: dict[int, list[float]] = defaultdict(list)
         for row in rows:
-            for one in self._told(row):
-                told[one.id].append(one.demand)
-        self.admission.sees(now, View(self.peer.members.counted(), 1 + len(rows), told))
-        if len(self.read) > 2 * self.peer.rules.most:
-            self.read.clear()
-        if len(self.counts) > 4 * self.peer.rules.most:
-            self._forget_lives()
-
-    def _told(self, row: Row) -> list[Told]:
-        known = self.read.get(row.name)
-        if known is not None and known[0] == row.version:
-            return known[1]
-        told = self._decoded(row)
-        self.read[row.name] = row.version, told
-        self._count(row, told)
-        if (wrong := implausible(told, self.admission.listed)) is not None:
-            self.implausible[row.name] = wrong
-        return told
-
-    def _decoded(self, row: Row) -> list[Told]:
+            for counters in self._decoded_row(row):
+                demands[counters.id].append(counters.demand)
+        self.admission.sees(now, View(self.peer.members.counted(), 1 + len(rows), demands))
+        if len(self.decoded_rows) > 2 * self.peer.rules.most:
+            self.decoded_rows.clear()
+        if len(self.counts_by_life) > 4 * self.peer.rules.most:
+            self._drop_forgotten_lives()
+
+    def _decoded_row(self, row: Row) -> list[TenantCounters]:
+        cached = self.decoded_rows.get(row.name)
+        if cached is not None and cached[0] == row.version:
+            return cached[1]
+        counters_list = self._decode(row)
+        self.decoded_rows[row.name] = row.version, counters_list
+        self._count(row, counters_list)
+        if (implausible_counters := implausible(counters_list, self.admission.configured)) is not None:
+            self.implausible[row.name] = implausible_counters
+        return counters_list
+
+    def _decode(self, row: Row) -> list[TenantCounters]:
         raw = row.told.get(TOPIC)
         if raw is None:
             return []
         try:
-            return [one for one in DECODE(raw)[:TOLD_MOST] if one.demand >= 0.0]
+            return [
+                counters
+                for counters in decode_counters(raw)[:MAX_PUBLISHED_TENANTS]
+                if counters.demand >= 0.0
+            ]
         except msgspec.MsgspecError:
             self.unreadable += 1
             return []
 
-    def _count(self, row: Row, told: list[Told]) -> None:
-        """Remember a life's counts of tenants with an allowance of their own; the larger wins."""
-        counts = self.counts.setdefault((row.name, row.life), {})
-        for one in told:
-            before = counts.get(one.id, Totals(0, 0))
-            if one.id >= LISTED and one.asked >= before.asked:
-                counts[one.id] = Totals(one.asked, max(one.taken, before.taken))
-
-    def _forget_lives(self) -> None:
-        """What the table has forgotten counts no more."""
+    def _count(self, row: Row, counters_list: list[TenantCounters]) -> None:
+        """Stores an incarnation's counts of tenants with an allowance of their own; the larger count wins."""
+        totals_by_tenant = self.counts_by_life.setdefault((row.name, row.life), {})
+        for counters in counters_list:
+            previous = totals_by_tenant.get(counters.id, Totals(0, 0))
+            if counters.id >= FIRST_CONFIGURED_ID and counters.requested >= previous.asked:
+                totals_by_tenant[counters.id] = Totals(
+                    counters.requested, max(counters.admitted, previous.taken)
+                )
+
+    def _drop_forgotten_lives(self) -> None:
+        """Drops the counts of incarnations that the table of rows has dropped."""
         lives = {(row.name, row.life) for row in self.peer.rows.lives()}
-        self.counts = {life: counts for life, counts in self.counts.items() if life in lives}
+        self.counts_by_life = {life: counts for life, counts in self.counts_by_life.items() if life in lives}
 
     def totals(self) -> Mapping[int, Totals]:
-        """By tenant with an allowance of its own, over every life that is known, this member's among them."""
+        """Returns totals by configured tenant over all known incarnations, including this member's."""
         for row in self.peer.rows.lives():
-            if (row.name, row.life) not in self.counts:
-                self._count(row, self._decoded(row))
-        self._forget_lives()
-        own = self.peer.own, self.peer.members.life
-        asked: dict[int, int] = defaultdict(int)
-        taken: dict[int, int] = defaultdict(int)
-        for life, counts in self.counts.items():
-            for number, told in counts.items() if life != own else ():
-                asked[number] += told.asked
-                taken[number] += told.taken
-        for number, tenant in self.admission.tenants.items():
-            asked[number] += tenant.asked
-            taken[number] += tenant.taken
-        return {number: Totals(asked[number], taken[number]) for number in asked}
+            if (row.name, row.life) not in self.counts_by_life:
+                self._count(row, self._decode(row))
+        self._drop_forgotten_lives()
+        own_life = self.peer.own, self.peer.members.life
+        requested_by_tenant: dict[int, int] = defaultdict(int)
+        admitted_by_tenant: dict[int, int] = defaultdict(int)
+        for life, counts in self.counts_by_life.items():
+            for tenant_id, totals in counts.items() if life != own_life else ():
+                requested_by_tenant[tenant_id] += totals.asked
+                admitted_by_tenant[tenant_id] += totals.taken
+        for tenant_id, tenant in self.admission.tenants.items():
+            requested_by_tenant[tenant_id] += tenant.requested
+            admitted_by_tenant[tenant_id] += tenant.admitted
+        return {
+            tenant_id: Totals(requested_by_tenant[tenant_id], admitted_by_tenant[tenant_id])
+            for tenant_id in requested_by_tenant
+        }
--- a/garnethaven/tenants/table.py
+++ b/garnethaven/tenants/table.py
@@ -6,30 +6,30 @@
 
 from garnethaven.tables import Table, WrongFieldError, bounded, said
 
-PER_S_MOST = 1_000_000
-NAME_MOST = 128
+MAX_PER_S = 1_000_000
+MAX_NAME_LENGTH = 128
 
 
 class Allowed(Table, frozen=True):
-    """One tenant's allowance, over the whole fleet."""
+    """One tenant's fleet-wide rate limit."""
 
-    name: Annotated[str, said("as `X-Caller` has it", min_length=1, max_length=NAME_MOST)]
-    per_s: Annotated[float, bounded(0.01, PER_S_MOST, "what it may ask for", "requests a second")]
+    name: Annotated[str, said("as `X-Caller` has it", min_length=1, max_length=MAX_NAME_LENGTH)]
+    per_s: Annotated[float, bounded(0.01, MAX_PER_S, "what it may ask for", "requests a second")]
     burst: Annotated[
         float,
-        bounded(1, PER_S_MOST, "what all members' buckets hold, beside one for each", "requests"),
+        bounded(1, MAX_PER_S, "what all members' buckets hold, beside one for each", "requests"),
     ] = 1.0
 
 
 class Tenants(Table, frozen=True):
-    """What tenants may ask of the whole fleet; beyond it they are refused at once."""
+    """Fleet-wide rate limits of tenants; requests beyond them are refused at once."""
 
     allowances: Annotated[tuple[Allowed, ...], said("tenants with an allowance of their own")] = ()
     others_per_s: Annotated[
         float,
-        bounded(0, PER_S_MOST, "for each name beside those; 0: these are not bounded", "requests a second"),
+        bounded(0, MAX_PER_S, "for each name beside those; 0: these are not bounded", "requests a second"),
     ] = 0.0
-    others_burst: Annotated[float, bounded(1, PER_S_MOST, "for each of them", "requests")] = 1.0
+    others_burst: Annotated[float, bounded(1, MAX_PER_S, "for each of them", "requests")] = 1.0
     slots: Annotated[
         int, bounded(1, 65_536, "other names that are told apart; two in one slot share an allowance")
     ] = 1024
