--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -145,7 +145,7 @@
         totals = dict(self.sharing.totals()) if self.sharing is not None else {}
         names = {tenant_id: name for name, tenant_id in admission.ids.items()}
         totals = totals or {
-            local.id: Totals(local.requested, local.admitted) for local in admission.tenants.values()
+            entry.id: Totals(entry.requested, entry.admitted) for entry in admission.tenants.values()
         }
         tenants = {}
         for tenant_id, fleet_totals in sorted(totals.items(), key=lambda entry: -entry[1].asked)[
