--- a/garnethaven/connections/__init__.py
+++ b/garnethaven/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Connections to servers: how many, which one, ahead of need, and closed before they die.
+"""Planned connections to servers: how many to open, which to use, when to open ahead and when to close.
 
-Imported only where the operator's file switches it on.
+Imported only where the operator's file enables it.
 """
--- a/garnethaven/connections/ahead.py
+++ b/garnethaven/connections/ahead.py
@@ -1,33 +1,35 @@
-"""Whether opening ahead of need is worth it at one server. No I/O; times are seconds.
+"""Whether opening connections ahead of need pays off at one server. No I/O; times are seconds.
 
-A connection that was opened ahead and retires unused cost the server a handshake for nothing. `worth` falls
-with each of those and rises with each that was used; under `WORTH_LEAST` nothing is opened ahead. It comes
-back with time, `RETURN_S` from nothing to all, for demand changes.
+A connection that was opened ahead and is closed unused cost the server a handshake for nothing. `score` falls
+with each of those and rises with each that was used; below `MIN_SCORE` nothing is opened ahead. Because
+demand changes, the score recovers with time, from 0 to 1 in `RECOVERY_S`.
 """
 
 from __future__ import annotations
 
-FALL = 0.92
-RISE = 0.3
-WORTH_LEAST = 0.5
-RETURN_S = 20.0
+UNUSED_FACTOR = 0.92
+USED_STEP = 0.3
+MIN_SCORE = 0.5
+RECOVERY_S = 20.0
 
 
-class Ahead:
+class PrewarmGate:
+    """Decides from the use of earlier prewarmed connections whether to open more."""
+
     def __init__(self) -> None:
-        self.worth = 1.0
-        self.at = 0.0
+        self.score = 1.0
+        self.updated_at = 0.0
 
-    def _now(self, now: float) -> float:
-        self.worth = min(1.0, self.worth + max(0.0, now - self.at) / RETURN_S)
-        self.at = now
-        return self.worth
+    def _recovered_score(self, now: float) -> float:
+        self.score = min(1.0, self.score + max(0.0, now - self.updated_at) / RECOVERY_S)
+        self.updated_at = now
+        return self.score
 
-    def pays(self, now: float) -> bool:
-        return self._now(now) >= WORTH_LEAST
+    def allows(self, now: float) -> bool:
+        return self._recovered_score(now) >= MIN_SCORE
 
-    def used(self, now: float) -> None:
-        self.worth = self._now(now) + (1.0 - self.worth) * RISE
+    def record_used(self, now: float) -> None:
+        self.score = self._recovered_score(now) + (1.0 - self.score) * USED_STEP
 
-    def unused(self, now: float) -> None:
-        self.worth = self._now(now) * FALL
+    def record_unused(self, now: float) -> None:
+        self.score = self._recovered_score(now) * UNUSED_FACTOR
--- a/garnethaven/connections/demand.py
+++ b/garnethaven/connections/demand.py
@@ -1,8 +1,8 @@
-"""How many connections a server will need soon, from what was used lately. No I/O; times are seconds.
+"""How many connections a server will need soon, from recent use. No I/O; times are seconds.
 
-The most that were busy at once is kept for each of the last `SLOTS` spans of `SLOT_S`. The mean of these
-and their spread is what will most likely be needed. One slot of a burst is forgotten after `SLOTS *
-SLOT_S`.
+The highest number of busy connections is kept for each of the last `SLOT_COUNT` slots of `SLOT_S`. The
+forecast is the mean of these peaks plus their standard deviation. A burst within one slot is forgotten after
+`SLOT_COUNT * SLOT_S`.
 """
 
 from __future__ import annotations
@@ -11,34 +11,36 @@
 from collections import deque
 
 SLOT_S = 2.0
-SLOTS = 5
+SLOT_COUNT = 5
 
 
-class Demand:
+class DemandForecast:
+    """The recent peaks of use of one server."""
+
     def __init__(self) -> None:
-        self.peaks: deque[int] = deque(maxlen=SLOTS)
+        self.peaks: deque[int] = deque(maxlen=SLOT_COUNT)
         self.peak = self.busy = 0
-        self.slot_at: float | None = None
+        self.slot_started_at: float | None = None
 
     def changes(self, now: float, busy: int) -> None:
-        """So many connections are in use, or asked for, from now on."""
-        self._roll(now)
+        """Sets the number of connections that are in use or requested from now on."""
+        self._advance(now)
         self.busy = busy
         self.peak = max(self.peak, busy)
 
-    def _roll(self, now: float) -> None:
-        if self.slot_at is None:
-            self.slot_at = now
+    def _advance(self, now: float) -> None:
+        if self.slot_started_at is None:
+            self.slot_started_at = now
             return
-        past = int((now - self.slot_at) / SLOT_S)
-        for _ in range(min(past, SLOTS + 1)):
+        elapsed_slots = int((now - self.slot_started_at) / SLOT_S)
+        for _ in range(min(elapsed_slots, SLOT_COUNT + 1)):
             self.peaks.append(self.peak)
             self.peak = self.busy
-        self.slot_at += past * SLOT_S
+        self.slot_started_at += elapsed_slots * SLOT_S
 
-    def wanted(self, now: float) -> int:
-        """Connections that should be open, busy ones with them; 0 where nothing was asked lately."""
-        self._roll(now)
+    def forecast(self, now: float) -> int:
+        """Returns how many connections should be open, including busy ones; 0 without recent requests."""
+        self._advance(now)
         peaks = [*self.peaks, self.peak]
         if not any(peaks):
             return 0
--- a/garnethaven/connections/feature.py
+++ b/garnethaven/connections/feature.py
@@ -1,4 +1,4 @@
-"""The planned pool in one program: the operator's table and the deployment's settings as rules."""
+"""Builds the planned pool from the operator's table and the deployment's settings."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
         idle_s=settings.conn_idle / S,
         dial_timeout_s=(settings.dial_timeout or S) / S,
         age_s=table.age_s,
-        requests_most=table.requests_most,
+        max_requests=table.requests_most,
         ahead=table.ahead,
     )
 
 
 class KeptLimits:
-    """The learned idle limits as a part of what outlives the process (state/)."""
+    """Persists the learned idle limits (state/)."""
 
     def __init__(self, pool: PlannedPool) -> None:
         self.pool = pool
 
     def keep(self) -> bytes:
-        return msgspec.json.encode(self.pool.limits.kept(self.pool.loop.time()))
+        return msgspec.json.encode(self.pool.limits.snapshot(self.pool.loop.time()))
 
     def take_back(self, kept: bytes, away_s: float) -> None:
         try:
-            told = msgspec.json.decode(kept, type=list[tuple[str, int, float]])
-        except msgspec.MsgspecError as problem:
-            raise ValueError(str(problem)) from None
-        self.pool.limits.take_back(self.pool.loop.time(), told, away_s)
+            limits = msgspec.json.decode(kept, type=list[tuple[str, int, float]])
+        except msgspec.MsgspecError as error:
+            raise ValueError(str(error)) from None
+        self.pool.limits.restore(self.pool.loop.time(), limits, away_s)
 
 
 class ConnectionsFeature(Feature[Connections, Parts]):
@@ -68,7 +68,7 @@
             self.parts.keepers["idle_limits"] = KeptLimits(self.pool)
 
     def _server(self, endpoint: int) -> Server:
-        """What the module thinks of a server."""
+        """Returns the balancer's state of a server."""
         return Server(*self.parts.engine.balancer.standing(endpoint))
 
     def renewed(self) -> None:
--- a/garnethaven/connections/idle_limits.py
+++ b/garnethaven/connections/idle_limits.py
@@ -1,26 +1,26 @@
-"""How long a kept connection may stand idle before it can't be trusted. No I/O; times are seconds.
-
-Theory. Three things end idle connections: the server, at a time that the settings or its `Keep-Alive` tell;
-the server, sooner than told; and something in between that drops them in silence. The first is known. The
-second shows as an end that comes while nobody asks. The third shows only as a request that gets no answer,
-and that request is the price of learning it.
-
-What is learned is `EARLY_PART` of the idle time at which connections were found dead. It must not be
-learned from what is no limit: a process that dies ends all its connections, whatever their idle time, and
-noise ends any.
-
-- *Silence* after a request, while the same server answers later ones, teaches at once: noise and deaths end
-  connections loudly.
-- *An end* teaches with a second one like it, of a similar idle time (`SIMILAR`) and not within the same
-  moment (`MOMENT_S`), for those of one moment have one cause.
-- A server's limit grows back by half in `RECOVER_S`, for what was in between may be gone.
-- `CROWD` servers that teach similar limits within `CROWD_S` teach all: the cause is most likely on our side.
-- Addresses are remembered for a while after their server has gone, so that one that returns need not teach
-  again.
-
-A connection retires at a random part of its limit, `JITTER` of it and more, so that a crowd of connections
-that were opened together does not end together. Below `SURE_PART` of the limit a connection is trusted;
-between the two it is *in doubt*, and a request that must not be lost is not given to it.
+"""How long a kept connection may be idle before it is no longer trusted. No I/O; times are seconds.
+
+Theory. Idle connections end in three ways: the server closes them at a time that the settings or its
+`Keep-Alive` header announce; the server closes them earlier; or a middlebox drops them silently. The first is
+known in advance. The second shows as a close while no request is in progress. The third shows only as a
+request without an answer, and that request is the price of learning the limit.
+
+The learned limit is `OBSERVED_FRACTION` of the idle time at which connections were found dead. Events that
+are no idle limit must not be learned: a process that crashes ends all its connections whatever their idle
+time, and random failures end any.
+
+- *Silence* after a request, while the same server answers later requests, is learned at once: crashes and
+  random failures end connections visibly.
+- *A close* is learned only with a second one after a similar idle time (`SIMILARITY_RATIO`) and at least
+  `MIN_PAIR_GAP_S` later, since closes at the same moment have one cause.
+- A server's learned limit grows back by half every `RECOVER_S`, since the middlebox may be gone.
+- Similar limits learned from `MIN_SIMILAR_SERVERS` servers within `COMMON_WINDOW_S` apply to all servers: the
+  cause is most likely on this side.
+- Addresses are remembered after their server has gone, so that one that returns need not be learned again.
+
+A connection is closed at a random fraction of its limit, at least `MIN_RETIRE_FRACTION`, so that connections
+opened together do not end together. Below `TRUSTED_FRACTION` of the limit a connection is trusted; between
+the two it is *in doubt*, and no request that must not be lost is sent on it.
 """
 
 from __future__ import annotations
@@ -29,64 +29,64 @@
 from dataclasses import dataclass
 from random import Random
 
-LEAST_S = 0.05
-KEEP_PART = 0.85  # of a limit that was told: a request must not cross the server's own closing
-EARLY_PART = 0.8  # of the idle time at which a connection was found dead
-JITTER = 0.85
-SURE_PART = 0.5
-SURE_MOST_S = 1.0  # middleboxes that drop sooner than this are not usual
+MIN_LIMIT_S = 0.05
+ANNOUNCED_FRACTION = 0.85  # of an announced limit: a request must not cross the server's own close
+OBSERVED_FRACTION = 0.8  # of the idle time at which a connection was found dead
+MIN_RETIRE_FRACTION = 0.85
+TRUSTED_FRACTION = 0.5
+MAX_TRUSTED_S = 1.0  # middleboxes that drop connections sooner are unusual
 RECOVER_S = 300.0
-SIMILAR = 1.3  # times the other's
-MOMENT_S = 0.1
-PAIR_S = 60.0  # within which two ends are a pair
-CROWD_S = 60.0
-CROWD = 2  # servers that teach alike
+SIMILARITY_RATIO = 1.3  # largest ratio of two similar idle times
+MIN_PAIR_GAP_S = 0.1
+MAX_PAIR_GAP_S = 60.0
+COMMON_WINDOW_S = 60.0
+MIN_SIMILAR_SERVERS = 2
 REMEMBERED_MOST = 4096  # addresses
 
 
-def similar(one: float, other: float) -> bool:
-    return max(one, other) <= SIMILAR * min(one, other)
+def are_similar(first_s: float, second_s: float) -> bool:
+    return max(first_s, second_s) <= SIMILARITY_RATIO * min(first_s, second_s)
 
 
 @dataclass(slots=True)
-class End:
-    """A connection that ended by itself, after so long an idle time."""
+class IdleEnd:
+    """When a connection ended by itself, and how long it had been idle."""
 
     at: float
     idle_s: float
 
 
 class IdleLimit:
-    """One server's limit; `told_s` is the settings' (0: none is told)."""
+    """One server's limit. `configured_s`: from the settings (0: none)."""
 
-    def __init__(self, told_s: float) -> None:
-        self.told_s = told_s * KEEP_PART if told_s > 0.0 else float("inf")
-        self.header_s = float("inf")
+    def __init__(self, configured_s: float) -> None:
+        self.configured_s = configured_s * ANNOUNCED_FRACTION if configured_s > 0.0 else float("inf")
+        self.announced_s = float("inf")
         self.learned_s = float("inf")
         self.learned_at = 0.0
-        self.end: End | None = None
+        self.last_end: IdleEnd | None = None
 
     def limit_s(self, now: float) -> float:
-        """The longest idle time after which a connection is still used."""
-        learned = self.learned_s
-        if learned != float("inf"):
-            learned *= 1.5 ** ((now - self.learned_at) / RECOVER_S)
-        return max(LEAST_S, min(self.told_s, self.header_s, learned))
-
-    def keep_alive(self, seconds: float) -> None:
-        """The server's own word (`Keep-Alive: timeout=`), for connections from now on."""
-        self.header_s = max(LEAST_S, seconds * KEEP_PART)
-
-    def ended(self, now: float, idle_s: float) -> bool:
-        """A connection ended by itself; whether that teaches something, with one before it."""
-        before, self.end = self.end, End(now, idle_s)
-        if before is None or now - before.at > PAIR_S or now - before.at < MOMENT_S:
+        """Returns the longest idle time after which a connection is still used."""
+        learned_s = self.learned_s
+        if learned_s != float("inf"):
+            learned_s *= 1.5 ** ((now - self.learned_at) / RECOVER_S)
+        return max(MIN_LIMIT_S, min(self.configured_s, self.announced_s, learned_s))
+
+    def set_announced(self, seconds: float) -> None:
+        """Sets the limit announced by the server (`Keep-Alive: timeout=`)."""
+        self.announced_s = max(MIN_LIMIT_S, seconds * ANNOUNCED_FRACTION)
+
+    def record_end(self, now: float, idle_s: float) -> bool:
+        """Records that a connection ended by itself; returns whether two such ends lower the limit."""
+        previous, self.last_end = self.last_end, IdleEnd(now, idle_s)
+        if previous is None or now - previous.at > MAX_PAIR_GAP_S or now - previous.at < MIN_PAIR_GAP_S:
             return False
-        return similar(before.idle_s, idle_s) and self.learns(now, min(before.idle_s, idle_s))
+        return are_similar(previous.idle_s, idle_s) and self.learn(now, min(previous.idle_s, idle_s))
 
-    def learns(self, now: float, idle_s: float) -> bool:
-        """Connections are dead after so long; whether that is new."""
-        limit = max(LEAST_S, idle_s * EARLY_PART)
+    def learn(self, now: float, idle_s: float) -> bool:
+        """Records that connections are dead after `idle_s`; returns whether that lowers the limit."""
+        limit = max(MIN_LIMIT_S, idle_s * OBSERVED_FRACTION)
         if limit >= self.limit_s(now):
             return False
         self.learned_s, self.learned_at = limit, now
@@ -94,20 +94,20 @@
 
 
 class IdleLimits:
-    """All servers' limits, and what they teach together."""
+    """The limits of all servers, and the limit learned from several of them."""
 
-    def __init__(self, told_s: float, rng: Random) -> None:
-        self.told_s = told_s
+    def __init__(self, configured_s: float, rng: Random) -> None:
+        self.configured_s = configured_s
         self.rng = rng
         self.limits: OrderedDict[tuple[str, int], IdleLimit] = OrderedDict()
-        self.lessons: dict[tuple[str, int], End] = {}
-        self.common = IdleLimit(told_s)
-        self.learned = 0
+        self.recent_findings: dict[tuple[str, int], IdleEnd] = {}
+        self.common_limit = IdleLimit(configured_s)
+        self.learned_count = 0
 
-    def of(self, address: tuple[str, int]) -> IdleLimit:
+    def limit_of(self, address: tuple[str, int]) -> IdleLimit:
         limit = self.limits.get(address)
         if limit is None:
-            limit = self.limits[address] = IdleLimit(self.told_s)
+            limit = self.limits[address] = IdleLimit(self.configured_s)
             if len(self.limits) > REMEMBERED_MOST:
                 self.limits.popitem(last=False)
         else:
@@ -115,46 +115,52 @@
         return limit
 
     def limit_s(self, address: tuple[str, int], now: float) -> float:
-        return min(self.of(address).limit_s(now), self.common.limit_s(now))
-
-    def sure_s(self, address: tuple[str, int], now: float) -> float:
-        """The idle time up to which a connection is trusted with anything."""
-        return min(SURE_MOST_S, self.limit_s(address, now) * SURE_PART)
-
-    def ended(self, address: tuple[str, int], now: float, idle_s: float) -> None:
-        """A connection to this address ended by itself while nobody used it, or under a request."""
-        if self.of(address).ended(now, idle_s):
-            self._taught(address, now, idle_s)
-
-    def silent(self, address: tuple[str, int], now: float, idle_s: float) -> None:
-        """A request on a connection that was idle for so long met silence."""
-        if self.of(address).learns(now, idle_s):
-            self._taught(address, now, idle_s)
-
-    def _taught(self, address: tuple[str, int], now: float, idle_s: float) -> None:
-        self.learned += 1
-        self.lessons = {known: told for known, told in self.lessons.items() if now - told.at < CROWD_S}
-        self.lessons[address] = End(now, idle_s)
-        alike = [told.idle_s for told in self.lessons.values() if similar(told.idle_s, idle_s)]
-        if len(alike) >= CROWD:
-            self.common.learns(now, max(alike))
-
-    # Over a restart
-
-    def kept(self, now: float) -> list[tuple[str, int, float]]:
-        """What was learned of each address, as it is now; what is told anew is not kept."""
+        return min(self.limit_of(address).limit_s(now), self.common_limit.limit_s(now))
+
+    def trusted_s(self, address: tuple[str, int], now: float) -> float:
+        """Returns the idle time up to which a connection is trusted with any request."""
+        return min(MAX_TRUSTED_S, self.limit_s(address, now) * TRUSTED_FRACTION)
+
+    def record_end(self, address: tuple[str, int], now: float, idle_s: float) -> None:
+        """Records that a connection to this address ended by itself, idle or with a request on it."""
+        if self.limit_of(address).record_end(now, idle_s):
+            self._add_finding(address, now, idle_s)
+
+    def record_silence(self, address: tuple[str, int], now: float, idle_s: float) -> None:
+        """Records that a request on a connection idle for `idle_s` got no answer."""
+        if self.limit_of(address).learn(now, idle_s):
+            self._add_finding(address, now, idle_s)
+
+    def _add_finding(self, address: tuple[str, int], now: float, idle_s: float) -> None:
+        self.learned_count += 1
+        self.recent_findings = {
+            known_address: finding
+            for known_address, finding in self.recent_findings.items()
+            if now - finding.at < COMMON_WINDOW_S
+        }
+        self.recent_findings[address] = IdleEnd(now, idle_s)
+        similar_idle_times = [
+            finding.idle_s for finding in self.recent_findings.values() if are_similar(finding.idle_s, idle_s)
+        ]
+        if len(similar_idle_times) >= MIN_SIMILAR_SERVERS:
+            self.common_limit.learn(now, max(similar_idle_times))
+
+    # Persistence
+
+    def snapshot(self, now: float) -> list[tuple[str, int, float]]:
+        """Returns (host, port, limit) for each address with a learned limit."""
         return [
             (*address, limit.limit_s(now))
             for address, limit in self.limits.items()
             if limit.learned_s != float("inf")
         ]
 
-    def take_back(self, now: float, kept: list[tuple[str, int, float]], away_s: float) -> None:
-        """What an earlier life had learned, grown back by the time since; the common one is learned anew."""
-        for host, port, limit_s in kept[-REMEMBERED_MOST:]:
-            limit = self.of((host, port))
-            limit.learned_s, limit.learned_at = max(LEAST_S, limit_s), now - max(0.0, away_s)
+    def restore(self, now: float, snapshot: list[tuple[str, int, float]], away_s: float) -> None:
+        """Restores limits learned by a previous process, grown by the time since; not the common limit."""
+        for host, port, limit_s in snapshot[-REMEMBERED_MOST:]:
+            limit = self.limit_of((host, port))
+            limit.learned_s, limit.learned_at = max(MIN_LIMIT_S, limit_s), now - max(0.0, away_s)
 
-    def part(self) -> float:
-        """The part of its limit at which one connection retires."""
-        return JITTER + (1.0 - JITTER) * self.rng.random()
+    def random_retire_fraction(self) -> float:
+        """Returns the fraction of its limits at which one connection is closed."""
+        return MIN_RETIRE_FRACTION + (1.0 - MIN_RETIRE_FRACTION) * self.rng.random()
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -1,21 +1,21 @@
-"""What to do about one server's connections; the parts put together. No I/O, no clock; times are seconds.
+"""Decides on the connections to one server; combines the other modules. No I/O, no clock; times are seconds.
 
-For a request that comes:
+For each request:
 
-| there is | it | because |
+| condition | decision | reason |
 | --- | --- | --- |
-| an idle connection that will do | uses it | it costs nothing |
-| a dial that nobody waits for | waits for it | it was opened ahead of this |
-| room under the cap, and the pace allows | opens one | |
-| none of these, and somebody else's connection may come free in time | waits, as long as a dial takes | |
-| a queue of as many as are open | is given back to the module | another server serves it sooner |
-
-An idle connection *will do* where it is below its limit, and for a request that must not be lost (of a
-class that may not be repeated) where it is trusted (idle_limits.py).
-
-Opened ahead: what demand wants (demand.py), under the cap, times the server's warmth, and nothing to a
-server that is penalised. Closed: at its jittered idle limit, after `age_s`, after `requests_most`, each
-with a jitter of its own.
+| an idle connection is usable | use it | it costs nothing |
+| a dial is in progress that no request waits for | wait for it | it was opened ahead for this |
+| the connection cap and the pacer allow a dial | open one | |
+| none of these, and a busy connection may become free in time | wait, as long as a dial takes | |
+| as many requests are queued as connections are open | return it to the engine | another server is faster |
+
+An idle connection is *usable* below its limit, and for a request that must not be lost (of a class that may
+not be retried) only where it is trusted (idle_limits.py).
+
+Opened ahead: the forecast (demand.py), bounded by the connection cap, times the server's warmth; nothing to a
+penalised server. Closed: at the jittered idle limit, after `age_s`, after `max_requests`, each with a
+connection's own jitter.
 """
 
 from __future__ import annotations
@@ -25,45 +25,45 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.connections.ahead import Ahead
-from garnethaven.connections.caps import Cap
-from garnethaven.connections.demand import Demand
+from garnethaven.connections.ahead import PrewarmGate
+from garnethaven.connections.caps import ConnectionCap
+from garnethaven.connections.demand import DemandForecast
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.pacing import Pace
+from garnethaven.connections.pacing import DialPacer
 
-DIAL_MEMORY = 8  # dials over which their usual time is smoothed
-WAIT_LEAST_S = 0.005
-ANSWERS = 4.0  # times the usual answer's time, after which silence on a connection in doubt is its end
-ANSWER_MEMORY = 16
-WATCH_LEAST_S = 0.25  # of idle time; what was used just now is there
-LATER_S = 0.05  # by which a later request must have been written, for answers overtake one another a little
-LOOKS_MOST = 3
+DIAL_SMOOTHING = 8  # number of dials that the smoothed dial time covers
+MIN_WAIT_S = 0.005
+SILENCE_FACTOR = 4.0  # times the mean answer time, after which a silent connection is checked
+ANSWER_SMOOTHING = 16  # number of answers that the smoothed answer time covers
+MIN_WATCHED_IDLE_S = 0.25  # a connection that was idle for less is not watched
+REORDERING_S = 0.05  # a later request counts only if sent this much later: answers may overtake one another
+MAX_SILENCE_CHECKS = 3
 
 
-class Way(Enum):
+class Decision(Enum):
     USE = "an idle connection"
     WAIT = "one that is coming, or comes free"
     DIAL = "a new one"
-    GIVE_BACK = "none here"
+    RETURN = "none here"
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """What holds for all servers."""
+    """Settings for all servers."""
 
-    opens_per_s: float = 40.0  # of the whole fleet, at one warm server
+    opens_per_s: float = 40.0  # by the whole fleet to one warm server
     accepts: int = 370  # connections that a server accepts from the whole fleet
     fleet_size: int = 1
-    idle_s: float = 15.0  # as the settings tell; 0: not told
+    idle_s: float = 15.0  # idle limit from the settings; 0: none
     dial_timeout_s: float = 1.0
     age_s: float = 600.0
-    requests_most: int = 10_000
+    max_requests: int = 10_000
     ahead: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Server:
-    """What the module thinks of a server: its warmth from 0 to 1, and whether it is penalised."""
+    """A server's state in the balancer: its warmth from 0 to 1, and whether it is penalised."""
 
     warmth: float = 1.0
     penalised: bool = False
@@ -71,33 +71,33 @@
 
 @dataclass(slots=True)
 class Held:
-    """What is open to one server now."""
+    """Counts of connections and waiting requests of one server."""
 
     busy: int = 0
     idle: int = 0
-    coming: int = 0  # dials that are out
-    unclaimed: int = 0  # of these, those that nobody waits for
-    queue: int = 0  # requests that wait for a connection to come free
+    dialing: int = 0  # dials in progress
+    unclaimed_dials: int = 0  # of these, dials that no request waits for
+    queued: int = 0  # requests that wait for a connection to become free
 
-    def all(self) -> int:
-        return self.busy + self.idle + self.coming
+    def total(self) -> int:
+        return self.busy + self.idle + self.dialing
 
 
 class Plan:
-    """One server's; a new life of the server gets a new one."""
+    """The state and the decisions for one server process; a restarted server gets a new plan."""
 
     __slots__ = (
         "address",
-        "answer_s",
-        "answered_of",
         "cap",
         "demand",
-        "dial_s",
+        "latest_answered_at",
         "limits",
-        "pace",
+        "mean_answer_s",
+        "mean_dial_s",
+        "pacer",
+        "prewarm_gate",
         "rng",
         "rules",
-        "worth",
     )
 
     def __init__(self, address: Address, rules: Rules, limits: IdleLimits, rng: Random) -> None:
@@ -105,104 +105,106 @@
         self.rules = rules
         self.limits = limits
         self.rng = rng
-        self.pace = Pace(rules.opens_per_s, rules.fleet_size, rng)
-        self.cap = Cap(rules.accepts, rules.fleet_size)
-        self.demand = Demand()
-        self.worth = Ahead()
-        self.dial_s = 0.0
-        self.answer_s = 0.0
-        self.answered_of = 0.0  # when the latest request was written that has an answer
+        self.pacer = DialPacer(rules.opens_per_s, rules.fleet_size, rng)
+        self.cap = ConnectionCap(rules.accepts, rules.fleet_size)
+        self.demand = DemandForecast()
+        self.prewarm_gate = PrewarmGate()
+        self.mean_dial_s = 0.0
+        self.mean_answer_s = 0.0
+        self.latest_answered_at = 0.0  # when the latest answered request was sent
 
     # A request
 
-    def way(self, now: float, held: Held, usable: bool, server: Server, again: bool = False) -> Way:
-        """Where one request goes; `usable` tells whether an idle connection will do for it.
+    def way(self, now: float, held: Held, usable: bool, server: Server, is_retry: bool = False) -> Decision:
+        """Decides where one request goes; `usable`: an idle connection is usable for it.
 
-        `again` is one that repeats a lost try: most often no other server may take it, so its dial is urgent.
+        A retry of a lost attempt usually can't go to another server, so its dial is urgent.
         """
         if usable:
-            return Way.USE
-        if held.unclaimed > 0:
-            return Way.WAIT
-        if held.all() < self.cap.most(now) and self.pace.allows(now, server.warmth, held.coming, again):
-            return Way.DIAL
-        if held.queue < held.busy + held.coming:
-            return Way.WAIT
-        return Way.GIVE_BACK
-
-    def will_do(self, now: float, idle_s: float, part: float, careful: bool) -> bool:
-        """Whether a connection that was idle for so long takes a request; `part` is the connection's own."""
-        limit = self.limits.limit_s(self.address, now) * part
-        if careful:
-            return idle_s <= min(limit, self.limits.sure_s(self.address, now))
+            return Decision.USE
+        if held.unclaimed_dials > 0:
+            return Decision.WAIT
+        if held.total() < self.cap.max_connections(now) and self.pacer.allows(
+            now, server.warmth, held.dialing, is_retry
+        ):
+            return Decision.DIAL
+        if held.queued < held.busy + held.dialing:
+            return Decision.WAIT
+        return Decision.RETURN
+
+    def will_do(self, now: float, idle_s: float, fraction: float, trusted_only: bool) -> bool:
+        """Returns whether a connection may take a request; `fraction`: its jitter on the idle limit."""
+        limit = self.limits.limit_s(self.address, now) * fraction
+        if trusted_only:
+            return idle_s <= min(limit, self.limits.trusted_s(self.address, now))
         return idle_s <= limit
 
-    def watched(self, idle_s: float) -> bool:
-        """Whether silence after a request may mean that a connection had died while it was idle."""
-        return idle_s >= WATCH_LEAST_S
+    def should_watch(self, idle_s: float) -> bool:
+        """Returns whether silence may mean that the connection had died while idle."""
+        return idle_s >= MIN_WATCHED_IDLE_S
 
-    def is_dead(self, now: float, idle_s: float, asked_at: float, looks: int) -> bool:
-        """Whether a request that has met silence for `looks` times `silence_s` is on a dead connection.
+    def is_dead(self, now: float, idle_s: float, sent_at: float, checks: int) -> bool:
+        """Returns whether a request without an answer after `checks` checks is on a dead connection.
 
-        It is where the server has answered a later one meanwhile. A server that answers nobody is slow or
-        gone, which is the module's matter: to repeat its requests would feed an overload. Where nobody else
-        asks it, a connection in doubt counts as dead after `LOOKS_MOST`.
+        It is if the server has answered a later request meanwhile. A server that answers nothing is slow or
+        gone, which the balancer handles: retrying its requests would add to an overload. Without other
+        requests to the server, a connection in doubt counts as dead after `MAX_SILENCE_CHECKS`.
         """
-        if self.answered_of > asked_at + LATER_S:
+        if self.latest_answered_at > sent_at + REORDERING_S:
             return True
-        return looks >= LOOKS_MOST and idle_s > self.limits.sure_s(self.address, now)
+        return checks >= MAX_SILENCE_CHECKS and idle_s > self.limits.trusted_s(self.address, now)
 
-    def wait_s(self) -> float:
-        """How long a request waits for a connection: no longer than a dial takes."""
-        usual = 2.0 * self.dial_s if self.dial_s else self.rules.dial_timeout_s
-        return min(self.rules.dial_timeout_s, max(WAIT_LEAST_S, usual))
+    def max_wait_s(self) -> float:
+        """Returns how long a request waits for a connection: no longer than a dial takes."""
+        usual_dial_s = 2.0 * self.mean_dial_s if self.mean_dial_s else self.rules.dial_timeout_s
+        return min(self.rules.dial_timeout_s, max(MIN_WAIT_S, usual_dial_s))
 
-    def silence_s(self) -> float:
-        """How long a kept connection may say nothing after a request until it is looked at."""
-        return max(self.rules.dial_timeout_s, ANSWERS * self.answer_s)
+    def silence_timeout_s(self) -> float:
+        """Returns how long a kept connection may be silent after a request before it is checked."""
+        return max(self.rules.dial_timeout_s, SILENCE_FACTOR * self.mean_answer_s)
 
     # Opening and closing
 
-    def ahead(self, now: float, held: Held, server: Server) -> int:
-        """Connections to open now, ahead of need."""
-        if not self.rules.ahead or server.penalised or not self.worth.pays(now):
+    def prewarm_count(self, now: float, held: Held, server: Server) -> int:
+        """Returns how many connections to open now, ahead of need (0 or 1)."""
+        if not self.rules.ahead or server.penalised or not self.prewarm_gate.allows(now):
             return 0
-        wanted = min(self.demand.wanted(now), self.cap.most(now))
-        missing = int(wanted * min(1.0, server.warmth)) - held.all()
-        if missing <= 0 or not self.pace.allows(now, server.warmth, held.coming):
+        target = min(self.demand.forecast(now), self.cap.max_connections(now))
+        missing = int(target * min(1.0, server.warmth)) - held.total()
+        if missing <= 0 or not self.pacer.allows(now, server.warmth, held.dialing):
             return 0
-        return 1  # one for each look: the pace is looked at again for the next
+        return 1  # one per update: the pacer is asked again for the next
 
-    def retires(self, now: float, opened_at: float, idle_s: float, requests: int, part: float) -> bool:
-        """Whether an idle connection is to be closed now."""
+    def retires(self, now: float, opened_at: float, idle_s: float, requests: int, fraction: float) -> bool:
+        """Returns whether an idle connection is to be closed now."""
         return (
-            idle_s > self.limits.limit_s(self.address, now) * part
-            or now - opened_at > self.rules.age_s * part
-            or requests >= self.rules.requests_most * part
+            idle_s > self.limits.limit_s(self.address, now) * fraction
+            or now - opened_at > self.rules.age_s * fraction
+            or requests >= self.rules.max_requests * fraction
         )
 
-    # What happened
+    # Events
 
-    def dialled(self, now: float, took_s: float) -> None:
-        """A connection has come up."""
-        self.pace.succeeded()
-        self.dial_s += (took_s - self.dial_s) / (DIAL_MEMORY if self.dial_s else 1)
+    def record_dial(self, now: float, took_s: float) -> None:
+        """Records that a dial succeeded."""
+        self.pacer.record_success()
+        self.mean_dial_s += (took_s - self.mean_dial_s) / (DIAL_SMOOTHING if self.mean_dial_s else 1)
 
-    def refused(self, now: float, open_now: int) -> None:
-        """A connection did not come up, or was closed before anything was asked; others are open or not."""
-        self.pace.failed(now)
-        if open_now:
-            self.cap.full(now, open_now)
+    def record_refusal(self, now: float, open_connections: int) -> None:
+        """Records a failed dial, or a connection closed before any request, while others were open."""
+        self.pacer.record_failure(now)
+        if open_connections:
+            self.cap.record_full(now, open_connections)
 
-    def answered(self, asked_at: float, took_s: float) -> None:
-        """A request that was written at `asked_at` has its answer."""
-        self.answered_of = max(self.answered_of, asked_at)
-        self.answer_s += (took_s - self.answer_s) / (ANSWER_MEMORY if self.answer_s else 1)
+    def answered(self, sent_at: float, took_s: float) -> None:
+        """Records the answer to a request that was sent at `sent_at`."""
+        self.latest_answered_at = max(self.latest_answered_at, sent_at)
+        self.mean_answer_s += (took_s - self.mean_answer_s) / (ANSWER_SMOOTHING if self.mean_answer_s else 1)
 
-    def ended(self, now: float, idle_s: float) -> None:
-        """A kept connection ended by itself after so long an idle time."""
-        self.limits.ended(self.address, now, idle_s)
+    def record_end(self, now: float, idle_s: float) -> None:
+        """Records that a kept connection ended by itself after being idle for `idle_s`."""
+        self.limits.record_end(self.address, now, idle_s)
 
-    def silent(self, now: float, idle_s: float) -> None:
-        """A request on a connection in doubt met silence."""
-        self.limits.silent(self.address, now, idle_s)
+    def record_silence(self, now: float, idle_s: float) -> None:
+        """Records that a request on a connection in doubt got no answer."""
+        self.limits.record_silence(self.address, now, idle_s)
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -1,13 +1,12 @@
-"""The pool that does what the planner says: dials of its own, queues, retirement, pressure.
+"""A connection pool that follows the planner: own dials, queues, closing of idle connections, pressure.
 
-It stands where net/upstream.py's pool stands and has the same seams; what an exchange's end means is told
-there.
+It replaces the pool of net/upstream.py behind the same interface, which also defines how an exchange may end.
 
 | an exchange is | until |
 | --- | --- |
-| carried | its connection answers or breaks |
-| in the queue | a dial comes up, a connection comes free, its dial fails, or it has waited for long enough |
-| redone | a kept connection broke before its last byte was written: it can't have run, and moves once |
+| on a connection | the connection answers or breaks |
+| in the queue | a dial succeeds, a connection becomes free, its dial fails, or its waiting time is over |
+| redone | sent once more: a kept connection broke before the last byte was written, so it can't have run |
 """
 
 from __future__ import annotations
@@ -21,117 +20,119 @@
 
 from garnethaven.addresses import Address
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import Held, Plan, Rules, Server, Way
+from garnethaven.connections.planner import Decision, Held, Plan, Rules, Server
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.connection import Connection
 from garnethaven.net.exchange import Exchange
 from garnethaven.net.upstream import Pool, Target
 
-LOOK_S = 0.1  # between two looks at what to open and to close
-LOOKS_MOST = 256  # targets at one look; the rest wait for the next
-AT_ONCE_S = 0.05  # a connection that ends so soon was not wanted
-# Seconds of idleness before the first probe, between probes, their number; and the milliseconds after which
-# bytes that nobody takes end a connection. They would do harm where a path is away for longer than that.
-KERNEL_KEEP_ALIVE = {"TCP_KEEPIDLE": 5, "TCP_KEEPINTVL": 2, "TCP_KEEPCNT": 3, "TCP_USER_TIMEOUT": 2000}
-KEEP_ALIVE_MOST_S = 3600
+UPDATE_INTERVAL_S = 0.1  # between two checks of which connections to open and to close
+MAX_TARGETS_PER_UPDATE = 256  # the other targets wait for the next update
+IMMEDIATE_CLOSE_S = 0.05  # a connection closed this soon counts as refused
+# Seconds idle before the first probe, seconds between probes, number of probes; and the milliseconds after
+# which unacknowledged bytes end a connection. Limitation: a path that is interrupted for longer than that
+# loses its connections.
+TCP_OPTIONS = {"TCP_KEEPIDLE": 5, "TCP_KEEPINTVL": 2, "TCP_KEEPCNT": 3, "TCP_USER_TIMEOUT": 2000}
+MAX_KEEP_ALIVE_S = 3600
 
 
 class PlannedConnection(Connection):
-    """One connection, with what its retirement and doubts need."""
+    """A connection with the state for closing it in time and for detecting that it is dead."""
 
     def __init__(self, target: PlannedTarget, address: Address, sock: socket.socket) -> None:
         super().__init__(target, address, sock)
-        self.planned = target
-        self.part = target.pool.limits.part()
-        self.requests = 0
-        self.began_at = target.pool.loop.time()
-        self.carried_at = 0.0
-        self.carrying = False
-        self.silence = False  # it met silence, and is not trusted any more
-        self.ahead = False  # opened ahead of need, and not used yet
-        self.doubt: asyncio.TimerHandle | None = None
+        self.planned_target = target
+        self.retire_fraction = target.pool.limits.random_retire_fraction()
+        self.request_count = 0
+        self.connected_at = target.pool.loop.time()
+        self.sent_at = 0.0
+        self.in_use = False
+        self.silent = False  # got no answer in time, and is broken for that reason
+        self.prewarmed = False  # opened ahead of need and not used yet
+        self.silence_timer: asyncio.TimerHandle | None = None
 
     def carry(self, exchange: Exchange) -> None:
-        self.carrying = True
-        self.planned.busy += 1
-        if self.ahead:
-            self.ahead = False
-            self.planned.plan.worth.used(self.planned.pool.loop.time())
+        self.in_use = True
+        self.planned_target.busy += 1
+        if self.prewarmed:
+            self.prewarmed = False
+            self.planned_target.plan.prewarm_gate.record_used(self.planned_target.pool.loop.time())
         super().carry(exchange)
-        self.requests += 1
-        loop, plan = self.planned.pool.loop, self.planned.plan
-        self.carried_at = loop.time()
-        if self.idle_since and not exchange.careful and plan.watched(self.idle_for):
-            self.doubt = loop.call_later(plan.silence_s(), self._silent, 1)
+        self.request_count += 1
+        loop, plan = self.planned_target.pool.loop, self.planned_target.plan
+        self.sent_at = loop.time()
+        if self.idle_since and not exchange.careful and plan.should_watch(self.idle_for):
+            self.silence_timer = loop.call_later(plan.silence_timeout_s(), self._check_silence, 1)
 
     def data_received(self, data: bytes) -> None:
-        self._end_doubt()
+        self._cancel_silence_timer()
         super().data_received(data)
 
     def connection_lost(self, problem: Exception | None) -> None:
-        if self.exchange is None and self in self.planned.idle:
-            self.planned.ended_idle(self)
+        if self.exchange is None and self in self.planned_target.idle:
+            self.planned_target.record_idle_end(self)
         super().connection_lost(problem)
 
     def drop(self) -> None:
-        self.freed()
-        if self.ahead:
-            self.ahead = False
-            self.planned.plan.worth.unused(self.planned.pool.loop.time())
+        self.mark_free()
+        if self.prewarmed:
+            self.prewarmed = False
+            self.planned_target.plan.prewarm_gate.record_unused(self.planned_target.pool.loop.time())
         super().drop()
 
-    def freed(self) -> None:
-        """It carries nothing any more."""
-        self._end_doubt()
-        if self.carrying:
-            self.carrying = False
-            self.planned.busy -= 1
+    def mark_free(self) -> None:
+        """Records that the connection has no exchange any more."""
+        self._cancel_silence_timer()
+        if self.in_use:
+            self.in_use = False
+            self.planned_target.busy -= 1
 
-    def _silent(self, looks: int) -> None:
-        """Nothing has come back yet on a connection that had been idle."""
-        self.doubt = None
+    def _check_silence(self, checks: int) -> None:
+        """Checks a connection that was idle and has not answered yet; breaks it if it is dead."""
+        self.silence_timer = None
         if self.exchange is None or self.received or self._unread():
             return
-        loop, plan = self.planned.pool.loop, self.planned.plan
-        if plan.is_dead(loop.time(), self.idle_for, self.carried_at, looks):
-            self.silence = True
+        loop, plan = self.planned_target.pool.loop, self.planned_target.plan
+        if plan.is_dead(loop.time(), self.idle_for, self.sent_at, checks):
+            self.silent = True
             self._break()
         else:
-            self.doubt = loop.call_later(plan.silence_s(), self._silent, looks + 1)
+            self.silence_timer = loop.call_later(plan.silence_timeout_s(), self._check_silence, checks + 1)
 
-    def _end_doubt(self) -> None:
-        if self.doubt is not None:
-            self.doubt.cancel()
-            self.doubt = None
+    def _cancel_silence_timer(self) -> None:
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+            self.silence_timer = None
 
     def _finish(self) -> None:
-        plan, answer = self.planned.plan, self.answer
-        plan.answered(self.carried_at, self.planned.pool.loop.time() - self.carried_at)
-        told = answer.header(b"keep-alive")
-        if told is not None:
-            seconds = keep_alive_s(told)
+        plan, answer = self.planned_target.plan, self.answer
+        plan.answered(self.sent_at, self.planned_target.pool.loop.time() - self.sent_at)
+        header = answer.header(b"keep-alive")
+        if header is not None:
+            seconds = keep_alive_timeout_s(header)
             if seconds is not None:
-                plan.limits.of(self.address).keep_alive(seconds)
+                plan.limits.limit_of(self.address).set_announced(seconds)
         super()._finish()
 
     def _break(self) -> None:
-        exchange, kept = self.exchange, self.requests > 1
-        now, plan = self.planned.pool.loop.time(), self.planned.plan
-        if kept and not self.received:
-            (plan.silent if self.silence else plan.ended)(now, self.idle_for)
-        elif not kept and not self.received and now - self.began_at < AT_ONCE_S:
-            plan.refused(now, self.planned.busy + len(self.planned.idle) - 1)  # taken only to be closed
+        exchange, reused = self.exchange, self.request_count > 1
+        now, plan = self.planned_target.pool.loop.time(), self.planned_target.plan
+        if reused and not self.received:
+            (plan.record_silence if self.silent else plan.record_end)(now, self.idle_for)
+        elif not reused and not self.received and now - self.connected_at < IMMEDIATE_CLOSE_S:
+            # Accepted only to be closed.
+            plan.record_refusal(now, self.planned_target.busy + len(self.planned_target.idle) - 1)
         lost = exchange is not None and exchange.body is not None and exchange.body.lost
-        if exchange is None or self.flushed or not kept or exchange.redone or lost:
+        if exchange is None or self.flushed or not reused or exchange.redone or lost:
             super()._break()
             return
         self.drop()
         exchange.connection, exchange.redone = None, True
-        self.planned.start(exchange, self.planned.pool.rules.dial_timeout_s)
+        self.planned_target.start(exchange, self.planned_target.pool.rules.dial_timeout_s)
 
 
 class PlannedTarget(Target):
-    """One server's connections, as its plan wants them."""
+    """One server's connections, opened and closed by its plan."""
 
     pool: PlannedPool
 
@@ -139,65 +140,69 @@
         super().__init__(pool, address)
         self.endpoint = endpoint
         self.queue: deque[Exchange] = deque()
-        self.dials: dict[asyncio.Task[None], bool] = {}  # whether a request asked for it
+        self.dials: dict[asyncio.Task[None], bool] = {}  # False: opened ahead
         self.busy = 0
-        self.life = 0
-        self.stopped = False  # nothing new may go there
+        self.planned_process_start = 0
+        self.stopped = False  # no new request may be sent
         self.plan = self._new_plan()
 
     def _new_plan(self) -> Plan:
         return Plan(self.address or ("", 0), self.pool.rules, self.pool.limits, self.pool.rng)
 
-    def held(self) -> Held:
+    def counts(self) -> Held:
         waiting = sum(not exchange.over for exchange in self.queue) if self.queue else 0
-        coming = len(self.dials)
-        unclaimed = max(0, coming - waiting)
-        return Held(self.busy, len(self.idle), coming, unclaimed, max(0, waiting - coming))
+        dialing = len(self.dials)
+        unclaimed_dials = max(0, dialing - waiting)
+        return Held(self.busy, len(self.idle), dialing, unclaimed_dials, max(0, waiting - dialing))
 
     # Requests
 
     def would_dial(self) -> bool:
-        """The plan paces dials, also those to a server that has just started."""
+        """Always False: the plan paces dials, also those to a server that has just started."""
         return False
 
     def start(self, exchange: Exchange, dial_timeout: float) -> None:
         now = self.pool.loop.time()
         if self.address is None or self.stopped:
-            self._give_back(exchange)
+            self._return_to_engine(exchange)
             return
-        connection = self._take(now, exchange.careful or exchange.again)
-        held = self.held()
+        connection = self._take_usable(now, exchange.careful or exchange.again)
+        counts = self.counts()
         server, usable = self.pool.server(self.endpoint), connection is not None
-        way = self.plan.way(now, held, usable, server, exchange.again)
-        if way is Way.DIAL and not self.pool.has_room():
-            way = Way.WAIT if held.queue < held.busy + held.coming else Way.GIVE_BACK
-        if way in (Way.WAIT, Way.GIVE_BACK) and exchange.again and not exchange.careful:
-            connection = self._take(now, careful=False)  # a doubt is better than nothing
-        self.plan.demand.changes(now, self.busy + held.queue + len(self.dials) - held.unclaimed + 1)
-        self.pool.look_at(self)
+        decision = self.plan.way(now, counts, usable, server, exchange.again)
+        if decision is Decision.DIAL and not self.pool.has_room():
+            decision = Decision.WAIT if counts.queued < counts.busy + counts.dialing else Decision.RETURN
+        if decision in (Decision.WAIT, Decision.RETURN) and exchange.again and not exchange.careful:
+            connection = self._take_usable(
+                now, trusted_only=False
+            )  # a connection in doubt is better than none
+        self.plan.demand.changes(
+            now, self.busy + counts.queued + len(self.dials) - counts.unclaimed_dials + 1
+        )
+        self.pool.schedule_update(self)
         if connection is not None:
             connection.carry(exchange)
-        elif way is Way.GIVE_BACK:
-            self._give_back(exchange)
+        elif decision is Decision.RETURN:
+            self._return_to_engine(exchange)
         else:
             self.queue.append(exchange)
             self.waiting.add(exchange)
-            if way is Way.DIAL:
-                self._open(asked=True)
-            wait = dial_timeout if way is Way.DIAL else self.plan.wait_s()
-            self.pool.loop.call_later(wait, self._waited, exchange)
+            if decision is Decision.DIAL:
+                self._start_dial(for_request=True)
+            wait = dial_timeout if decision is Decision.DIAL else self.plan.max_wait_s()
+            self.pool.loop.call_later(wait, self._wait_expired, exchange)
 
-    def _give_back(self, exchange: Exchange) -> None:
-        """Nothing here takes it, which is no fault of the server's."""
+    def _return_to_engine(self, exchange: Exchange) -> None:
+        """Returns an exchange that no connection can take, without a fault of the server."""
         exchange.over = exchange.skipped = True
-        self.pool.given_back += 1
+        self.pool.returned += 1
         exchange.broken(written=False)
 
-    def _waited(self, exchange: Exchange) -> None:
-        """Long enough: another server serves it sooner."""
+    def _wait_expired(self, exchange: Exchange) -> None:
+        """Returns an exchange that has waited for long enough: another server is faster."""
         if exchange in self.waiting and not exchange.over:
             self._leave_queue(exchange)
-            self._give_back(exchange)
+            self._return_to_engine(exchange)
 
     def _leave_queue(self, exchange: Exchange) -> None:
         self.waiting.discard(exchange)
@@ -211,72 +216,72 @@
             if not exchange.over and exchange.may_begin():
                 return exchange
             if not exchange.over:
-                self._give_back(exchange)
+                self._return_to_engine(exchange)
         return None
 
-    def _take(self, now: float, careful: bool) -> PlannedConnection | None:
-        """The freshest idle connection that will do; what is past its time goes."""
-        settled = now - self.pool.reuse.required_rest_s(now)
-        kept: list[Connection] = []
+    def _take_usable(self, now: float, trusted_only: bool) -> PlannedConnection | None:
+        """Returns the most recently used idle connection that is usable; closes those beyond their limit."""
+        rested_since = now - self.pool.reuse.required_rest_s(now)
+        set_aside: list[Connection] = []
         found: PlannedConnection | None = None
         while self.idle and found is None:
             connection = self.idle.pop()
             assert isinstance(connection, PlannedConnection)
             idle_s = now - connection.idle_since
-            if connection.idle_since > settled:
-                kept.append(connection)
+            if connection.idle_since > rested_since:
+                set_aside.append(connection)
             elif not connection.usable():
-                self.plan.ended(now, idle_s)
+                self.plan.record_end(now, idle_s)
                 connection.drop_unusable()
-            elif self.plan.will_do(now, idle_s, connection.part, careful):
+            elif self.plan.will_do(now, idle_s, connection.retire_fraction, trusted_only):
                 found = connection
-            elif self.plan.will_do(now, idle_s, connection.part, careful=False):
-                kept.append(connection)  # in doubt: good enough for others
+            elif self.plan.will_do(now, idle_s, connection.retire_fraction, trusted_only=False):
+                set_aside.append(connection)  # in doubt: usable for other requests
             else:
                 connection.drop()
-        self.idle.extend(reversed(kept))
+        self.idle.extend(reversed(set_aside))
         return found
 
     # Dials
 
-    def _open(self, asked: bool) -> None:
+    def _start_dial(self, for_request: bool) -> None:
         assert self.address is not None
         now = self.pool.loop.time()
-        self.plan.pace.began(now, self.pool.server(self.endpoint).warmth)
+        self.plan.pacer.record_dial(now, self.pool.server(self.endpoint).warmth)
         task = self.pool.loop.create_task(self._dial_planned(self.address, self.plan))
-        self.dials[task] = asked
+        self.dials[task] = for_request
         self.pool.dials.add(task)
         self.pool.opened += 1
-        self.pool.opened_ahead += not asked
+        self.pool.opened_ahead += not for_request
 
-        def ended(_: asyncio.Task[None]) -> None:  # also when cancelled before its first step
+        def dial_ended(_: asyncio.Task[None]) -> None:  # also when cancelled before its first step
             self.dials.pop(task, None)
             self.pool.dials.discard(task)
 
-        task.add_done_callback(ended)
+        task.add_done_callback(dial_ended)
 
     async def _dial_planned(self, address: Address, plan: Plan) -> None:
-        loop, began = self.pool.loop, self.pool.loop.time()
+        loop, started_at = self.pool.loop, self.pool.loop.time()
         connection: Connection | None = None
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(self.pool.rules.dial_timeout_s):
                 connection = await self._connect(address)
         task = asyncio.current_task()
         assert task is not None
-        asked = self.dials.pop(task, True)
+        for_request = self.dials.pop(task, True)
         self.pool.dials.discard(task)
         if connection is None or connection.transport.is_closing():
-            plan.refused(loop.time(), self.busy + len(self.idle))
+            plan.record_refusal(loop.time(), self.busy + len(self.idle))
             self._dial_failed(address)
             return
         self.pool.connections.add(connection)
-        plan.dialled(loop.time(), loop.time() - began)
+        plan.record_dial(loop.time(), loop.time() - started_at)
         assert isinstance(connection, PlannedConnection)
-        connection.ahead = not asked
+        connection.prewarmed = not for_request
         if address != self.address or self.stopped or plan is not self.plan:
-            connection.drop()  # it was meant for a server that has moved, drained or started anew
+            connection.drop()  # the server has moved, drained or restarted since the dial
             return
-        self._came_free(connection)
+        self._serve_or_idle(connection)
 
     def _dial_failed(self, address: Address) -> None:
         exchange = self._next_waiting() if address == self.address else None
@@ -285,41 +290,43 @@
             exchange.broken(written=False)
 
     def prepare(self, sock: socket.socket) -> None:
-        keep_alive(sock)
+        enable_tcp_keep_alive(sock)
 
     def made(self, address: Address, sock: socket.socket) -> Connection:
         return PlannedConnection(self, address, sock)
 
-    def _came_free(self, connection: PlannedConnection) -> None:
-        """A connection may carry something now, or waits."""
+    def _serve_or_idle(self, connection: PlannedConnection) -> None:
+        """Sends the next waiting exchange on the connection, or keeps it idle."""
         exchange = self._next_waiting()
         if exchange is not None:
             connection.carry(exchange)
             return
         connection.idle_since = self.pool.loop.time()
         self.idle.append(connection)
-        self.pool.look_at(self)
+        self.pool.schedule_update(self)
 
     def release(self, connection: Connection) -> None:
         assert isinstance(connection, PlannedConnection)
-        connection.freed()
+        connection.mark_free()
         now = self.pool.loop.time()
         if connection.address != self.address or self.stopped:
             connection.drop()
             return
-        if self.plan.retires(now, connection.began_at, 0.0, connection.requests, connection.part):
+        if self.plan.retires(
+            now, connection.connected_at, 0.0, connection.request_count, connection.retire_fraction
+        ):
             connection.drop()
             return
         connection.idle_since = now
         self.idle.append(connection)
-        self.pool.look_at(self)
+        self.pool.schedule_update(self)
         if self.queue:
             self.pool.loop.call_later(self.pool.reuse.required_rest_s(now) * 1.1, self._serve_queue)
 
     def _serve_queue(self) -> None:
-        """A connection that came free has settled."""
+        """Sends waiting exchanges on connections whose rest after an answer is over."""
         while self.queue and not self.stopped:
-            connection = self._take(self.pool.loop.time(), careful=self.queue[0].careful)
+            connection = self._take_usable(self.pool.loop.time(), trusted_only=self.queue[0].careful)
             if connection is None:
                 return
             exchange = self._next_waiting()
@@ -328,37 +335,41 @@
                 return
             connection.carry(exchange)
 
-    def ended_idle(self, connection: PlannedConnection) -> None:
-        """The other side has closed a connection that nobody used."""
+    def record_idle_end(self, connection: PlannedConnection) -> None:
+        """Records that the server has closed an idle connection."""
         now = self.pool.loop.time()
-        if connection.requests:
-            self.plan.ended(now, now - connection.idle_since)
+        if connection.request_count:
+            self.plan.record_end(now, now - connection.idle_since)
         else:
-            self.plan.refused(now, self.busy + len(self.idle) - 1)
+            self.plan.record_refusal(now, self.busy + len(self.idle) - 1)
 
-    # Looks
+    # Updates
 
-    def look(self, now: float) -> bool:
-        """Close what has had its time, open what will be needed; whether it is worth another look."""
+    def update(self, now: float) -> bool:
+        """Closes expired connections and opens needed ones; returns whether another update is needed."""
         plan, server = self.plan, self.pool.server(self.endpoint)
-        held = self.held()
-        plan.demand.changes(now, self.busy + held.queue + held.coming - held.unclaimed)
+        counts = self.counts()
+        plan.demand.changes(now, self.busy + counts.queued + counts.dialing - counts.unclaimed_dials)
         for connection in list(self.idle):
             assert isinstance(connection, PlannedConnection)
             idle_s = now - connection.idle_since
-            retired = plan.retires(now, connection.began_at, idle_s, connection.requests, connection.part)
-            if retired or held.all() > plan.cap.most(now):
+            retired = plan.retires(
+                now, connection.connected_at, idle_s, connection.request_count, connection.retire_fraction
+            )
+            if retired or counts.total() > plan.cap.max_connections(now):
                 self.idle.remove(connection)
                 connection.drop()
-                held = self.held()
-        ahead = self.address is not None and not self.stopped and plan.ahead(now, held, server) > 0
-        if ahead and self.pool.held() < self.pool.limit():
-            self._open(asked=False)
-        return bool(self.idle or self.busy or self.queue or self.dials or plan.demand.wanted(now))
+                counts = self.counts()
+        should_prewarm = (
+            self.address is not None and not self.stopped and plan.prewarm_count(now, counts, server) > 0
+        )
+        if should_prewarm and self.pool.held() < self.pool.limit():
+            self._start_dial(for_request=False)
+        return bool(self.idle or self.busy or self.queue or self.dials or plan.demand.forecast(now))
 
     def surplus(self, now: float) -> int:
-        """Idle connections beyond what is most likely needed."""
-        return len(self.idle) + self.busy - self.plan.demand.wanted(now)
+        """Returns how many connections are open beyond the forecast."""
+        return len(self.idle) + self.busy - self.plan.demand.forecast(now)
 
     # Membership
 
@@ -369,9 +380,9 @@
             self.plan = self._new_plan()
 
     def began(self, started: int) -> None:
-        if started != self.life:
-            self.life = started
-            self.plan = self._new_plan()  # another process: its dials are paced from the start
+        if started != self.planned_process_start:
+            self.planned_process_start = started
+            self.plan = self._new_plan()  # a restarted process has its own pacing
         super().began(started)
 
     def abandon_waiting(self) -> None:
@@ -384,7 +395,7 @@
 
 
 class PlannedPool(Pool):
-    """All servers' connections, planned. `server` tells what the module thinks of one."""
+    """The planned connections of all servers. `server` returns the balancer's state of one."""
 
     def __init__(
         self,
@@ -402,62 +413,62 @@
         self.rng = Random(seed)
         self.limits = IdleLimits(rules.idle_s, self.rng)
         self.active: dict[PlannedTarget, None] = {}
-        self.looking: asyncio.TimerHandle | None = None
-        self.opened = self.opened_ahead = self.given_back = 0
+        self.update_timer: asyncio.TimerHandle | None = None
+        self.opened = self.opened_ahead = self.returned = 0
 
     def target(self, endpoint: int, address: Address | None) -> Target:
         return PlannedTarget(self, endpoint, address)
 
     def set_rules(self, rules: Rules) -> None:
-        """Other bounds, from now on; what is open beyond them is closed as it comes free."""
+        """Replaces the rules; connections beyond the new bounds are closed when they become free."""
         self.rules = rules
         for target in self.targets():
             assert isinstance(target, PlannedTarget)
             target.plan = target._new_plan()
-            self.look_at(target)
+            self.schedule_update(target)
 
     def watch_idle(self) -> None:
-        """Nothing: the looks see to idle connections."""
+        """Does nothing: the updates close idle connections."""
 
-    def look_at(self, target: PlannedTarget) -> None:
+    def schedule_update(self, target: PlannedTarget) -> None:
         self.active[target] = None
-        if self.looking is None:
-            self.looking = self.loop.call_later(LOOK_S, self._look)
+        if self.update_timer is None:
+            self.update_timer = self.loop.call_later(UPDATE_INTERVAL_S, self._update_targets)
 
-    def _look(self) -> None:
-        self.looking = None
+    def _update_targets(self) -> None:
+        self.update_timer = None
         now = self.loop.time()
-        for target in list(self.active)[:LOOKS_MOST]:
+        for target in list(self.active)[:MAX_TARGETS_PER_UPDATE]:
             del self.active[target]
-            if target.look(now):
-                self.active[target] = None  # behind the others
+            if target.update(now):
+                self.active[target] = None  # at the end, behind the others
         if self.active:
-            self.looking = self.loop.call_later(LOOK_S, self._look)
+            self.update_timer = self.loop.call_later(UPDATE_INTERVAL_S, self._update_targets)
 
     def close_oldest_idle(self) -> bool:
-        """Close an idle connection of the server that needs its own the least."""
+        """Closes an idle connection of the server with the largest surplus."""
         now = self.loop.time()
-        spare = [target for target in self.active if target.idle]
-        if not spare:
+        candidates = [target for target in self.active if target.idle]
+        if not candidates:
             return False
-        least = max(spare, key=lambda target: (target.surplus(now), -target.idle[0].idle_since))
-        least.idle.pop(0).drop()
+        donor = max(candidates, key=lambda target: (target.surplus(now), -target.idle[0].idle_since))
+        donor.idle.pop(0).drop()
         return True
 
 
-def keep_alive(sock: socket.socket) -> None:
-    """Let the kernel notice a peer's machine that is gone, where it can."""
+def enable_tcp_keep_alive(sock: socket.socket) -> None:
+    """Enables TCP keep-alive, so that the kernel detects an unreachable peer where it supports that."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for name, value in KERNEL_KEEP_ALIVE.items():
-        if hasattr(socket, name):
-            sock.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
+    for option, value in TCP_OPTIONS.items():
+        if hasattr(socket, option):
+            sock.setsockopt(socket.IPPROTO_TCP, getattr(socket, option), value)
 
 
-def keep_alive_s(header: bytes) -> float | None:
-    """The time-out that a `Keep-Alive` header tells, in seconds; None where it tells none."""
+def keep_alive_timeout_s(header: bytes) -> float | None:
+    """Returns the timeout in a `Keep-Alive` header in seconds, or None."""
     for part in header.split(b","):
         name, _, value = part.strip().partition(b"=")
         value = value.strip()
         if name.strip().lower() == b"timeout" and value.isdigit() and len(value) < 6:
-            return float(min(int(value), KEEP_ALIVE_MOST_S))
+            return float(min(int(value), MAX_KEEP_ALIVE_S))
     return None
--- a/garnethaven/connections/table.py
+++ b/garnethaven/connections/table.py
@@ -8,7 +8,7 @@
 
 
 class Connections(Table, frozen=True):
-    """How connections to servers are planned; on where `plan` is true."""
+    """How connections to servers are planned; enabled by `plan`."""
 
     plan: Annotated[bool, said("switches it on", waits=True)] = False
     opens_per_s: Annotated[
--- a/tests/connections/test_settings.py
+++ b/tests/connections/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's table, checked strictly; off means absent; a reload takes other bounds over."""
+"""The operator's table is checked strictly, nothing is imported when it is off, and a reload applies it."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "connections.toml"))["connections"]
-    assert isinstance(told, Connections)
-    assert told.plan and told.ahead and told.opens_per_s == 40.0
+    table = read_operator(str(ROOT / "deploy" / "examples" / "connections.toml"))["connections"]
+    assert isinstance(table, Connections)
+    assert table.plan and table.ahead and table.opens_per_s == 40.0
 
 
 @pytest.mark.parametrize(
@@ -63,19 +63,19 @@
         assert sidecar.reload(config, halved) == []
         assert (pool.rules.accepts, pool.rules.opens_per_s) == (185, 20.0)
         assert sidecar.reload(config, {}) == ["connections.plan"]
-        off = Sidecar(replace(config, listen=("127.0.0.1", PORTS.take())), {}, sidecar.loop)
-        assert type(off.transport.pool) is Pool
-        for one in (sidecar, off):
-            one.drain()
-            await one.finished()
+        planless_sidecar = Sidecar(replace(config, listen=("127.0.0.1", PORTS.take())), {}, sidecar.loop)
+        assert type(planless_sidecar.transport.pool) is Pool
+        for sidecar_to_stop in (sidecar, planless_sidecar):
+            sidecar_to_stop.drain()
+            await sidecar_to_stop.finished()
 
     run(case())
 
 
 def test_the_rig_in_short_loses_nothing_and_keeps_to_its_bound() -> None:
-    code, figures, said = play("connections", "--seed", "6", "--seconds", "5")
-    assert code in (0, 1), said
-    assert figures["sent"] > 1000, said
-    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (said, figures)
+    exit_code, figures, output = play("connections", "--seed", "6", "--seconds", "5")
+    assert exit_code in (0, 1), output
+    assert figures["sent"] > 1000, output
+    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
     assert figures["missing"] == figures["doubled"] == 0
     assert figures["opens_per_s_peak"] <= figures["opens_per_s_bound"], figures
