--- a/garnethaven/connections/idle_limits.py
+++ b/garnethaven/connections/idle_limits.py
@@ -7,12 +7,12 @@
 
 The learned limit is `OBSERVED_FRACTION` of the idle time at which connections were found dead. Events that
 are no idle limit must not be learned: a process that crashes ends all its connections whatever their idle
-time, and random failures end any.
+time, and noise (random failures) ends any.
 
 - *Silence* after a request, while the same server answers later requests, is learned at once: crashes and
-  random failures end connections visibly.
-- *A close* is learned only with a second one after a similar idle time (`SIMILARITY_RATIO`) and at least
-  `MIN_PAIR_GAP_S` later, since closes at the same moment have one cause.
+  noise end connections visibly.
+- *A close* is learned only with a second one after a similar idle time (`SIMILARITY_RATIO`), within
+  `MAX_PAIR_GAP_S` and at least `MIN_PAIR_GAP_S` later, since closes at the same moment have one cause.
 - A server's learned limit grows back by half every `RECOVER_S`, since the middlebox may be gone.
 - Similar limits learned from `MIN_SIMILAR_SERVERS` servers within `COMMON_WINDOW_S` apply to all servers: the
   cause is most likely on this side.
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -185,7 +185,7 @@
 
     # Events
 
-    def record_dial(self, now: float, took_s: float) -> None:
+    def record_connected(self, now: float, took_s: float) -> None:
         """Records that a dial succeeded."""
         self.pacer.record_success()
         self.mean_dial_s += (took_s - self.mean_dial_s) / (DIAL_SMOOTHING if self.mean_dial_s else 1)
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -275,7 +275,7 @@
             self._dial_failed(address)
             return
         self.pool.connections.add(connection)
-        plan.record_dial(loop.time(), loop.time() - started_at)
+        plan.record_connected(loop.time(), loop.time() - started_at)
         assert isinstance(connection, PlannedConnection)
         connection.prewarmed = not for_request
         if address != self.address or self.stopped or plan is not self.plan:
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -7,7 +7,7 @@
     over  <= B + N  +  n * A / N * S
 
 The first terms are the buckets of all members, full at the start of the span, each at least one request
-large. The last is for n members that started in it and that the others did not count (any more): each uses
+deep. The last is for n members that started in it and that the others did not count (any more): each uses
 its even share until they do. Partitions, losses and delays do not add to the excess: they make shares smaller
 (admission.py), which the second bound covers. A tenant gets less than it requests and may have
 
--- a/tests/connections/test_pool.py
+++ b/tests/connections/test_pool.py
@@ -338,7 +338,7 @@
     async def case() -> None:
         async with pool_fixture() as fixture:
             needed = [fixture.start_request() for _ in range(2)]
-            await asyncio.gather(*(request.done.wait() for request in needed))
+            await asyncio.gather(*(needed_request.done.wait() for needed_request in needed))
             await fixture.settled()
             server = await ServerStub().start()
             spare = fixture.add(2, server)
@@ -371,7 +371,7 @@
             await until(lambda: not fixture.pool.connections and not fixture.pool.dials)
             await until(
                 lambda: (
-                    len(fixture.pool.active) <= 1 or not any(target.idle for target in fixture.pool.active)
+                    len(fixture.pool.active) <= 1 or not any(active.idle for active in fixture.pool.active)
                 )
             )
 
