--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -231,10 +231,10 @@
         """Sums the shortages published by other members and takes over the largest number of origins."""
         assert self.peer is not None
         self.remote_shortages, origin_count = {}, self.origin_count
-        for member, kept in self.peer.rows.kept.items():
+        for member, row_state in self.peer.rows.kept.items():
             if member == self.peer.own:
                 continue
-            state = self._decoded_state(member, kept.row.version, kept.row.told.get(TOPIC))
+            state = self._decoded_state(member, row_state.row.version, row_state.row.told.get(TOPIC))
             # Includes members not heard lately: they go on earning.
             origin_count = max(origin_count, min(state.origin_count, HOMES_MOST))
             if self.peer.rows.hears(now, member):
--- a/garnethaven/budgets/purse.py
+++ b/garnethaven/budgets/purse.py
@@ -138,7 +138,7 @@
 
         The youngest tokens stay, so that the member's own reserve does not expire early.
         """
-        remaining, withdrawn, kept = min(amount, self.available(now)), [], []
+        remaining, withdrawn, retained = min(amount, self.available(now)), [], []
         too_old = now - int(self.lifetime * MAX_TRANSFER_AGE)
         for batch in self.batches:
             moved = min(remaining, batch.amount) if batch.earned_at > too_old else 0.0
@@ -146,8 +146,8 @@
                 withdrawn.append(TokenBatch(batch.earned_at, moved))
                 remaining -= moved
             if batch.amount - moved > EPSILON:
-                kept.append(TokenBatch(batch.earned_at, batch.amount - moved))
-        self.batches = deque(kept)
+                retained.append(TokenBatch(batch.earned_at, batch.amount - moved))
+        self.batches = deque(retained)
         self.next_update = now
         return withdrawn
 
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -115,20 +115,20 @@
 
     # A request
 
-    def way(self, now: float, held: Held, usable: bool, server: Server, is_retry: bool = False) -> Decision:
+    def way(self, now: float, counts: Held, usable: bool, server: Server, is_retry: bool = False) -> Decision:
         """Decides where one request goes; `usable`: an idle connection is usable for it.
 
         A retry of a lost attempt usually can't go to another server, so its dial is urgent.
         """
         if usable:
             return Decision.USE
-        if held.unclaimed_dials > 0:
+        if counts.unclaimed_dials > 0:
             return Decision.WAIT
-        if held.total() < self.cap.max_connections(now) and self.pacer.allows(
-            now, server.warmth, held.dialing, is_retry
+        if counts.total() < self.cap.max_connections(now) and self.pacer.allows(
+            now, server.warmth, counts.dialing, is_retry
         ):
             return Decision.DIAL
-        if held.queued < held.busy + held.dialing:
+        if counts.queued < counts.busy + counts.dialing:
             return Decision.WAIT
         return Decision.RETURN
 
@@ -165,13 +165,13 @@
 
     # Opening and closing
 
-    def prewarm_count(self, now: float, held: Held, server: Server) -> int:
+    def prewarm_count(self, now: float, counts: Held, server: Server) -> int:
         """Returns how many connections to open now, ahead of need (0 or 1)."""
         if not self.rules.ahead or server.penalised or not self.prewarm_gate.allows(now):
             return 0
         target = min(self.demand.forecast(now), self.cap.max_connections(now))
-        missing = int(target * min(1.0, server.warmth)) - held.total()
-        if missing <= 0 or not self.pacer.allows(now, server.warmth, held.dialing):
+        missing = int(target * min(1.0, server.warmth)) - counts.total()
+        if missing <= 0 or not self.pacer.allows(now, server.warmth, counts.dialing):
             return 0
         return 1  # one per update: the pacer is asked again for the next
 
--- a/garnethaven/tenants/admission.py
+++ b/garnethaven/tenants/admission.py
@@ -1,9 +1,8 @@
 """Admission of tenants' requests against a fleet-wide rate limit, as decided by one member. No I/O.
 
 Theory. A tenant has an allowance over the whole fleet: requests per second and a burst. Each member has a
-token bucket for it, refilled at the member's *share* of the rate, with the same share of the burst as its
-capacity (at least one request). A request takes a token or is refused at once. So in any span the fleet
-admits at most
+token bucket for it, refilled at the member's *share* of the rate and as deep as the same share of the burst
+(at least one request). A request takes a token or is refused at once. So in any span the fleet admits at most
 
     sum(capacities) + the integral of the sum of all shares,
 
@@ -106,7 +105,7 @@
     published: deque[tuple[int, float]] = field(default_factory=deque)  # (since when, demand)
     recent_shares: deque[tuple[int, float]] = field(default_factory=deque)  # (time, share)
 
-    def start_process(self, now: int) -> None:
+    def mark_process_start(self, now: int) -> None:
         """Marks the start of the process: the floor holds, and the share may not rise before `settle`."""
         self.published_since_start = True
         self.peaks, self.peaks_rotated_at = (0.0, math.inf), now
@@ -188,7 +187,7 @@
         self.tenants: dict[int, Tenant] = {}
         self.set_allowances(allowances, default_allowance, slot_count)
         for tenant_id in self.configured:
-            self._add_tenant(now, tenant_id).start_process(now)
+            self._add_tenant(now, tenant_id).mark_process_start(now)
 
     def set_allowances(
         self, allowances: Mapping[str, Allowance], default_allowance: Allowance | None, slot_count: int
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -51,8 +51,8 @@
 
     def look(self, now: int) -> None:
         """Updates the admission with the rows received so far."""
-        for kept in self.peer.rows.kept.values():
-            self._decoded_row(kept.row)
+        for row_state in self.peer.rows.kept.values():
+            self._decoded_row(row_state.row)
         rows = self.peer.view(now)
         demands: dict[int, list[float]] = defaultdict(list)
         for row in rows:
--- a/tests/budgets/test_exploring.py
+++ b/tests/budgets/test_exploring.py
@@ -34,7 +34,7 @@
     receiver: str
     asked_at: int
     process: int
-    gifts: bytes
+    transfers: bytes
 
 
 def member(process: int, now: int) -> tuple[Any, Lending]:
@@ -84,9 +84,9 @@
             self.spent += self.members[argument][1].may_spend(self.now, 1, 0, 1.0)
         elif action == "ask":
             peer, _ = self.members[second_argument]
-            gifts = peer.exchanges[TOPIC].gives(self.now, argument, REQUESTED)
-            if gifts is not None:
-                self.in_transit.append(InTransit(argument, self.now, peer.process, PACK(gifts)))
+            transfers = peer.exchanges[TOPIC].gives(self.now, argument, REQUESTED)
+            if transfers is not None:
+                self.in_transit.append(InTransit(argument, self.now, peer.process, PACK(transfers)))
         elif action == "crash":
             del self.members[argument]
         elif action == "begin":
@@ -95,7 +95,7 @@
             answer = self.in_transit[argument] if action == "repeat" else self.in_transit.pop(argument)
             if action != "lose" and answer.receiver in self.members:
                 peer, _ = self.members[answer.receiver]
-                raw = msgspec.Raw(answer.gifts)
+                raw = msgspec.Raw(answer.transfers)
                 peer.exchanges[TOPIC].takes(self.now, answer.asked_at, answer.process, raw)
 
     def mark(self) -> object:
@@ -109,7 +109,7 @@
             ),
             tuple(
                 sorted(
-                    (answer.receiver, answer.asked_at, answer.process, answer.gifts)
+                    (answer.receiver, answer.asked_at, answer.process, answer.transfers)
                     for answer in self.in_transit
                 )
             ),
@@ -137,7 +137,7 @@
     def _without_account(self, lending: Lending) -> float:
         return RATE_PER_S / len(NAMES) * min(self.now - lending.earns_since, LIFETIME) / S
 
-    def holds(self) -> None:
+    def check_invariant(self) -> None:
         assert self.spent + self.available() <= self.earned + 1e-6, (
             self.spent,
             self.available(),
@@ -150,5 +150,5 @@
     for name in NAMES:
         world.begin(name)
     world.step(("tick", None, None))
-    _, sizes = explore(world, DEPTH, World.holds, FULL_DEPTH, 120)
+    _, sizes = explore(world, DEPTH, World.check_invariant, FULL_DEPTH, 120)
     assert sum(sizes) > 2_000
