--- a/garnethaven/budgets/purse.py
+++ b/garnethaven/budgets/purse.py
@@ -35,7 +35,7 @@
 SECOND = 1_000_000_000
 BATCHES_PER_LIFETIME = 16  # batches that a balance is kept in: ages are exact to 1/16 of the lifetime
 UPDATES_PER_LIFETIME = 128  # how often tokens earned by time are added
-CLOCK_DRIFT = 0.02  # relative
+CLOCK_DRIFT = 0.02  # largest relative clock error that is allowed for
 EPSILON = 1e-9  # tolerance for floating-point rounding, in tokens
 MAX_TRANSFER_AGE = 0.75  # of the lifetime; an older token would expire in transit
 
