--- a/garnethaven/connections/table.py
+++ b/garnethaven/connections/table.py
@@ -8,7 +8,7 @@
 
 
 class Connections(Table, frozen=True):
-    """How connections to servers are planned; on where `plan` is true."""
+    """How connections to servers are planned; enabled by `plan`."""
 
     plan: Annotated[bool, field_meta("switches it on", waits=True)] = False
     opens_per_s: Annotated[
