--- a/garnethaven/budgets/table.py
+++ b/garnethaven/budgets/table.py
@@ -15,9 +15,9 @@
     retries_share: Annotated[
         float, number_range(0, 1, "clients' marked retries and repeats, for each first try of the fleet")
     ] = 0.0
-    retries_per_s: Annotated[
-        float, number_range(0, MAX_PER_S, "the same, beside that share", "a second")
-    ] = 0.0
+    retries_per_s: Annotated[float, number_range(0, MAX_PER_S, "the same, beside that share", "a second")] = (
+        0.0
+    )
     copies_share: Annotated[float, number_range(0, 1, "second copies, for each first try of the fleet")] = 0.0
     copies_per_s: Annotated[float, number_range(0, MAX_PER_S, "the same, beside that share", "a second")] = (
         0.0
@@ -26,9 +26,9 @@
     cold_dials_per_s: Annotated[
         float, number_range(0, MAX_PER_S, "connections to one server that has just started", "a second")
     ] = 0.0
-    discovery_per_s: Annotated[float, number_range(0, MAX_PER_S, "calls to discovery out of turn", "a second")] = (
-        0.0
-    )
+    discovery_per_s: Annotated[
+        float, number_range(0, MAX_PER_S, "calls to discovery out of turn", "a second")
+    ] = 0.0
     lasts_s: Annotated[
         float,
         number_range(0.5, 60, "how long a right lasts: the burst is the rate times that", "seconds"),
