--- a/garnethaven/extproc/__init__.py
+++ b/garnethaven/extproc/__init__.py
@@ -1,4 +1,4 @@
-"""The external processor: a proxy calls once a request and gets one decision back (`ext_proc` v3 over gRPC).
+"""External processor: a proxy calls it once per request and gets one decision (`ext_proc` v3 over gRPC).
 
-Imported only where the operator's file switches it on. Decisions here do no I/O: tokens.py, mapping.py.
+Imported only if the operator's file enables it. tokens.py and mapping.py do no I/O.
 """
--- a/garnethaven/extproc/answers.py
+++ b/garnethaven/extproc/answers.py
@@ -1,7 +1,8 @@
-"""The processor's answers, after the published protocol and the convention of endpoint pickers.
+"""Encodes the processor's answers, following the `ext_proc` protocol and the endpoint picker convention.
 
-They leave here as bytes. What all decisions for an address have in common is built and encoded once; the few
-headers that are a request's own are encoded beside it, for two encodings in a row merge into one message.
+All functions return serialized messages. The part that all decisions for an address share is built and
+encoded once. The headers of one request are encoded separately and appended: concatenated protobuf encodings
+merge into one message.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 from envoy.type.v3.http_status_pb2 import HttpStatus
 
-DESTINATION = "x-gateway-destination-endpoint"
-SERVED = "x-gateway-destination-endpoint-served"
-VALID = "x-gateway-decision-valid-ms"
-METADATA = "envoy.lb"
-ADDRESSES_MOST = 4096  # templates that are kept
-OVERWRITE = bytes((3 << 3, HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD))
+DESTINATION_HEADER = "x-gateway-destination-endpoint"
+SERVED_BY_HEADER = "x-gateway-destination-endpoint-served"
+VALID_MS_HEADER = "x-gateway-decision-valid-ms"
+METADATA_NAMESPACE = "envoy.lb"
+ADDRESSES_MOST = 4096  # size of the cache of decision templates
+ENCODED_OVERWRITE_ACTION = bytes((3 << 3, HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD))
 
-# Headers both ways and nothing else: what is not asked for is not sent, and costs neither side.
-MODE = ProcessingMode(
+# Request and response headers only: unsent bodies and trailers save work on both sides.
+PROCESSING_MODE = ProcessingMode(
     request_header_mode=ProcessingMode.SEND,
     response_header_mode=ProcessingMode.SEND,
     request_body_mode=ProcessingMode.NONE,
@@ -31,7 +32,7 @@
 )
 
 
-def option(name: str, value: str) -> HeaderValueOption:
+def header_option(name: str, value: str) -> HeaderValueOption:
     return HeaderValueOption(
         header=HeaderValue(key=name, raw_value=value.encode("latin-1", "replace")),
         append_action=HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD,
@@ -39,25 +40,33 @@
 
 
 @lru_cache(maxsize=ADDRESSES_MOST)
-def template(address: str) -> bytes:
-    """What every decision for an address has in common; built once, for a decision should cost little."""
-    answer = pb.ProcessingResponse(mode_override=MODE)
-    answer.request_headers.response.header_mutation.set_headers.append(option(DESTINATION, address))
-    answer.dynamic_metadata.update({METADATA: {DESTINATION: address}})
+def decision_template(address: str) -> bytes:
+    """Return the encoded part that all decisions for an address share; cached to keep decisions cheap."""
+    answer = pb.ProcessingResponse(mode_override=PROCESSING_MODE)
+    answer.request_headers.response.header_mutation.set_headers.append(
+        header_option(DESTINATION_HEADER, address)
+    )
+    answer.dynamic_metadata.update({METADATA_NAMESPACE: {DESTINATION_HEADER: address}})
     return bytes(answer.SerializeToString())
 
 
-def send_to(address: str, headers: dict[str, str]) -> bytes:
-    """The request goes to `address`, as a header and as dynamic metadata, with further headers set."""
+def encode_decision(address: str, headers: dict[str, str]) -> bytes:
+    """Encode a decision: `address` as a header and as dynamic metadata, and further request headers."""
     options = b"".join(
-        field(1, field(1, field(1, name.encode()) + field(3, value.encode("latin-1", "replace"))) + OVERWRITE)
+        encode_field(
+            1,
+            encode_field(
+                1, encode_field(1, name.encode()) + encode_field(3, value.encode("latin-1", "replace"))
+            )
+            + ENCODED_OVERWRITE_ACTION,
+        )
         for name, value in headers.items()
     )
-    return template(address) + field(1, field(1, field(2, options)))
+    return decision_template(address) + encode_field(1, encode_field(1, encode_field(2, options)))
 
 
-def field(number: int, value: bytes) -> bytes:
-    """A field of bytes, a string or a message, in the published encoding; numbers up to 15."""
+def encode_field(number: int, value: bytes) -> bytes:
+    """Encode a length-delimited protobuf field (bytes, string or message); field numbers up to 15."""
     head, length = bytes((number << 3 | 2,)), len(value)
     while length > 127:
         head += bytes((length & 127 | 128,))
@@ -65,27 +74,27 @@
     return head + bytes((length,)) + value
 
 
-def immediate(status: int, details: str, headers: dict[str, str] | None = None) -> bytes:
-    """The request ends here; `details` says why, for the proxy's log."""
+def encode_immediate_response(status: int, details: str, headers: dict[str, str] | None = None) -> bytes:
+    """Encode an answer that ends the request; `details` is the reason for the proxy's log."""
     answer = pb.ProcessingResponse()
     answer.immediate_response.status.CopyFrom(HttpStatus(code=status))
     answer.immediate_response.details = details
     for name, value in (headers or {}).items():
-        answer.immediate_response.headers.set_headers.append(option(name, value))
+        answer.immediate_response.headers.set_headers.append(header_option(name, value))
     return bytes(answer.SerializeToString())
 
 
 @lru_cache(maxsize=8)
 def go_on(part: str) -> bytes:
-    """Nothing to change at this part of the exchange."""
+    """Encode an answer that leaves this part of the exchange unchanged; `part` is its field name."""
     answer = pb.ProcessingResponse()
     getattr(answer, part).SetInParent()
     return bytes(answer.SerializeToString())
 
 
-def headers_of(told: pb.HttpHeaders) -> dict[str, str]:
-    """Names in lower case; of several with one name the first counts."""
+def parse_headers(message: pb.HttpHeaders) -> dict[str, str]:
+    """Return the headers by lower-case name; the first of several with the same name is used."""
     return {
         header.key.lower(): header.raw_value.decode("latin-1") or header.value
-        for header in reversed(told.headers.headers)
+        for header in reversed(message.headers.headers)
     }
--- a/garnethaven/extproc/feature.py
+++ b/garnethaven/extproc/feature.py
@@ -1,4 +1,4 @@
-"""The external processor in one program."""
+"""The external processor as a feature of the sidecar."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         return {
             "streams": front.streams,
             "refused_early": front.refused_early,
-            "tokens_checked": front.checked,
-            "tokens_rejected": front.rejected,
+            "tokens_checked": front.tokens_checked,
+            "tokens_rejected": front.tokens_rejected,
         }
 
 
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -1,8 +1,8 @@
-"""From a request's headers, as the proxy tells them, to a call; and from a response's to an outcome. No I/O.
+"""Maps request headers from the proxy to a call, and response headers to an outcome. No I/O.
 
-A request is named by our own protocol's headers. Where they are missing the operator's routes fill in: the
-first whose method and path prefix fit gives the class. The time that is left is the least of `x-budget-ms`,
-the proxy's own `x-envoy-expected-rq-timeout-ms` and the class's deadline.
+A request is described by the headers of the sidecar's own protocol. Without `x-call-class` the operator's
+routes give the class: the first one whose method and path prefix match. The time budget is the minimum of
+`x-budget-ms`, the proxy's `x-envoy-expected-rq-timeout-ms` and the deadline of the class.
 """
 
 from __future__ import annotations
@@ -16,60 +16,60 @@
 from garnethaven.interface import Outcome
 
 MS = 1_000_000
-ID_MOST = 256
-TOKEN = "x-gateway-decision-token"
-CHECKED = "x-gateway-decision-token-checked"  # on the answer to a request that brought a token
-UNUSED = "x-gateway-decision-unused"  # the decision that the token came with was not acted on
-BUDGETS = ("x-budget-ms", "x-envoy-expected-rq-timeout-ms")
+MAX_ID_LENGTH = 256
+TOKEN_HEADER = "x-gateway-decision-token"
+TOKEN_CHECKED_HEADER = "x-gateway-decision-token-checked"  # on the answer to a request with a token
+UNUSED_HEADER = "x-gateway-decision-unused"  # "1": the proxy did not act on the decision of this token
+BUDGET_HEADERS = ("x-budget-ms", "x-envoy-expected-rq-timeout-ms")
 
 
 class MappingError(Exception):
-    """What can't be taken; its text names the header."""
+    """The headers can't be mapped; the text names the header."""
 
 
 @dataclass(slots=True, frozen=True)
-class Mapped:
-    """A request, ready to be taken."""
+class MappedRequest:
+    """The properties of a request, as its call needs them."""
 
     call_id: bytes
     grade: int
-    tenant: int
-    caller: str  # the tenant as the client names it
+    tenant_index: int
+    tenant_name: str  # as sent by the client
     key: str
     budget: int  # nanoseconds
     repeat: bool
     token: str
-    comes_again: bool  # an earlier attempt may have been sent
-    unused: bool
+    may_have_been_sent: bool  # the proxy repeats the request: an earlier attempt may have been sent
+    decision_unused: bool
 
 
-def map_request(headers: Mapping[str, str], classes: Classes, routes: Iterable[Route]) -> Mapped:
-    """Read a request; raises MappingError where it lacks what a call needs."""
+def map_request(headers: Mapping[str, str], classes: Classes, routes: Iterable[Route]) -> MappedRequest:
+    """Map request headers; raises MappingError if a required header is missing or invalid."""
     call_id = headers.get("x-call-id") or headers.get("x-request-id", "")
-    if not call_id or len(call_id) > ID_MOST:
+    if not call_id or len(call_id) > MAX_ID_LENGTH:
         raise MappingError("x-call-id and x-request-id are missing or too long")
     keyed = bool(headers.get("idempotency-key"))
-    name = headers.get("x-call-class") or route_of(headers, routes)
+    name = headers.get("x-call-class") or class_from_routes(headers, routes)
     grade = classes.grade_of(name, keyed) if name else None
     if grade is None:
         raise MappingError(f"x-call-class {name[:64]!r} is no class, and no route fits")
-    token = headers.get(TOKEN, "")
-    return Mapped(
+    token = headers.get(TOKEN_HEADER, "")
+    return MappedRequest(
         call_id=call_id.encode("latin-1", "replace"),
         grade=grade,
-        tenant=classes.tenant_of(headers.get("x-caller", "")),
-        caller=headers.get("x-caller", ""),
+        tenant_index=classes.tenant_of(headers.get("x-caller", "")),
+        tenant_name=headers.get("x-caller", ""),
         key=key_of(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
         budget=budget_of(headers, classes.settings.grades[grade].deadline),
         repeat=headers.get("x-again") == "1",
         token=token,
-        comes_again=bool(token) or headers.get("x-envoy-attempt-count", "1") != "1",
-        unused=headers.get(UNUSED) == "1",
+        may_have_been_sent=bool(token) or headers.get("x-envoy-attempt-count", "1") != "1",
+        decision_unused=headers.get(UNUSED_HEADER) == "1",
     )
 
 
-def route_of(headers: Mapping[str, str], routes: Iterable[Route]) -> str:
-    """The class that the operator's routes give, or nothing."""
+def class_from_routes(headers: Mapping[str, str], routes: Iterable[Route]) -> str:
+    """Return the class name of the first matching route, or an empty string."""
     method, path = headers.get(":method", ""), headers.get(":path", "")
     for route in routes:
         if route.method in ("", method) and path.startswith(route.path):
@@ -78,23 +78,26 @@
 
 
 def budget_of(headers: Mapping[str, str], deadline: int) -> int:
-    """The least time that any of the headers leaves, in nanoseconds; the class's where none does."""
-    least = deadline
-    for name in BUDGETS:
+    """Return the smallest budget of the headers and `deadline`, in nanoseconds.
+
+    Raises MappingError for an invalid number and for a budget of 0.
+    """
+    budget = deadline
+    for name in BUDGET_HEADERS:
         text = headers.get(name)
         if text is None:
             continue
         if not (text.isascii() and text.isdigit()) or len(text) > 12:
             raise MappingError(f"{name} is no number of milliseconds")
-        if int(text) or name == BUDGETS[0]:  # the proxy says 0 where it has no time-out
-            least = min(least, int(text) * MS)
-    if least <= 0:
-        raise MappingError(f"{BUDGETS[0]} leaves no time")
-    return least
+        if int(text) or name == BUDGET_HEADERS[0]:  # 0 from the proxy means that it has no time-out
+            budget = min(budget, int(text) * MS)
+    if budget <= 0:
+        raise MappingError(f"{BUDGET_HEADERS[0]} leaves no time")
+    return budget
 
 
 def outcome_of(headers: Mapping[str, str]) -> Outcome:
-    """What a response's headers tell of the attempt; raises MappingError where they have no status."""
+    """Return the outcome of an attempt by its response headers; MappingError if `:status` is invalid."""
     status = headers.get(":status", "")
     if not (status.isascii() and status.isdigit()) or len(status) != 3:
         raise MappingError(":status is missing or no status")
--- a/garnethaven/extproc/report.py
+++ b/garnethaven/extproc/report.py
@@ -1,7 +1,7 @@
-"""The transport that only reports: the proxy carries the attempt, and tells what came of it.
+"""A transport that sends nothing itself: the proxy sends the request and reports the outcome.
 
-A decision is an attempt from the moment that it has been written to the proxy. One that was never written has
-not run; one that was may have, whatever the proxy did with it.
+A decision counts as an attempt as soon as it has been written to the proxy. An attempt whose decision was not
+written has not run; one whose decision was written may have run, whatever the proxy did with it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Stream(Protocol):
-    """The front's side of a call."""
+    """The stream of a call, as an attempt uses it."""
 
-    def decided(self, attempt: ReportAttempt) -> None: ...
+    def send_decision(self, attempt: ReportAttempt) -> None: ...
 
 
 class ReportAttempt:
-    """One decision; the engine's `Attempt`."""
+    """One decision; implements the engine's `Attempt`."""
 
     def __init__(self, stream: Stream, call: Call, endpoint: int, now: int) -> None:
         self.stream = stream
@@ -33,18 +33,18 @@
         self.delivered = False  # the decision has been written to the proxy
 
     def start(self) -> None:
-        self.stream.decided(self)
+        self.stream.send_decision(self)
 
     def give_up(self) -> bool:
         self.over = True
         return self.delivered
 
     def written(self) -> bool:
-        return True  # whether it is carried out is the proxy's
+        return True  # the proxy sends the request; this process can't observe it
 
 
 class ReportTransport:
-    """Makes the attempts of one stream's call."""
+    """Creates the attempts of one stream's call."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
--- a/garnethaven/extproc/table.py
+++ b/garnethaven/extproc/table.py
@@ -10,7 +10,7 @@
 
 
 class Route(Table, frozen=True):
-    """One rule of the operator's: requests that fit are of this class."""
+    """A rule that assigns a class to requests by path prefix and method."""
 
     grade: Annotated[str, said("the class of what fits", "class")] = field(name="class")
     path: Annotated[str, said("what the path begins with")] = "/"
@@ -18,7 +18,7 @@
 
 
 class ExternalProcessor(Table, frozen=True):
-    """Where proxies call once a request; on where `listen` is set."""
+    """Settings of the external processor, which proxies call once per request; enabled if `listen` is set."""
 
     listen: Annotated[
         At | None,
@@ -28,7 +28,7 @@
         tuple[Secret, ...],
         said("secrets for tokens, 16 bytes or more each, the signing one first", "hexadecimal"),
     ] = ()
-    # Below the grace of drains.
+    # The maximum is below the drain grace, so that a delayed decision still arrives within it.
     valid_ms: Annotated[
         int, bounded(20, 400, "how long a decision may wait at the proxy", "milliseconds")
     ] = 200
--- a/garnethaven/extproc/tokens.py
+++ b/garnethaven/extproc/tokens.py
@@ -1,22 +1,22 @@
-"""Tokens: what a decision proves to a later process about the attempt that it allowed.
+"""Decision tokens: signed records of an attempt, which a later process can verify.
 
-Theory. A process that restarts forgets which server a request was sent to. When the proxy comes again for it,
-the rules need just that: a keyed request that may have run goes only to the rack that drops its repeat, and
-only within the window. So each decision carries a token that the proxy gives back: server, rack, zone, time
-of sending, class and call id, under a keyed hash. Nobody but a holder of the key can make one, and it is good
-for its own call id only.
+Theory. A restarted process no longer has the server to which a request was sent, which the retry rules need:
+a request with an idempotency key that may have run can be retried only in the cell that deduplicates it, and
+only within the deduplication window. So each decision carries a token that the proxy returns with a retry:
+server, cell, zone and send time, authenticated together with class and call id by a keyed hash (HMAC). Only
+a holder of the key can create a token, and it is valid for its own call id and class only.
 
-| what comes again | is taken for |
+| retry by the proxy | treated as |
 | --- | --- |
-| with a good token | sent once to that server at that time: the class's rules decide |
-| with none, a forged, foreign or expired one | may have run anywhere: never sent again and never refused |
+| with a valid token | sent once to that server at that time: the rules of the class decide |
+| without a token, or with a forged, foreign or expired one | may have run anywhere: not resent, not refused |
 
-The first key signs, all of them check, so keys are rotated by putting a new one first and taking the old one
-out after the longest deadline. Without any key no token is given, and all that comes again is of the second
-kind: that is safe, and costs the retries of keyed requests.
+The first key signs and all keys verify. To rotate, put a new key first and remove the old one after the
+longest deadline. Without a key no token is issued and every retry is of the second kind: this is safe, but
+requests with an idempotency key lose their retries.
 
-The time is wall-clock, for it must be read by another process; a clock that is set back or forward by more
-than `SKEW_MS` makes tokens count as expired, which is the safe side.
+Times are wall-clock times, because another process reads them. A clock set back by more than `SKEW_MS`, or
+forward beyond a token's validity, makes tokens count as expired, which is safe.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 from garnethaven.tables import Secret
 
 VERSION = 1
-HEAD = struct.Struct(">BBQQHB")  # version, key's mark, sent at, rack, zone, length of the server's name
-TAG = 16
+PREFIX = struct.Struct(">BBQQHB")  # version, key mark, send time in ms, cell, zone, bytes of the server id
+TAG_BYTES = 16
 SKEW_MS = 1_000
-MOST = 1_024  # characters; a longer text is no token
+MAX_TOKEN_LENGTH = 1_024  # characters
 
 
-class Flaw(Enum):
-    """Why a token proves nothing."""
+class Rejection(Enum):
+    """Why a token is rejected."""
 
     NO_KEY = "no key is set"
     UNREADABLE = "it can't be read"
@@ -48,65 +48,73 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Proof:
-    """What a good token tells of the attempt: where it went, and when (Unix time in milliseconds)."""
+class TokenPayload:
+    """The attempt that a valid token records: its server and its send time (Unix time, milliseconds)."""
 
     server: int
-    rack: int
+    cell: int
     zone: int
     sent_ms: int
 
 
-class Tokens:
-    """Signs and checks. `keys` are secrets of at least 16 bytes, the signing one first; none: no tokens."""
+class TokenSigner:
+    """Signs and verifies tokens.
+
+    `keys` are secrets of at least 16 bytes, the signing one first; without keys no token is issued. Tokens
+    expire after `valid_ms` milliseconds. Raises ValueError for a shorter key.
+    """
 
     def __init__(self, keys: tuple[bytes, ...], valid_ms: int) -> None:
         for key in keys:
             if len(key) < Secret.LEAST:
-                raise ValueError(f"a key has at least {Secret.LEAST} bytes")
+                raise ValueError(f"a key for tokens has to have at least {Secret.LEAST} bytes")
         self.keys = keys
         self.valid_ms = valid_ms
 
-    def sign(self, proof: Proof, call_id: bytes, grade: int) -> str | None:
-        """The token of a decision; None without a key."""
+    def sign(self, payload: TokenPayload, call_id: bytes, class_index: int) -> str | None:
+        """Return the token of a decision; None without a key or if the server id is longer than 255 bytes."""
         if not self.keys:
             return None
-        server = proof.server.to_bytes((proof.server.bit_length() + 7) // 8 or 1, "big")
+        server = payload.server.to_bytes((payload.server.bit_length() + 7) // 8 or 1, "big")
         if len(server) > 255:
             return None
         key = self.keys[0]
-        head = HEAD.pack(VERSION, mark_of(key), proof.sent_ms, proof.rack, proof.zone, len(server))
-        body = head + server
-        return base64.urlsafe_b64encode(body + tag_of(key, body, call_id, grade)).decode().rstrip("=")
-
-    def check(self, token: str, call_id: bytes, grade: int, now_ms: int) -> Proof | Flaw:
-        """What the token proves for this call at this time."""
+        prefix = PREFIX.pack(VERSION, key_mark(key), payload.sent_ms, payload.cell, payload.zone, len(server))
+        body = prefix + server
+        return (
+            base64.urlsafe_b64encode(body + compute_tag(key, body, call_id, class_index)).decode().rstrip("=")
+        )
+
+    def check(self, token: str, call_id: bytes, class_index: int, now_ms: int) -> TokenPayload | Rejection:
+        """Verify a token for this call; returns its payload or the reason for rejection."""
         if not self.keys:
-            return Flaw.NO_KEY
-        if len(token) > MOST:
-            return Flaw.UNREADABLE
+            return Rejection.NO_KEY
+        if len(token) > MAX_TOKEN_LENGTH:
+            return Rejection.UNREADABLE
         try:
             raw = base64.b64decode(token + "=" * (-len(token) % 4), altchars=b"-_", validate=True)
-            version, mark, sent_ms, rack, zone, length = HEAD.unpack_from(raw)
+            version, mark, sent_ms, cell, zone, length = PREFIX.unpack_from(raw)
         except (binascii.Error, ValueError, struct.error):
-            return Flaw.UNREADABLE
-        body, tag = raw[:-TAG], raw[-TAG:]
-        if version != VERSION or len(body) != HEAD.size + length or not length:
-            return Flaw.UNREADABLE
-        fitting = [key for key in self.keys if mark_of(key) == mark]
-        if not any(hmac.compare_digest(tag, tag_of(key, body, call_id, grade)) for key in fitting):
-            return Flaw.FORGED
+            return Rejection.UNREADABLE
+        body, tag = raw[:-TAG_BYTES], raw[-TAG_BYTES:]
+        if version != VERSION or len(body) != PREFIX.size + length or not length:
+            return Rejection.UNREADABLE
+        candidates = [key for key in self.keys if key_mark(key) == mark]
+        if not any(
+            hmac.compare_digest(tag, compute_tag(key, body, call_id, class_index)) for key in candidates
+        ):
+            return Rejection.FORGED
         if not sent_ms - SKEW_MS <= now_ms <= sent_ms + self.valid_ms:
-            return Flaw.EXPIRED
-        return Proof(int.from_bytes(body[HEAD.size :], "big"), rack, zone, sent_ms)
+            return Rejection.EXPIRED
+        return TokenPayload(int.from_bytes(body[PREFIX.size :], "big"), cell, zone, sent_ms)
 
 
 @lru_cache(maxsize=16)
-def mark_of(key: bytes) -> int:
-    """One byte that tells keys apart without telling anything of them."""
+def key_mark(key: bytes) -> int:
+    """Return one byte that identifies a key without revealing anything about it."""
     return hmac.digest(key, b"mark", "sha256")[0]
 
 
-def tag_of(key: bytes, body: bytes, call_id: bytes, grade: int) -> bytes:
-    text = b"%d:%d:%s:%s" % (grade, len(call_id), call_id, body)
-    return hmac.digest(key, text, "sha256")[:TAG]
+def compute_tag(key: bytes, body: bytes, call_id: bytes, class_index: int) -> bytes:
+    message = b"%d:%d:%s:%s" % (class_index, len(call_id), call_id, body)
+    return hmac.digest(key, message, "sha256")[:TAG_BYTES]
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -1,4 +1,4 @@
-"""The processor on loopback sockets, called by grpcio's client: each hard case of a proxy."""
+"""The external processor on loopback sockets, called by grpcio's client: edge cases of proxy behaviour."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 
 from garnethaven.addresses import parse_address
-from garnethaven.extproc.front import MESSAGE_MOST, Front
+from garnethaven.extproc.front import MAX_MESSAGE_BYTES, Front
 from garnethaven.extproc.report import ReportAttempt
 from garnethaven.extproc.table import ExternalProcessor
 from garnethaven.interface import ListKind
@@ -27,7 +27,7 @@
 
 
 class Stage:
-    """A sidecar with both fronts over one module, and a proxy's client."""
+    """A sidecar with its HTTP front and the processor over one decision module, and a proxy as client."""
 
     def __init__(self, sidecar: Sidecar, front: Front, peers: list[Peer]) -> None:
         self.sidecar = sidecar
@@ -36,8 +36,8 @@
         self.proxy = Proxy("p", front.port, Ledger(6.0, 0.5, 3.0, 3.0, 0.2), random.Random(1), Ways())
 
     def headers(self, **changes: str) -> dict[str, str]:
-        told = self.proxy._headers("c1", "k1", 2.0)
-        return told | {name.replace("_", "-"): value for name, value in changes.items()}
+        headers = self.proxy._headers("c1", "k1", 2.0)
+        return headers | {name.replace("_", "-"): value for name, value in changes.items()}
 
     async def decide(self, asked: Asked, **changes: str) -> Any:
         decision = await asked.decide(self.headers(**changes), 10.0)
@@ -45,7 +45,7 @@
         return decision
 
     def quiet(self) -> bool:
-        """Whether the module and the engine believe that nothing is under way."""
+        """Return whether neither the engine nor the decision module has a request in flight."""
         engine = self.sidecar.engine
         return not engine.calls and not engine.open_ids and not engine.balancer.held
 
@@ -76,7 +76,7 @@
             await asked.report({":status": "200"}, 10.0)
             await until(made.quiet)
             overload = made.sidecar.engine.balancer.overload
-            assert overload.last_answer > 0  # a good answer
+            assert overload.last_answer > 0  # a successful answer was recorded
 
     run(case())
 
@@ -97,14 +97,14 @@
 def test_nothing_is_kept_of_a_request_that_has_ended() -> None:
     async def case() -> None:
         async with stage() as made:
-            front, kept = made.front, []
+            front, references = made.front, []
 
-            def token(attempt: ReportAttempt) -> None:
-                kept.append((weakref.ref(attempt.call), weakref.ref(attempt)))
+            def record_attempt(attempt: ReportAttempt) -> None:
+                references.append((weakref.ref(attempt.call), weakref.ref(attempt)))
 
-            front.token = token  # type: ignore[method-assign, assignment]
+            front.sign_token = record_attempt  # type: ignore[method-assign, assignment]
             gc.collect()
-            gc.disable()  # counts alone must free it: full collections are rare
+            gc.disable()  # reference counting alone must free the objects: full collections are rare
             try:
                 for number in range(5):
                     asked = made.proxy.ask()
@@ -112,8 +112,8 @@
                     await asked.report({":status": "200"}, 10.0)
                 await until(made.quiet)
                 made.sidecar.engine.timers.clear()
-                await until(lambda: not any(call() or attempt() for call, attempt in kept))
-                assert len(kept) == 5
+                await until(lambda: not any(call() or attempt() for call, attempt in references))
+                assert len(references) == 5
             finally:
                 gc.enable()
 
@@ -141,8 +141,8 @@
                 await made.decide(asked)
                 assert not made.quiet()
             else:
-                told = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
-                await asked.call.write(told)  # and never reads
+                message = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
+                await asked.call.write(message)  # the answer is never read
             asked.cancel()
             await until(lambda: made.front.streams == 0 and made.quiet())
             servers = made.sidecar.engine.balancer.servers.values()
@@ -167,13 +167,13 @@
 def test_the_id_of_a_request_on_the_other_front_is_taken_too() -> None:
     async def case() -> None:
         async with stage() as made:
-            go_on = asyncio.Event()
+            release = asyncio.Event()
             for peer in made.peers:
-                peer.script = says(ANSWER, go_on)
+                peer.script = says(ANSWER, release)
             asking = asyncio.create_task(made.sidecar.ask(request(X_Call_Id="c1")))
             await until(lambda: not made.quiet())
             assert (await made.decide(made.proxy.ask())).status == 409
-            go_on.set()
+            release.set()
             assert await asking == (200, b"hello")
 
     run(case())
@@ -185,25 +185,27 @@
             asked = before.proxy.ask()
             decision = await before.decide(asked)
             asked.cancel()
-        async with stage() as after:  # another life with the same key; its servers are of the same rack
-            told = await after.decide(
+        async with (
+            stage() as after
+        ):  # a restarted process with the same key; its servers are in the same cell
+            retried = await after.decide(
                 after.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2", "x-call-id": "c1"}
             )
-            assert told.address
+            assert retried.address
             await until(lambda: after.front.streams <= 1)
             for changes in (
                 {ATTEMPTS: "2"},
                 {TOKEN: decision.token[:-4] + "AAAA"},
                 {TOKEN: "forged"},
             ):
-                told = await after.decide(after.proxy.ask(), x_call_id="c2", **changes)
-                assert (told.address, told.status) == ("", 502), changes
-            assert (after.front.checked, after.front.rejected) == (3, 2)
+                retried = await after.decide(after.proxy.ask(), x_call_id="c2", **changes)
+                assert (retried.address, retried.status) == ("", 502), changes
+            assert (after.front.tokens_checked, after.front.tokens_rejected) == (3, 2)
         async with stage(keys=()) as keyless:
-            told = await keyless.decide(keyless.proxy.ask())
-            assert told.address and not told.token
-            told = await keyless.decide(keyless.proxy.ask(), x_call_id="c3", **{TOKEN: decision.token})
-            assert told.status == 502
+            retried = await keyless.decide(keyless.proxy.ask())
+            assert retried.address and not retried.token
+            retried = await keyless.decide(keyless.proxy.ask(), x_call_id="c3", **{TOKEN: decision.token})
+            assert retried.status == 502
 
     run(case())
 
@@ -215,8 +217,8 @@
             decision = await made.decide(first)
             first.cancel()
             await until(made.quiet)
-            again = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
-            assert again.address
+            retried = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
+            assert retried.address
 
     run(case())
 
@@ -232,7 +234,9 @@
             await asked.call.write(pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 1000)))
             assert (await asked.call.read()).WhichOneof("response") == "request_body"
             await asked.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
-            assert (await asked.call.read()).immediate_response.status.code == 400  # a second request
+            assert (
+                await asked.call.read()
+            ).immediate_response.status.code == 400  # a second request on one stream
             await until(made.quiet)
 
     run(case())
@@ -248,10 +252,10 @@
             assert answer.mode_override.response_header_mode == 1
             destination = answer.dynamic_metadata["envoy.lb"]["x-gateway-destination-endpoint"]
             options = answer.request_headers.response.header_mutation.set_headers
-            told = {option.header.key: option.header.raw_value.decode() for option in options}
-            assert told["x-gateway-destination-endpoint"] == destination
-            assert int(told["x-budget-ms"]) <= 2000
-            assert int(told[VALID]) < 500
+            values = {option.header.key: option.header.raw_value.decode() for option in options}
+            assert values["x-gateway-destination-endpoint"] == destination
+            assert int(values["x-budget-ms"]) <= 2000
+            assert int(values[VALID]) < 500
             asked.cancel()
 
     run(case())
@@ -271,17 +275,17 @@
 def test_more_streams_than_the_bound_are_refused_at_once() -> None:
     async def case() -> None:
         async with stage(streams_most=2) as made:
-            held = [made.proxy.ask() for _ in range(2)]
-            for number, asked in enumerate(held):
+            open_streams = [made.proxy.ask() for _ in range(2)]
+            for number, asked in enumerate(open_streams):
                 assert (await made.decide(asked, x_call_id=f"h{number}")).address
             refused = await made.decide(made.proxy.ask(), x_call_id="late")
             assert refused.status == 503
-            again = await made.decide(made.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
-            assert again.status == 502  # it may have run: no refusal
-            held[0].cancel()
+            retried = await made.decide(made.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
+            assert retried.status == 502  # a retry may have run, so it is not refused with 503
+            open_streams[0].cancel()
             await until(lambda: made.front.streams < 2)
             assert (await made.decide(made.proxy.ask(), x_call_id="later")).address
-            held[1].cancel()
+            open_streams[1].cancel()
 
     run(case())
 
@@ -316,7 +320,7 @@
     async def case() -> None:
         async with stage() as made:
             raw = made.proxy.channel.stream_stream("/envoy.service.ext_proc.v3.ExternalProcessor/Process")
-            for payload in (b"\xff" * 50, b"\x0a" + b"x" * (MESSAGE_MOST + 1)):
+            for payload in (b"\xff" * 50, b"\x0a" + b"x" * (MAX_MESSAGE_BYTES + 1)):
                 call = raw()
                 with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
                     await call.write(payload)
@@ -335,13 +339,13 @@
 def test_many_streams_at_once_all_get_their_decision() -> None:
     async def case() -> None:
         async with stage() as made:
-            # Beyond 3,000 that wait to be taken up the library would drop them itself.
+            # With default limits grpcio itself drops streams beyond 3,000 pending ones.
             asked = [made.proxy.ask() for _ in range(4000)]
-            told = await asyncio.gather(
+            decisions = await asyncio.gather(
                 *(made.decide(one, x_call_id=f"m{number}") for number, one in enumerate(asked))
             )
-            assert len(told) == 4000  # none without an answer, which `decide` checks
-            assert all(one.address or one.status == 503 for one in told)
+            assert len(decisions) == 4000  # `decide` fails for a stream without an answer
+            assert all(one.address or one.status == 503 for one in decisions)
             for one in asked:
                 one.cancel()
             await until(lambda: made.front.streams == 0 and made.quiet())
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -1,4 +1,4 @@
-"""From headers to a call, and from a response's headers to an outcome."""
+"""Mapping of request headers to a call and of response headers to an outcome."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from garnethaven.engine.classes import Classes, key_of
 from garnethaven.engine.engine import with_unsafe_twins
-from garnethaven.extproc.answers import headers_of, option, send_to, template
+from garnethaven.extproc.answers import decision_template, encode_decision, header_option, parse_headers
 from garnethaven.extproc.mapping import MappingError, Route, map_request, outcome_of
 from garnethaven.interface import Outcome
 from garnethaven.settings import read_names, read_settings
@@ -28,12 +28,12 @@
 def test_our_own_headers_name_a_request() -> None:
     mapped = map_request(GOOD | {"x-budget-ms": "700", "x-again": "1"}, CLASSES, ())
     assert (mapped.call_id, mapped.grade, mapped.key) == (b"c1", 0, "u1")
-    assert (mapped.budget, mapped.repeat, mapped.comes_again) == (700 * MS, True, False)
+    assert (mapped.budget, mapped.repeat, mapped.may_have_been_sent) == (700 * MS, True, False)
 
 
 def test_without_its_key_a_request_is_of_the_unsafe_twin() -> None:
-    bare = {name: value for name, value in GOOD.items() if name != "idempotency-key"}
-    assert map_request(bare, CLASSES, ()).grade == len(CLASSES.grades)
+    headers = {name: value for name, value in GOOD.items() if name != "idempotency-key"}
+    assert map_request(headers, CLASSES, ()).grade == len(CLASSES.grades)
 
 
 @pytest.mark.parametrize(
@@ -51,11 +51,11 @@
 
 
 def test_routes_give_a_class_to_those_that_name_none() -> None:
-    bare = {name: value for name, value in GOOD.items() if name != "x-call-class"}
+    headers = {name: value for name, value in GOOD.items() if name != "x-call-class"}
     routes = (Route("check", "/other"), Route("none", "/api", "GET"), Route("check", "/api", "POST"))
-    assert map_request(bare, CLASSES, routes).grade == 0
+    assert map_request(headers, CLASSES, routes).grade == 0
     with pytest.raises(MappingError, match="no route fits"):
-        map_request(bare | {":path": "/else"}, CLASSES, routes)
+        map_request(headers | {":path": "/else"}, CLASSES, routes)
 
 
 @pytest.mark.parametrize(
@@ -77,9 +77,9 @@
 
 
 def test_what_comes_again_is_known_by_its_token_or_its_count() -> None:
-    assert map_request(GOOD | {"x-envoy-attempt-count": "2"}, CLASSES, ()).comes_again
-    assert map_request(GOOD | {"x-gateway-decision-token": "t"}, CLASSES, ()).comes_again
-    assert not map_request(GOOD | {"x-envoy-attempt-count": "1"}, CLASSES, ()).comes_again
+    assert map_request(GOOD | {"x-envoy-attempt-count": "2"}, CLASSES, ()).may_have_been_sent
+    assert map_request(GOOD | {"x-gateway-decision-token": "t"}, CLASSES, ()).may_have_been_sent
+    assert not map_request(GOOD | {"x-envoy-attempt-count": "1"}, CLASSES, ()).may_have_been_sent
 
 
 @pytest.mark.parametrize(
@@ -106,19 +106,19 @@
 @pytest.mark.parametrize("length", [0, 1, 100, 127, 128, 300, 20_000])
 def test_a_decision_reads_as_the_message_that_the_library_would_build(length: int) -> None:
     value = "é" * length
-    answer = pb.ProcessingResponse.FromString(send_to("127.0.0.1:20", {"x-a": value, "x-b": "2"}))
-    built = pb.ProcessingResponse.FromString(template("127.0.0.1:20"))
+    answer = pb.ProcessingResponse.FromString(encode_decision("127.0.0.1:20", {"x-a": value, "x-b": "2"}))
+    built = pb.ProcessingResponse.FromString(decision_template("127.0.0.1:20"))
     options = built.request_headers.response.header_mutation.set_headers
-    options.extend([option("x-a", value), option("x-b", "2")])
+    options.extend([header_option("x-a", value), header_option("x-b", "2")])
     assert answer == built
     assert len(answer.request_headers.response.header_mutation.set_headers) == 3
     assert answer.dynamic_metadata["envoy.lb"]["x-gateway-destination-endpoint"] == "127.0.0.1:20"
 
 
 def test_of_several_headers_with_one_name_the_first_counts() -> None:
-    told = [("A", b"1", ""), ("a", b"2", ""), ("b", b"", "text")]
-    headers = [HeaderValue(key=key, raw_value=raw, value=value) for key, raw, value in told]
-    assert headers_of(pb.HttpHeaders(headers=HeaderMap(headers=headers))) == {"a": "1", "b": "text"}
+    entries = [("A", b"1", ""), ("a", b"2", ""), ("b", b"", "text")]
+    headers = [HeaderValue(key=key, raw_value=raw, value=value) for key, raw, value in entries]
+    assert parse_headers(pb.HttpHeaders(headers=HeaderMap(headers=headers))) == {"a": "1", "b": "text"}
 
 
 def test_both_fronts_place_a_key_alike() -> None:
--- a/tests/extproc/test_off_and_on.py
+++ b/tests/extproc/test_off_and_on.py
@@ -1,4 +1,4 @@
-"""Off means absent; on, the whole program keeps its promises through the rig in short."""
+"""A disabled external processor is not imported; an enabled one passes a short run of its rig."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "external-processor.toml"))["external_processor"]
-    assert isinstance(told, ExternalProcessor)
-    assert told.listen == ("127.0.0.1", 9902)
-    assert told.routes == (Route("check", "/api", "POST"),)
-    assert len(told.keys) == 1
+    table = read_operator(str(ROOT / "deploy" / "examples" / "external-processor.toml"))["external_processor"]
+    assert isinstance(table, ExternalProcessor)
+    assert table.listen == ("127.0.0.1", 9902)
+    assert table.routes == (Route("check", "/api", "POST"),)
+    assert len(table.keys) == 1
 
 
 @pytest.mark.parametrize(
@@ -50,9 +50,9 @@
 
 
 def test_the_rig_in_short_breaks_no_rule() -> None:
-    code, figures, said = play("external-processor", "--seed", "7", "--seconds", "6")
-    assert code in (0, 1), said
-    assert figures["sent"] > 800, said
-    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (said, figures)
+    code, figures, output = play("external-processor", "--seed", "7", "--seconds", "6")
+    assert code in (0, 1), output
+    assert figures["sent"] > 800, output
+    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
     assert figures["missing"] == figures["doubled"] == figures["twins_decided_twice"] == 0
     assert figures["restarts"] == 2
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -1,4 +1,4 @@
-"""What an operator meets: tenants over their share, reloads, proxies that read nothing or fail open."""
+"""Operation: tenants over their share, reloads, proxies that never read and proxies that fail open."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from garnethaven import __main__ as program
 from garnethaven.app.sidecar import Sidecar
-from garnethaven.extproc.mapping import TOKEN
+from garnethaven.extproc.mapping import TOKEN_HEADER
 from garnethaven.extproc.table import ExternalProcessor, Route
 from garnethaven.interface import Refuse, Request
 from garnethaven.tables import At, Secret
@@ -27,18 +27,20 @@
     async def case() -> None:
         async with stage() as made:
             engine = made.sidecar.engine
-            for over, status, said in ((True, 429, "share"), (False, 503, "harmless")):
-                engine.balancer.handle = lambda now, event, over=over: (  # type: ignore[method-assign]
-                    [Refuse(event.id, 500_000_000, over)] if isinstance(event, Request) else []
+            for over_share, status, reason in ((True, 429, "share"), (False, 503, "harmless")):
+                engine.balancer.handle = lambda now, event, over_share=over_share: (  # type: ignore[method-assign]
+                    [Refuse(event.id, 500_000_000, over_share)] if isinstance(event, Request) else []
                 )
                 asked = made.proxy.ask()
-                told = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
-                await asked.call.write(told)
+                message = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
+                await asked.call.write(message)
                 answer = (await asked.call.read()).immediate_response
                 assert answer.status.code == status
-                assert said in answer.details
-                advice = {option.header.key: option.header.raw_value for option in answer.headers.set_headers}
-                assert advice == {"retry-after": b"0.500"}
+                assert reason in answer.details
+                set_headers = {
+                    option.header.key: option.header.raw_value for option in answer.headers.set_headers
+                }
+                assert set_headers == {"retry-after": b"0.500"}
                 await until(lambda: not engine.calls)
 
     run(case())
@@ -52,13 +54,13 @@
             first.cancel()
             await until(made.quiet)
             assert decision.checked == ""
-            told = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2"})
-            assert (told.checked, bool(told.address)) == ("accepted", True)
+            retried = await made.decide(made.proxy.ask(), **{TOKEN_HEADER: decision.token, ATTEMPTS: "2"})
+            assert (retried.checked, bool(retried.address)) == ("accepted", True)
             await until(lambda: made.front.streams <= 1)
-            told = await made.decide(made.proxy.ask(), x_call_id="c9", **{TOKEN: decision.token})
-            assert told.status == 502
-            assert told.checked.startswith("rejected: ")
-            assert CHECKED not in told.details
+            retried = await made.decide(made.proxy.ask(), x_call_id="c9", **{TOKEN_HEADER: decision.token})
+            assert retried.status == 502
+            assert retried.checked.startswith("rejected: ")
+            assert CHECKED not in retried.details
 
     run(case())
 
@@ -69,22 +71,22 @@
             front = made.front
             decision = await made.decide(made.proxy.ask())
             await until(lambda: front.streams <= 1)
-            before = front.operator
-            renewed = replace(
-                before, keys=(b"n" * 16, KEY), valid_ms=77, routes=(Route("check", "/other", ""),)
+            old_table = front.table
+            new_table = replace(
+                old_table, keys=(b"n" * 16, KEY), valid_ms=77, routes=(Route("check", "/other", ""),)
             )
-            front.renew(renewed)
+            front.renew(new_table)
             asked = made.proxy.ask()
             headers = made.headers(x_call_id="c2") | {":path": "/other/x"}
             del headers["x-call-class"]
-            told = await asked.decide(headers, 10.0)
-            assert told is not None
-            assert (told.valid_s, bool(told.address)) == (0.077, True)
-            old = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, "x-call-id": "c1"})
-            assert old.checked == "accepted" or old.status == 409  # a rotated key still checks
-            front.renew(replace(renewed, keys=(b"n" * 16,)))
-            gone = await made.decide(made.proxy.ask(), x_call_id="c3", **{TOKEN: decision.token})
-            assert gone.checked.startswith("rejected: ")
+            rerouted = await asked.decide(headers, 10.0)
+            assert rerouted is not None
+            assert (rerouted.valid_s, bool(rerouted.address)) == (0.077, True)
+            retried = await made.decide(made.proxy.ask(), **{TOKEN_HEADER: decision.token, "x-call-id": "c1"})
+            assert retried.checked == "accepted" or retried.status == 409  # the previous key still verifies
+            front.renew(replace(new_table, keys=(b"n" * 16,)))
+            rejected = await made.decide(made.proxy.ask(), x_call_id="c3", **{TOKEN_HEADER: decision.token})
+            assert rejected.checked.startswith("rejected: ")
 
     run(case())
 
@@ -107,12 +109,12 @@
             f'[external_processor]\nlisten = "127.0.0.1:9"\nvalid_ms = 33\nkeys = ["{"ab" * 16}"]\n'
         )
         program.reload(sidecar, str(file))
-        assert (front.operator.valid_ms, front.tokens.keys) == (33, (b"\xab" * 16,))
+        assert (front.table.valid_ms, front.token_signer.keys) == (33, (b"\xab" * 16,))
         assert "external_processor.listen waits for a restart" in capsys.readouterr().err
         file.write_text("[external_processor]\nvalid_ms = 9\n")
         sidecar.engine.logged_at = 0
         program.reload(sidecar, str(file))
-        assert front.operator.valid_ms == 33
+        assert front.table.valid_ms == 33
         assert "'external_processor.valid_ms' is not from 20 to 400" in capsys.readouterr().err
         sidecar.drain()
         await sidecar.finished()
@@ -123,20 +125,20 @@
 def test_a_proxy_that_never_reads_holds_up_nobody_and_no_more_than_its_window() -> None:
     async def case() -> None:
         async with stage() as made:
-            deaf = made.proxy.ask()
-            await deaf.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
+            unread = made.proxy.ask()
+            await unread.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
             body = pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 4000))
             for _ in range(2000):
                 try:
                     async with asyncio.timeout(0.5):
-                        await deaf.call.write(body)
+                        await unread.call.write(body)
                 except TimeoutError:
-                    break  # its own window is full: the processor takes no more of it
+                    break  # HTTP/2 flow control: the processor reads no more of this stream
             for number in range(20):
                 asked = made.proxy.ask()
                 assert (await made.decide(asked, x_call_id=f"o{number}")).address
                 await asked.report({":status": "200"}, 10.0)
-            deaf.cancel()
+            unread.cancel()
             await until(lambda: made.front.streams == 0 and made.quiet())
 
     run(case())
@@ -148,8 +150,8 @@
         async with stage() as made:
             peer = made.peers[0]
             ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
-            to = (f"127.0.0.1:{peer.port}",) if opens else ()
-            ways = Ways(tries=1, message_timeout_s=0.3, fails_open=to)
+            open_addresses = (f"127.0.0.1:{peer.port}",) if opens else ()
+            ways = Ways(tries=1, message_timeout_s=0.3, fails_open=open_addresses)
             proxy = Proxy("q", made.front.port, ledger, random.Random(2), ways)
             await made.front.close(0.0)
             await proxy.one("q1")
--- a/tests/extproc/test_prior.py
+++ b/tests/extproc/test_prior.py
@@ -1,4 +1,4 @@
-"""A request that comes again after a restart: the module keeps the rules with what is proved of it."""
+"""Retries after a restart: the decision module applies the retry rules to the proven earlier attempt."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 SAFE, FRAGILE, CELLED, ANYWHERE = range(4)
 
 
-def come_again(prior: Prior, grade: int) -> list[Action]:
+def ask_with_prior(prior: Prior, grade: int) -> list[Action]:
     return Driver(fleet(8)).ask(grade=grade, prior=prior, budget=2 * S)
 
 
 def test_a_keyed_request_goes_to_the_rack_that_drops_its_repeat() -> None:
     for _ in range(5):
-        (send,) = sends(come_again(Prior(endpoint=3, zone=0, cell=1, age=500 * MS), CELLED))
+        (send,) = sends(ask_with_prior(Prior(endpoint=3, zone=0, cell=1, age=500 * MS), CELLED))
         assert send.endpoint in (3, 4)
 
 
 def test_also_where_the_server_is_gone() -> None:
-    (send,) = sends(come_again(Prior(endpoint=99, zone=0, cell=2, age=500 * MS), CELLED))
+    (send,) = sends(ask_with_prior(Prior(endpoint=99, zone=0, cell=2, age=500 * MS), CELLED))
     assert send.endpoint in (5, 6)
 
 
 @pytest.mark.parametrize(
     ("grade", "prior"),
     [
-        (CELLED, Prior(endpoint=3, zone=0, cell=1, age=3 * S)),  # the rack has forgotten it
-        (CELLED, Prior(endpoint=3, zone=0, cell=77, age=S)),  # nobody of that rack is left
+        (CELLED, Prior(endpoint=3, zone=0, cell=1, age=3 * S)),  # past the deduplication window of the cell
+        (CELLED, Prior(endpoint=3, zone=0, cell=77, age=S)),  # no server of that cell is left
         (CELLED, Prior()),
         (FRAGILE, Prior(endpoint=3, zone=0, cell=1, age=S)),
         (FRAGILE, Prior()),
@@ -51,16 +51,16 @@
 def test_what_may_not_be_repeated_is_neither_sent_nor_refused_unless_that_is_harmless(
     grade: int, prior: Prior
 ) -> None:
-    actions = come_again(prior, grade)
+    actions = ask_with_prior(prior, grade)
     assert not of(actions, Send)
-    if grade == ANYWHERE:  # all servers drop its repeats, so a refusal is harmless
+    if grade == ANYWHERE:  # all servers deduplicate it, so a client's retry after a refusal is safe
         assert of(actions, Refuse)
     else:
         assert of(actions, Fail) and not of(actions, Refuse)
 
 
 def test_a_safe_request_goes_anywhere() -> None:
-    assert sends(come_again(Prior(), SAFE))
+    assert sends(ask_with_prior(Prior(), SAFE))
 
 
 def test_an_end_that_proves_nothing_ran_does_not_unprove_the_earlier_attempt() -> None:
@@ -74,7 +74,7 @@
 def test_a_server_that_drains_by_now_takes_no_repeat() -> None:
     for state in (State.DRAINING, State.REMOVED):
         driver = Driver(fleet(8))
-        gone = tuple(replace(entry, state=state) for entry in fleet(4)[2:])
-        driver.feed(Membership(ListKind.DELTA, gone))
+        changed = tuple(replace(entry, state=state) for entry in fleet(4)[2:])
+        driver.feed(Membership(ListKind.DELTA, changed))
         actions = driver.ask(grade=CELLED, prior=Prior(endpoint=3, zone=0, cell=1, age=100 * MS))
         assert of(actions, Fail) and not sends(actions)
