--- a/garnethaven/keys/__init__.py
+++ b/garnethaven/keys/__init__.py
@@ -1,4 +1,4 @@
-"""Certificates and keys: how long they hold, who is a peer, rotation without a dropped connection.
+"""Certificates and keys: validity periods, peer names, rotation without dropping connections.
 
-Imported only where a table names a certificate, and by the command `certs`.
+Imported only if a settings table names a certificate, and by the command `certs`.
 """
--- a/garnethaven/keys/command.py
+++ b/garnethaven/keys/command.py
@@ -1,4 +1,4 @@
-"""`python -m garnethaven certs ...`: a private authority for tests and small installations."""
+"""`python -m garnethaven certs ...`: a private certificate authority for tests and small installations."""
 
 from __future__ import annotations
 
@@ -7,64 +7,82 @@
 import time
 from collections.abc import Sequence
 
-from garnethaven.keys.authority import AUTHORITY_DAYS, Authority
-from garnethaven.keys.files import certificates, facts_of
-from garnethaven.keys.validity import holds
+from garnethaven.keys.authority import DEFAULT_AUTHORITY_DAYS, Authority
+from garnethaven.keys.files import certificate_facts, load_certificates
+from garnethaven.keys.validity import certificate_state
 
-DAYS = 90
+DEFAULT_CERTIFICATE_DAYS = 90
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="petrelspan certs", description=__doc__)
-    made.add_argument("--folder", default="certs", help="where the authority's files are (certs)")
-    steps = made.add_subparsers(dest="step", required=True)
-    for name, said in (("init", "make an authority"), ("rotate", "make another beside the present one")):
-        step = steps.add_parser(name, help=said)
-        step.add_argument("name", help="what the authority is called")
-        step.add_argument("--days", type=days, default=AUTHORITY_DAYS, help=f"its life ({AUTHORITY_DAYS})")
-    step = steps.add_parser("issue", help="a certificate and its key")
-    step.add_argument("name", help="of the files")
-    step.add_argument("names", nargs="+", help="DNS names and addresses that it is for")
-    step.add_argument("--days", type=days, default=DAYS, help=f"its life ({DAYS})")
-    step = steps.add_parser("revoke", help="a list of certificates that are not good any more")
-    step.add_argument("files", nargs="*", help="their files; none: an empty list")
-    step.add_argument("--days", type=days, default=DAYS, help=f"how long the list holds ({DAYS})")
-    step = steps.add_parser("show", help="what certificates say, and whether they hold")
-    step.add_argument("files", nargs="+")
-    return made
+    root = argparse.ArgumentParser(prog="petrelspan certs", description=__doc__)
+    root.add_argument("--folder", default="certs", help="folder of the authority's files (certs)")
+    commands = root.add_subparsers(dest="step", required=True)
+    for name, description in (
+        ("init", "create an authority"),
+        ("rotate", "create a new authority beside the present one"),
+    ):
+        command = commands.add_parser(name, help=description)
+        command.add_argument("name", help="common name of the authority")
+        command.add_argument(
+            "--days",
+            type=parse_days,
+            default=DEFAULT_AUTHORITY_DAYS,
+            help=f"days of validity ({DEFAULT_AUTHORITY_DAYS})",
+        )
+    command = commands.add_parser("issue", help="issue a certificate and its key")
+    command.add_argument("name", help="base name of the files")
+    command.add_argument("names", nargs="+", help="DNS names and IP addresses of the certificate")
+    command.add_argument(
+        "--days",
+        type=parse_days,
+        default=DEFAULT_CERTIFICATE_DAYS,
+        help=f"days of validity ({DEFAULT_CERTIFICATE_DAYS})",
+    )
+    command = commands.add_parser("revoke", help="write a list of revoked certificates")
+    command.add_argument("files", nargs="*", help="files of the certificates; without any the list is empty")
+    command.add_argument(
+        "--days",
+        type=parse_days,
+        default=DEFAULT_CERTIFICATE_DAYS,
+        help=f"days of validity of the list ({DEFAULT_CERTIFICATE_DAYS})",
+    )
+    command = commands.add_parser("show", help="print certificates and whether they are valid")
+    command.add_argument("files", nargs="+")
+    return root
 
 
-def days(text: str) -> int:
+def parse_days(text: str) -> int:
     if not text.isdigit() or not 1 <= int(text) <= 36_500:
-        raise argparse.ArgumentTypeError(f"not from 1 to 36500: {text!r}")
+        raise argparse.ArgumentTypeError(f"the number of days is not from 1 to 36500: {text!r}")
     return int(text)
 
 
-def main(words: Sequence[str]) -> int:
-    """Exit code 0, or 2 where something can't be used; raises KeysError."""
-    told = parser().parse_args(words)
-    authority = Authority(told.folder)
-    if told.step == "show":
-        for path in told.files:
-            show(path)
-    elif told.step == "init":
-        authority.init(told.name, told.days)
-        print(f"{told.folder}/authorities.pem is what peers have to trust")
-    elif told.step == "rotate":
-        authority.rotate(told.name, told.days)
-        print(f"spread {told.folder}/authorities.pem first, then issue anew")
-    elif told.step == "issue":
-        print(authority.issue(told.name, told.names, told.days))
+def main(argv: Sequence[str]) -> int:
+    """Run the command and return exit code 0; raises KeysError, and SystemExit(2) for wrong arguments."""
+    arguments = parser().parse_args(argv)
+    authority = Authority(arguments.folder)
+    if arguments.step == "show":
+        for path in arguments.files:
+            print_certificates(path)
+    elif arguments.step == "init":
+        authority.init(arguments.name, arguments.days)
+        print(f"{arguments.folder}/authorities.pem is the list of authorities that peers have to trust")
+    elif arguments.step == "rotate":
+        authority.rotate(arguments.name, arguments.days)
+        print(f"distribute {arguments.folder}/authorities.pem first, then reissue the certificates")
+    elif arguments.step == "issue":
+        print(authority.issue(arguments.name, arguments.names, arguments.days))
     else:
-        serials = [facts_of(certificates(path)[0]).serial for path in told.files]
-        print(authority.revoke(serials, told.days))
+        serials = [certificate_facts(load_certificates(path)[0]).serial for path in arguments.files]
+        print(authority.revoke(serials, arguments.days))
     return 0
 
 
-def show(path: str) -> None:
-    for certificate in certificates(path):
-        facts = facts_of(certificate)
-        ends = datetime.datetime.fromtimestamp(facts.ends, datetime.UTC)
+def print_certificates(path: str) -> None:
+    for certificate in load_certificates(path):
+        facts = certificate_facts(certificate)
+        expires_at = datetime.datetime.fromtimestamp(facts.not_after, datetime.UTC)
         names = ", ".join(facts.names) or "no names"
-        state = holds(facts, time.time()).value
-        print(f"{path}: {facts.subject}, for {names}: {state}, until {ends:%Y-%m-%d %H:%M} UTC")
+        state = certificate_state(facts, time.time()).value
+        print(f"{path}: {facts.subject}, for {names}: {state}, until {expires_at:%Y-%m-%d %H:%M} UTC")
--- a/garnethaven/keys/files.py
+++ b/garnethaven/keys/files.py
@@ -1,4 +1,4 @@
-"""Certificates as they stand in files, by the package cryptography."""
+"""Reads certificates from PEM files, with the package cryptography."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 
 from cryptography import x509
 
-from garnethaven.keys.validity import Facts
+from garnethaven.keys.validity import CertificateFacts
 
-FILE_MOST = 1024 * 1024  # bytes: a bundle of authorities; more is no certificate's
+MAX_FILE_BYTES = 1024 * 1024  # enough for a bundle of authorities
 
 
 class KeysError(OSError):
-    """A file can't be used; the text names it."""
+    """A certificate or key file can't be used; the text names the file."""
 
 
-def read(path: str) -> bytes:
-    """Raises KeysError."""
+def read_file(path: str) -> bytes:
+    """Return the content; raises KeysError if the file is unreadable or too large."""
     try:
-        if os.path.getsize(path) > FILE_MOST:
-            raise KeysError(f"{path} is too large for certificates")
+        if os.path.getsize(path) > MAX_FILE_BYTES:
+            raise KeysError(f"{path} is too large for a certificate file")
         return Path(path).read_bytes()
     except KeysError:
         raise
-    except OSError as problem:
-        raise KeysError(f"{path} can't be read: {problem.strerror}") from None
+    except OSError as error:
+        raise KeysError(f"{path} can't be read: {error.strerror}") from None
 
 
-def certificates(path: str) -> list[x509.Certificate]:
-    """All certificates of a file, at least one; raises KeysError."""
+def load_certificates(path: str) -> list[x509.Certificate]:
+    """Return all certificates of a PEM file; raises KeysError if there are none."""
     try:
-        found = x509.load_pem_x509_certificates(read(path))
+        loaded = x509.load_pem_x509_certificates(read_file(path))
     except ValueError:
-        found = []
-    if not found:
-        raise KeysError(f"{path} holds no certificate in PEM")
-    return found
+        loaded = []
+    if not loaded:
+        raise KeysError(f"{path} contains no PEM certificate")
+    return loaded
 
 
-def facts_of(certificate: x509.Certificate) -> Facts:
-    return Facts(
+def certificate_facts(certificate: x509.Certificate) -> CertificateFacts:
+    return CertificateFacts(
         subject=certificate.subject.rfc4514_string(),
-        names=names_of(certificate),
+        names=alternative_names(certificate),
         serial=certificate.serial_number,
-        begins=certificate.not_valid_before_utc.timestamp(),
-        ends=certificate.not_valid_after_utc.timestamp(),
+        not_before=certificate.not_valid_before_utc.timestamp(),
+        not_after=certificate.not_valid_after_utc.timestamp(),
         issuer=certificate.issuer.rfc4514_string(),
     )
 
 
-def names_of(certificate: x509.Certificate) -> tuple[str, ...]:
+def alternative_names(certificate: x509.Certificate) -> tuple[str, ...]:
     with contextlib.suppress(x509.ExtensionNotFound):
-        told = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
-        addresses = [str(one) for one in told.get_values_for_type(x509.IPAddress)]
-        return (*told.get_values_for_type(x509.DNSName), *addresses)
+        extension = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        addresses = [str(address) for address in extension.get_values_for_type(x509.IPAddress)]
+        return (*extension.get_values_for_type(x509.DNSName), *addresses)
     return ()
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -1,7 +1,7 @@
-"""A front's certificate, key and trusted authorities, read anew while connections stay open.
+"""A front's certificate, key and trusted authorities, reloaded while connections stay open.
 
-A handshake uses the context of its beginning; the next one uses the newest. A change that can't be used (half
-of a pair, a file that is no certificate) is told, and what was good before stays in use.
+Each handshake uses the context that is current when it starts. If changed files can't be used (a certificate
+without its key, a file without a certificate), this is logged and the previous context stays in use.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from garnethaven.keys.files import KeysError, certificates, facts_of
-from garnethaven.keys.validity import Facts, Told, is_peer, usable
+from garnethaven.keys.files import KeysError, certificate_facts, load_certificates
+from garnethaven.keys.validity import CertificateFacts, ExpiryLog, is_peer, usable
 
 
 @dataclass(slots=True, frozen=True)
 class Paths:
-    """Files in PEM. With `client_ca` clients need a certificate, with `peers` one that names a peer."""
+    """PEM files. `client_ca`: clients need a certificate; `peers`: it has to name one of the peers."""
 
     cert: str
     key: str = ""
@@ -28,88 +28,96 @@
 
 
 class Keyring:
-    """`context` is for a listening socket, for its whole life. Raises OSError where a file can't be used."""
+    """Holds the current TLS context.
+
+    A listening socket uses `context` for its lifetime; handshakes on it switch to the current context. Raises
+    OSError if a file can't be used.
+    """
 
     def __init__(self, paths: Paths, protocols: list[str], log: Callable[[str], None]) -> None:
         self.paths = paths
         self.protocols = protocols
         self.log = log
-        self.told = Told()
-        self.refused = 0  # handshakes and clients that were turned away here
-        self.present, self.facts = self._load(paths)
-        self.seen = self._stamps()
-        self.context = self.present
-        self.context.sni_callback = self._choose
-
-    def _load(self, paths: Paths) -> tuple[ssl.SSLContext, Facts]:
-        facts = facts_of(certificates(paths.cert)[0])
-        made = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-        made.minimum_version = ssl.TLSVersion.TLSv1_3 if paths.client_ca else ssl.TLSVersion.TLSv1_2
+        self.expiry_log = ExpiryLog()
+        self.refused = (
+            0  # handshakes refused because the certificate isn't valid, and clients that are not peers
+        )
+        self.current_context, self.certificate = self._load(paths)
+        self.loaded_stamps = self._file_stamps()
+        self.context = self.current_context
+        self.context.sni_callback = self._select_context
+
+    def _load(self, paths: Paths) -> tuple[ssl.SSLContext, CertificateFacts]:
+        facts = certificate_facts(load_certificates(paths.cert)[0])
+        context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
+        context.minimum_version = ssl.TLSVersion.TLSv1_3 if paths.client_ca else ssl.TLSVersion.TLSv1_2
         try:
-            made.load_cert_chain(paths.cert, paths.key or None)
-        except OSError as problem:
-            raise KeysError(f"{paths.cert} and its key can't be used: {problem}") from None
-        made.set_alpn_protocols(self.protocols)
+            context.load_cert_chain(paths.cert, paths.key or None)
+        except OSError as error:
+            raise KeysError(f"{paths.cert} and its key can't be used: {error}") from None
+        context.set_alpn_protocols(self.protocols)
         if paths.client_ca:
-            certificates(paths.client_ca)  # says which file is wrong
-            made.load_verify_locations(cafile=paths.client_ca)
-            made.verify_mode = ssl.CERT_REQUIRED
+            load_certificates(paths.client_ca)  # raises an error that names the file
+            context.load_verify_locations(cafile=paths.client_ca)
+            context.verify_mode = ssl.CERT_REQUIRED
         if paths.revoked:
             try:
-                made.load_verify_locations(cafile=paths.revoked)
-            except OSError as problem:
-                raise KeysError(f"{paths.revoked} can't be used: {problem}") from None
-            made.verify_flags |= ssl.VerifyFlags.VERIFY_CRL_CHECK_LEAF
-        return made, facts
-
-    def _choose(self, handshake: ssl.SSLObject, name: str | None, context: ssl.SSLContext) -> int | None:
-        """Each handshake goes on with the newest context; none is made with a certificate that has ended."""
-        if not usable(self.facts, time.time()):
+                context.load_verify_locations(cafile=paths.revoked)
+            except OSError as error:
+                raise KeysError(f"{paths.revoked} can't be used: {error}") from None
+            context.verify_flags |= ssl.VerifyFlags.VERIFY_CRL_CHECK_LEAF
+        return context, facts
+
+    def _select_context(
+        self, handshake: ssl.SSLObject, name: str | None, context: ssl.SSLContext
+    ) -> int | None:
+        """SNI callback: switch to the current context; refuses handshakes if the certificate isn't valid."""
+        if not usable(self.certificate, time.time()):
             self.refused += 1
             return ssl.ALERT_DESCRIPTION_CERTIFICATE_EXPIRED
-        handshake.context = self.present
+        handshake.context = self.current_context
         return None
 
     # Rotation
 
     def renew(self, paths: Paths) -> None:
-        """Read all files anew, by these paths; what can't be used changes nothing."""
+        """Load all files from these paths; on an error the previous context and paths are kept."""
         try:
-            self.present, self.facts = self._load(paths)
+            self.current_context, self.certificate = self._load(paths)
             self.paths = paths
-        except OSError as problem:
-            self.log(f"the old certificate is kept: {problem}")
-        self.seen = self._stamps()
+        except OSError as error:
+            self.log(f"certificate files not loaded, the previous ones stay in use: {error}")
+        self.loaded_stamps = self._file_stamps()
 
     def look(self) -> None:
-        """Read the files anew where one has changed, and say what ends soon."""
-        if self._stamps() != self.seen:
+        """Reload the files if one has changed, and log a certificate that expires soon or has expired."""
+        if self._file_stamps() != self.loaded_stamps:
             self.renew(self.paths)
-        line = self.told.due(self.facts, time.time())
+        line = self.expiry_log.next_line(self.certificate, time.time())
         if line:
             self.log(line)
 
-    def _stamps(self) -> tuple[tuple[int, int], ...]:
-        """When each file changed, and which file it is."""
-        found = []
+    def _file_stamps(self) -> tuple[tuple[int, int], ...]:
+        """Return modification time in ns and inode of each file; (0, 0) if it can't be read."""
+        stamps = []
         for path in (self.paths.cert, self.paths.key, self.paths.client_ca, self.paths.revoked):
             try:
-                told = os.stat(path)
-                found.append((told.st_mtime_ns, told.st_ino))
+                status = os.stat(path)
+                stamps.append((status.st_mtime_ns, status.st_ino))
             except OSError:
-                found.append((0, 0))
-        return tuple(found)
+                stamps.append((0, 0))
+        return tuple(stamps)
 
     # Peers
 
     def admits(self, peer: dict[str, object] | None) -> bool:
-        """Whether a client that has shaken hands is one of the peers, by its certificate (`getpeercert`)."""
+        """Return whether the client is one of the peers, by its certificate as `getpeercert` returns it."""
         if not self.paths.peers:
             return True
-        told = peer.get("subjectAltName", ()) if peer else ()
-        names = [str(pair[1]) for pair in told] if isinstance(told, tuple) else []
+        entries = peer.get("subjectAltName", ()) if peer else ()
+        names = [str(pair[1]) for pair in entries] if isinstance(entries, tuple) else []
         if is_peer(names, self.paths.peers):
             return True
         self.refused += 1
-        self.log(f"a client with the certificate of {', '.join(names)[:100] or 'nobody'} is no peer")
+        self.log(f"client refused, not a peer: certificate names {', '.join(names)[:100] or 'nobody'}")
         return False
--- a/garnethaven/keys/validity.py
+++ b/garnethaven/keys/validity.py
@@ -1,13 +1,13 @@
-"""How long a certificate holds, what is worth telling, and who is a named peer. No I/O, no clock.
+"""Validity of certificates, expiry warnings, and peer names. No I/O, no clock.
 
-| a certificate is | when | then |
+| state | period | action |
 | --- | --- | --- |
-| early | before its first moment | not used |
-| valid | until `WARN_PART` of its life is left, 30 days at most | used |
-| ending | after that | used, and told of once a day |
-| ended | after its last moment | not used: handshakes are refused rather than made with it |
+| early | before the certificate's validity period | not used |
+| valid | until `WARNING_FRACTION` of the period is left, at most 30 days | used |
+| ending | from then to the end of the period | used; logged once a day |
+| ended | after the period | not used: handshakes are refused |
 
-Peers are named by the subject alternative names of their certificates; a common name names nobody.
+Peers are identified by the subject alternative names of their certificates; the common name is ignored.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from enum import Enum
 
 DAY_S = 86_400.0
-WARN_PART = 0.2  # of a certificate's life, for those that live for days only
-WARN_MOST_S = 30 * DAY_S
-TELL_EVERY_S = DAY_S
+WARNING_FRACTION = 0.2  # of the validity period; matters for certificates valid for less than 150 days
+MAX_WARNING_S = 30 * DAY_S
+LOG_INTERVAL_S = DAY_S
 
 
-class Holds(Enum):
+class CertificateState(Enum):
     EARLY = "early"
     VALID = "valid"
     ENDING = "ending"
@@ -30,58 +30,61 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
-    """What a certificate says; times are seconds since 1970."""
+class CertificateFacts:
+    """The fields of a certificate that are used here; times are Unix times in seconds."""
 
     subject: str
-    names: tuple[str, ...]  # DNS names and addresses
+    names: tuple[str, ...]  # subject alternative names: DNS names and IP addresses
     serial: int
-    begins: float
-    ends: float
+    not_before: float
+    not_after: float
     issuer: str = ""
 
 
-def holds(facts: Facts, now: float) -> Holds:
-    if now < facts.begins:
-        return Holds.EARLY
-    if now >= facts.ends:
-        return Holds.ENDED
-    left = facts.ends - now
-    warn = min(WARN_MOST_S, WARN_PART * (facts.ends - facts.begins))
-    return Holds.ENDING if left < warn else Holds.VALID
+def certificate_state(facts: CertificateFacts, now: float) -> CertificateState:
+    if now < facts.not_before:
+        return CertificateState.EARLY
+    if now >= facts.not_after:
+        return CertificateState.ENDED
+    remaining_s = facts.not_after - now
+    warning_s = min(MAX_WARNING_S, WARNING_FRACTION * (facts.not_after - facts.not_before))
+    return CertificateState.ENDING if remaining_s < warning_s else CertificateState.VALID
 
 
-def usable(facts: Facts, now: float) -> bool:
-    return holds(facts, now) in (Holds.VALID, Holds.ENDING)
+def usable(facts: CertificateFacts, now: float) -> bool:
+    """Return whether `now` is within the validity period."""
+    return certificate_state(facts, now) in (CertificateState.VALID, CertificateState.ENDING)
 
 
 def is_peer(names: Iterable[str], peers: Collection[str]) -> bool:
-    """Whether a certificate with these names is one of the peers; `*.domain` stands for one label."""
+    """Return whether one of a certificate's names is among the peers; `*.domain` matches one label."""
     for name in names:
-        _, mark, domain = name.partition(".")
-        if name in peers or (mark and f"*.{domain}" in peers):
+        _, separator, domain = name.partition(".")
+        if name in peers or (separator and f"*.{domain}" in peers):
             return True
     return False
 
 
-class Told:
-    """Says that a certificate ends soon, or has ended: once, then once a day."""
+class ExpiryLog:
+    """Limits log lines about a certificate's state to one at each change and one a day; none while valid."""
 
     def __init__(self) -> None:
-        self.at: dict[tuple[int, Holds], float] = {}
+        self.logged_at: dict[tuple[int, CertificateState], float] = {}
 
-    def due(self, facts: Facts, now: float) -> str:
-        """The line to write now; empty: none."""
-        state = holds(facts, now)
-        if state is Holds.VALID:
+    def next_line(self, facts: CertificateFacts, now: float) -> str:
+        """Return the line to log now, or an empty string."""
+        state = certificate_state(facts, now)
+        if state is CertificateState.VALID:
             return ""
         key = (facts.serial, state)
-        if now - self.at.get(key, -TELL_EVERY_S) < TELL_EVERY_S:
+        if now - self.logged_at.get(key, -LOG_INTERVAL_S) < LOG_INTERVAL_S:
             return ""
-        self.at = {known: at for known, at in self.at.items() if known[0] == facts.serial} | {key: now}
-        days = abs(facts.ends - now) / DAY_S
-        if state is Holds.EARLY:
-            return f"certificate of {facts.subject} does not hold yet"
-        if state is Holds.ENDED:
+        self.logged_at = {
+            logged: at for logged, at in self.logged_at.items() if logged[0] == facts.serial
+        } | {key: now}
+        days = abs(facts.not_after - now) / DAY_S
+        if state is CertificateState.EARLY:
+            return f"certificate of {facts.subject} is not valid yet; handshakes are refused"
+        if state is CertificateState.ENDED:
             return f"certificate of {facts.subject} ended {days:.1f} days ago; handshakes are refused"
         return f"certificate of {facts.subject} ends in {days:.1f} days"
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -1,4 +1,4 @@
-"""Mutual TLS on loopback: rotation without a dropped connection, and who is turned away."""
+"""Mutual TLS on loopback: rotation without dropped connections, and refused clients."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from garnethaven.grpcs.table import Grpc
 from garnethaven.keys import keyring as keyrings
 from garnethaven.keys.authority import Authority
-from garnethaven.keys.files import KeysError, certificates, facts_of
+from garnethaven.keys.files import KeysError, certificate_facts, load_certificates
 from garnethaven.keys.keyring import Keyring, Paths
 from garnethaven.keys.validity import DAY_S
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, ok, stage
@@ -25,7 +25,7 @@
 
 
 class Keys:
-    """An authority, a server's certificate and a client's."""
+    """An authority with a server certificate and a client certificate."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -40,20 +40,20 @@
     def path(self, name: str) -> str:
         return str(self.folder / name)
 
-    def paths(self, **more: Any) -> Paths:
-        told = {"client_ca": self.path("authorities.pem"), "peers": ("gate.a.example",)} | more
-        return Paths(self.path("server.pem"), self.path("server.key"), **told)
+    def paths(self, **changes: Any) -> Paths:
+        options = {"client_ca": self.path("authorities.pem"), "peers": ("gate.a.example",)} | changes
+        return Paths(self.path("server.pem"), self.path("server.key"), **options)
 
     def client(self, name: str | None = "client", folder: Path | None = None) -> ssl.SSLContext:
-        made = ssl.create_default_context(cafile=self.path("authorities.pem"))
+        context = ssl.create_default_context(cafile=self.path("authorities.pem"))
         if name is not None:
-            its = folder or self.folder
-            made.load_cert_chain(its / f"{name}.pem", its / f"{name}.key")
-        return made
+            source = folder or self.folder
+            context.load_cert_chain(source / f"{name}.pem", source / f"{name}.key")
+        return context
 
 
 class Echo:
-    """A server behind a keyring: echoes lines, turns away who is no peer."""
+    """A TLS server with a keyring: echoes lines and closes connections of clients that are no peers."""
 
     def __init__(self, paths: Paths) -> None:
         self.log: list[str] = []
@@ -123,7 +123,7 @@
             after = await Line().open(made.port, keys.client())
             assert await after.echoes() and await before.echoes()
             assert before.serial() != after.serial()
-            assert after.serial() == facts_of(certificates(keys.path("server.pem"))[0]).serial
+            assert after.serial() == certificate_facts(load_certificates(keys.path("server.pem"))[0]).serial
 
     run(case())
 
@@ -159,7 +159,7 @@
             assert not await echoes(made.port, keys.client(folder=other.folder))
             assert not await echoes(made.port, keys.client("stranger"))
             assert made.keyring.refused == 1
-            assert any("gate.z.example is no peer" in line for line in made.log)
+            assert any("not a peer: certificate names gate.z.example" in line for line in made.log)
 
     run(case())
 
@@ -170,7 +170,9 @@
         keys.authority.revoke([], 90)
         async with echo(keys.paths(revoked=keys.path("revoked.pem"))) as made:
             assert await echoes(made.port, keys.client())
-            keys.authority.revoke([facts_of(certificates(keys.path("client.pem"))[0]).serial], 90)
+            keys.authority.revoke(
+                [certificate_facts(load_certificates(keys.path("client.pem"))[0]).serial], 90
+            )
             made.keyring.look()
             assert not await echoes(made.port, keys.client())
 
@@ -202,8 +204,8 @@
             context = keys.client()
             (tmp_path / name).write_text("none")
             made.keyring.look()
-            assert sum("the old certificate is kept" in line for line in made.log) == 1
-            made.keyring.look()  # told once for each change
+            assert sum("the previous ones stay in use" in line for line in made.log) == 1
+            made.keyring.look()  # logged once per change
             assert len(made.log) == 1
             assert await echoes(made.port, context)
 
@@ -232,8 +234,8 @@
             await front.start(("127.0.0.1", 0))
             authorities = (tmp_path / "authorities.pem").read_bytes()
             pair = [(tmp_path / name).read_bytes() for name in ("client.key", "client.pem")]
-            for told, code in ((pair, grpc.StatusCode.OK), ([], grpc.StatusCode.UNAVAILABLE)):
-                credentials = grpc.ssl_channel_credentials(authorities, *told)
+            for client_pair, code in ((pair, grpc.StatusCode.OK), ([], grpc.StatusCode.UNAVAILABLE)):
+                credentials = grpc.ssl_channel_credentials(authorities, *client_pair)
                 async with grpc.aio.secure_channel(f"127.0.0.1:{front.port}", credentials) as channel:
                     call = channel.unary_unary(UNARY)(b"hi", timeout=10.0)
                     assert await call.code() is code
@@ -253,10 +255,10 @@
     assert "holds an authority already" in capsys.readouterr().err
     assert certs("issue", "gate", "gate.a.example", "10.0.0.1", "--days", "10") == 0
     assert certs("show", str(tmp_path / "gate.pem")) == 0
-    said = capsys.readouterr().out
-    assert "gate.a.example, 10.0.0.1: valid, until" in said and "CN=petrel" in said
+    output = capsys.readouterr().out
+    assert "gate.a.example, 10.0.0.1: valid, until" in output and "CN=petrel" in output
     assert certs("rotate", "petrel 2") == 0
-    assert len(certificates(str(tmp_path / "authorities.pem"))) == 2
+    assert len(load_certificates(str(tmp_path / "authorities.pem"))) == 2
     assert certs("revoke", str(tmp_path / "gate.pem")) == 0
     assert (tmp_path / "authority.key").stat().st_mode & 0o777 == 0o600
     assert certs("issue", "../x", "a") == 1
