--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -127,7 +127,8 @@
 
     # Calls from the engine
 
-    def send_decision(self, attempt: ReportAttempt) -> None:
+    def set_decision(self, attempt: ReportAttempt) -> None:
+        """Encode the decision for this attempt's endpoint as the reply."""
         front, call = self.front, attempt.call
         address = front.address_of(attempt.endpoint)
         if self.reply is not None or address is None:  # already answered, or the address is unknown
@@ -180,9 +181,8 @@
             self._end_attempt(Outcome.CANCELLED if attempt.delivered else Outcome.SKIPPED)
         elif self.call is not None:
             self.front.engine.left(self.call)
-        self.call = self.attempt = (
-            None  # breaks a reference cycle that only a full garbage collection would free
-        )
+        # Breaks a reference cycle that only a full garbage collection would free.
+        self.call = self.attempt = None
 
     def _end_attempt(self, outcome: Outcome) -> None:
         """Report the end of the attempt once. The proxy has its decision, so no retry may follow."""
@@ -280,6 +280,7 @@
         self.lag_timer = self.engine.loop.call_later(LAG_CHECK_INTERVAL_S, self._measure_lag)
 
     def overloaded(self) -> bool:
+        """Return whether new requests have to be refused."""
         return self.streams > self.table.streams_most or self.lag_s * 1000 > self.table.message_timeout_ms
 
     # gRPC handler
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -32,12 +32,12 @@
     """The properties of a request, as its call needs them."""
 
     call_id: bytes
-    grade: int
+    grade: int  # index of the class
     tenant_index: int
     tenant_name: str  # as sent by the client
-    key: str
+    key: str  # affinity key, from the query of the path
     budget: int  # nanoseconds
-    repeat: bool
+    repeat: bool  # the client marks it as a retry
     token: str
     may_have_been_sent: bool  # the proxy repeats the request: an earlier attempt may have been sent
     decision_unused: bool
@@ -48,19 +48,19 @@
     call_id = headers.get("x-call-id") or headers.get("x-request-id", "")
     if not call_id or len(call_id) > MAX_ID_LENGTH:
         raise MappingError("x-call-id and x-request-id are missing or too long")
-    keyed = bool(headers.get("idempotency-key"))
-    name = headers.get("x-call-class") or class_from_routes(headers, routes)
-    grade = classes.grade_of(name, keyed) if name else None
-    if grade is None:
-        raise MappingError(f"x-call-class {name[:64]!r} is no class, and no route fits")
+    has_key = bool(headers.get("idempotency-key"))
+    class_name = headers.get("x-call-class") or class_from_routes(headers, routes)
+    class_index = classes.grade_of(class_name, has_key) if class_name else None
+    if class_index is None:
+        raise MappingError(f"x-call-class {class_name[:64]!r} is no class, and no route fits")
     token = headers.get(TOKEN_HEADER, "")
     return MappedRequest(
         call_id=call_id.encode("latin-1", "replace"),
-        grade=grade,
+        grade=class_index,
         tenant_index=classes.tenant_of(headers.get("x-caller", "")),
         tenant_name=headers.get("x-caller", ""),
         key=key_of(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
-        budget=budget_of(headers, classes.settings.grades[grade].deadline),
+        budget=budget_of(headers, classes.settings.grades[class_index].deadline),
         repeat=headers.get("x-again") == "1",
         token=token,
         may_have_been_sent=bool(token) or headers.get("x-envoy-attempt-count", "1") != "1",
--- a/garnethaven/extproc/report.py
+++ b/garnethaven/extproc/report.py
@@ -15,7 +15,7 @@
 class Stream(Protocol):
     """The stream of a call, as an attempt uses it."""
 
-    def send_decision(self, attempt: ReportAttempt) -> None: ...
+    def set_decision(self, attempt: ReportAttempt) -> None: ...
 
 
 class ReportAttempt:
@@ -33,7 +33,7 @@
         self.delivered = False  # the decision has been written to the proxy
 
     def start(self) -> None:
-        self.stream.send_decision(self)
+        self.stream.set_decision(self)
 
     def give_up(self) -> bool:
         self.over = True
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -26,7 +26,7 @@
 KEY = b"k" * 16
 
 
-class Stage:
+class Harness:
     """A sidecar with its HTTP front and the processor over one decision module, and a proxy as client."""
 
     def __init__(self, sidecar: Sidecar, front: Front, peers: list[Peer]) -> None:
@@ -39,43 +39,43 @@
         headers = self.proxy._headers("c1", "k1", 2.0)
         return headers | {name.replace("_", "-"): value for name, value in changes.items()}
 
-    async def decide(self, asked: Asked, **changes: str) -> Any:
-        decision = await asked.decide(self.headers(**changes), 10.0)
+    async def decide(self, exchange: Asked, **changes: str) -> Any:
+        decision = await exchange.decide(self.headers(**changes), 10.0)
         assert decision is not None
         return decision
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether neither the engine nor the decision module has a request in flight."""
         engine = self.sidecar.engine
         return not engine.calls and not engine.open_ids and not engine.balancer.held
 
 
 @contextlib.asynccontextmanager
-async def stage(servers: int = 4, **settings: Any) -> AsyncIterator[Stage]:
+async def stage(servers: int = 4, **settings: Any) -> AsyncIterator[Harness]:
     async with running(*[says(ANSWER)] * servers) as (sidecar, peers):
-        operator = ExternalProcessor(listen=("127.0.0.1", 0), **({"keys": (KEY,)} | settings))
-        front = Front(operator, sidecar.engine, sidecar.transport, sidecar.listener.classes)
+        table = ExternalProcessor(listen=("127.0.0.1", 0), **({"keys": (KEY,)} | settings))
+        front = Front(table, sidecar.engine, sidecar.transport, sidecar.listener.classes)
         await front.start(("127.0.0.1", 0))
-        made = Stage(sidecar, front, list(peers))
+        harness = Harness(sidecar, front, list(peers))
         try:
-            yield made
+            yield harness
         finally:
-            await made.proxy.close()
+            await harness.proxy.close()
             await front.close(0.0)
 
 
 def test_a_request_gets_one_decision_and_its_outcome_is_learned() -> None:
     async def case() -> None:
-        async with stage() as made:
-            asked = made.proxy.ask()
-            decision = await made.decide(asked)
-            assert parse_address(decision.address) in [("127.0.0.1", peer.port) for peer in made.peers]
+        async with stage() as harness:
+            exchange = harness.proxy.ask()
+            decision = await harness.decide(exchange)
+            assert parse_address(decision.address) in [("127.0.0.1", peer.port) for peer in harness.peers]
             assert 0.0 < decision.valid_s < 0.5
             assert decision.token
-            assert not made.quiet()
-            await asked.report({":status": "200"}, 10.0)
-            await until(made.quiet)
-            overload = made.sidecar.engine.balancer.overload
+            assert not harness.is_idle()
+            await exchange.report({":status": "200"}, 10.0)
+            await until(harness.is_idle)
+            overload = harness.sidecar.engine.balancer.overload
             assert overload.last_answer > 0  # a successful answer was recorded
 
     run(case())
@@ -83,12 +83,12 @@
 
 def test_an_error_blames_the_server_and_leads_to_no_second_attempt_of_our_own() -> None:
     async def case() -> None:
-        async with stage() as made:
-            asked = made.proxy.ask()
-            await made.decide(asked)
-            await asked.report({":status": "500"}, 10.0)
-            await until(made.quiet)
-            servers = made.sidecar.engine.balancer.servers.values()
+        async with stage() as harness:
+            exchange = harness.proxy.ask()
+            await harness.decide(exchange)
+            await exchange.report({":status": "500"}, 10.0)
+            await until(harness.is_idle)
+            servers = harness.sidecar.engine.balancer.servers.values()
             assert sum(server.errors > 0 for server in servers) == 1
 
     run(case())
@@ -96,8 +96,8 @@
 
 def test_nothing_is_kept_of_a_request_that_has_ended() -> None:
     async def case() -> None:
-        async with stage() as made:
-            front, references = made.front, []
+        async with stage() as harness:
+            front, references = harness.front, []
 
             def record_attempt(attempt: ReportAttempt) -> None:
                 references.append((weakref.ref(attempt.call), weakref.ref(attempt)))
@@ -107,11 +107,11 @@
             gc.disable()  # reference counting alone must free the objects: full collections are rare
             try:
                 for number in range(5):
-                    asked = made.proxy.ask()
-                    assert (await made.decide(asked, x_call_id=f"n{number}")).address
-                    await asked.report({":status": "200"}, 10.0)
-                await until(made.quiet)
-                made.sidecar.engine.timers.clear()
+                    exchange = harness.proxy.ask()
+                    assert (await harness.decide(exchange, x_call_id=f"n{number}")).address
+                    await exchange.report({":status": "200"}, 10.0)
+                await until(harness.is_idle)
+                harness.sidecar.engine.timers.clear()
                 await until(lambda: not any(call() or attempt() for call, attempt in references))
                 assert len(references) == 5
             finally:
@@ -122,12 +122,12 @@
 
 def test_with_no_server_a_request_is_refused_at_once() -> None:
     async def case() -> None:
-        async with stage() as made:
-            made.sidecar.transport.learn(ListKind.FULL, [])
-            decision = await made.decide(made.proxy.ask())
+        async with stage() as harness:
+            harness.sidecar.transport.learn(ListKind.FULL, [])
+            decision = await harness.decide(harness.proxy.ask())
             assert (decision.status, decision.address) == (503, "")
             assert "refused" in decision.details
-            await until(made.quiet)
+            await until(harness.is_idle)
 
     run(case())
 
@@ -135,17 +135,17 @@
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_proxy_that_goes_away_leaves_nothing_under_way_and_blames_nobody(when: str) -> None:
     async def case() -> None:
-        async with stage() as made:
-            asked = made.proxy.ask()
+        async with stage() as harness:
+            exchange = harness.proxy.ask()
             if when == "after":
-                await made.decide(asked)
-                assert not made.quiet()
+                await harness.decide(exchange)
+                assert not harness.is_idle()
             else:
-                message = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
-                await asked.call.write(message)  # the answer is never read
-            asked.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
-            servers = made.sidecar.engine.balancer.servers.values()
+                message = pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
+                await exchange.call.write(message)  # the answer is never read
+            exchange.cancel()
+            await until(lambda: harness.front.streams == 0 and harness.is_idle())
+            servers = harness.sidecar.engine.balancer.servers.values()
             assert not any(server.errors for server in servers)
 
     run(case())
@@ -153,26 +153,26 @@
 
 def test_the_same_id_at_once_is_decided_once_and_again_when_the_first_has_ended() -> None:
     async def case() -> None:
-        async with stage() as made:
-            first, second = made.proxy.ask(), made.proxy.ask()
-            assert (await made.decide(first)).address
-            assert (await made.decide(second)).status == 409
+        async with stage() as harness:
+            first, second = harness.proxy.ask(), harness.proxy.ask()
+            assert (await harness.decide(first)).address
+            assert (await harness.decide(second)).status == 409
             await first.report({":status": "200"}, 10.0)
-            await until(made.quiet)
-            assert (await made.decide(made.proxy.ask())).address
+            await until(harness.is_idle)
+            assert (await harness.decide(harness.proxy.ask())).address
 
     run(case())
 
 
 def test_the_id_of_a_request_on_the_other_front_is_taken_too() -> None:
     async def case() -> None:
-        async with stage() as made:
+        async with stage() as harness:
             release = asyncio.Event()
-            for peer in made.peers:
+            for peer in harness.peers:
                 peer.script = says(ANSWER, release)
-            asking = asyncio.create_task(made.sidecar.ask(request(X_Call_Id="c1")))
-            await until(lambda: not made.quiet())
-            assert (await made.decide(made.proxy.ask())).status == 409
+            asking = asyncio.create_task(harness.sidecar.ask(request(X_Call_Id="c1")))
+            await until(lambda: not harness.is_idle())
+            assert (await harness.decide(harness.proxy.ask())).status == 409
             release.set()
             assert await asking == (200, b"hello")
 
@@ -182,9 +182,9 @@
 def test_after_a_restart_a_token_keeps_the_rack_and_without_it_nothing_is_sent_or_refused() -> None:
     async def case() -> None:
         async with stage() as before:
-            asked = before.proxy.ask()
-            decision = await before.decide(asked)
-            asked.cancel()
+            exchange = before.proxy.ask()
+            decision = await before.decide(exchange)
+            exchange.cancel()
         async with (
             stage() as after
         ):  # a restarted process with the same key; its servers are in the same cell
@@ -212,12 +212,12 @@
 
 def test_a_decision_that_was_not_acted_on_may_be_asked_for_again() -> None:
     async def case() -> None:
-        async with stage() as made:
-            first = made.proxy.ask()
-            decision = await made.decide(first)
+        async with stage() as harness:
+            first = harness.proxy.ask()
+            decision = await harness.decide(first)
             first.cancel()
-            await until(made.quiet)
-            retried = await made.decide(made.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
+            await until(harness.is_idle)
+            retried = await harness.decide(harness.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
             assert retried.address
 
     run(case())
@@ -225,29 +225,33 @@
 
 def test_messages_out_of_turn_get_an_error_and_bodies_go_on() -> None:
     async def case() -> None:
-        async with stage() as made:
-            early = made.proxy.ask()
+        async with stage() as harness:
+            early = harness.proxy.ask()
             await early.call.write(pb.ProcessingRequest(response_headers=headers_message({":status": "200"})))
             assert (await early.call.read()).immediate_response.status.code == 400
-            asked = made.proxy.ask()
-            await made.decide(asked)
-            await asked.call.write(pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 1000)))
-            assert (await asked.call.read()).WhichOneof("response") == "request_body"
-            await asked.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
+            exchange = harness.proxy.ask()
+            await harness.decide(exchange)
+            await exchange.call.write(pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 1000)))
+            assert (await exchange.call.read()).WhichOneof("response") == "request_body"
+            await exchange.call.write(
+                pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
+            )
             assert (
-                await asked.call.read()
+                await exchange.call.read()
             ).immediate_response.status.code == 400  # a second request on one stream
-            await until(made.quiet)
+            await until(harness.is_idle)
 
     run(case())
 
 
 def test_the_answer_asks_for_headers_only() -> None:
     async def case() -> None:
-        async with stage() as made:
-            asked = made.proxy.ask()
-            await asked.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
-            answer = await asked.call.read()
+        async with stage() as harness:
+            exchange = harness.proxy.ask()
+            await exchange.call.write(
+                pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
+            )
+            answer = await exchange.call.read()
             assert answer.mode_override.request_body_mode == 0
             assert answer.mode_override.response_header_mode == 1
             destination = answer.dynamic_metadata["envoy.lb"]["x-gateway-destination-endpoint"]
@@ -256,35 +260,35 @@
             assert values["x-gateway-destination-endpoint"] == destination
             assert int(values["x-budget-ms"]) <= 2000
             assert int(values[VALID]) < 500
-            asked.cancel()
+            exchange.cancel()
 
     run(case())
 
 
 def test_a_bad_request_is_told_what_it_lacks() -> None:
     async def case() -> None:
-        async with stage() as made:
-            decision = await made.decide(made.proxy.ask(), x_budget_ms="soon")
+        async with stage() as harness:
+            decision = await harness.decide(harness.proxy.ask(), x_budget_ms="soon")
             assert decision.status == 400
             assert "x-budget-ms" in decision.details
-            assert made.quiet()
+            assert harness.is_idle()
 
     run(case())
 
 
 def test_more_streams_than_the_bound_are_refused_at_once() -> None:
     async def case() -> None:
-        async with stage(streams_most=2) as made:
-            open_streams = [made.proxy.ask() for _ in range(2)]
-            for number, asked in enumerate(open_streams):
-                assert (await made.decide(asked, x_call_id=f"h{number}")).address
-            refused = await made.decide(made.proxy.ask(), x_call_id="late")
+        async with stage(streams_most=2) as harness:
+            open_streams = [harness.proxy.ask() for _ in range(2)]
+            for number, exchange in enumerate(open_streams):
+                assert (await harness.decide(exchange, x_call_id=f"h{number}")).address
+            refused = await harness.decide(harness.proxy.ask(), x_call_id="late")
             assert refused.status == 503
-            retried = await made.decide(made.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
+            retried = await harness.decide(harness.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
             assert retried.status == 502  # a retry may have run, so it is not refused with 503
             open_streams[0].cancel()
-            await until(lambda: made.front.streams < 2)
-            assert (await made.decide(made.proxy.ask(), x_call_id="later")).address
+            await until(lambda: harness.front.streams < 2)
+            assert (await harness.decide(harness.proxy.ask(), x_call_id="later")).address
             open_streams[1].cancel()
 
     run(case())
@@ -292,62 +296,62 @@
 
 def test_a_process_that_is_later_than_the_proxy_waits_refuses_at_once() -> None:
     async def case() -> None:
-        async with stage(message_timeout_ms=50) as made:
-            made.front.lag_s = 0.2
-            assert (await made.decide(made.proxy.ask())).status == 503
-            await until(lambda: not made.front.overloaded())
-            assert (await made.decide(made.proxy.ask())).address
+        async with stage(message_timeout_ms=50) as harness:
+            harness.front.lag_s = 0.2
+            assert (await harness.decide(harness.proxy.ask())).status == 503
+            await until(lambda: not harness.front.overloaded())
+            assert (await harness.decide(harness.proxy.ask())).address
 
     run(case())
 
 
 def test_a_planned_end_lets_open_streams_report() -> None:
     async def case() -> None:
-        async with stage() as made:
-            asked = made.proxy.ask()
-            assert (await made.decide(asked)).address
-            ending = asyncio.create_task(made.front.close(10.0))
+        async with stage() as harness:
+            exchange = harness.proxy.ask()
+            assert (await harness.decide(exchange)).address
+            ending = asyncio.create_task(harness.front.close(10.0))
             await asyncio.sleep(0.1)
-            await asked.report({":status": "200"}, 5.0)
+            await exchange.report({":status": "200"}, 5.0)
             await ending
-            assert made.quiet()
-            assert made.sidecar.engine.balancer.overload.last_answer > 0
+            assert harness.is_idle()
+            assert harness.sidecar.engine.balancer.overload.last_answer > 0
 
     run(case())
 
 
 def test_too_large_and_meaningless_messages_end_their_stream_only() -> None:
     async def case() -> None:
-        async with stage() as made:
-            raw = made.proxy.channel.stream_stream("/envoy.service.ext_proc.v3.ExternalProcessor/Process")
+        async with stage() as harness:
+            raw = harness.proxy.channel.stream_stream("/envoy.service.ext_proc.v3.ExternalProcessor/Process")
             for payload in (b"\xff" * 50, b"\x0a" + b"x" * (MAX_MESSAGE_BYTES + 1)):
                 call = raw()
                 with contextlib.suppress(grpc.aio.AioRpcError, asyncio.InvalidStateError):
                     await call.write(payload)
                     await call.read()
                 assert await call.code() != grpc.StatusCode.OK
-            reader, writer = await asyncio.open_connection("127.0.0.1", made.front.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.front.port)
             writer.write(request())  # a plain HTTP/1.1 client
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 await read_message(reader)
             writer.close()
-            assert (await made.decide(made.proxy.ask())).address
+            assert (await harness.decide(harness.proxy.ask())).address
 
     run(case())
 
 
 def test_many_streams_at_once_all_get_their_decision() -> None:
     async def case() -> None:
-        async with stage() as made:
+        async with stage() as harness:
             # With default limits grpcio itself drops streams beyond 3,000 pending ones.
-            asked = [made.proxy.ask() for _ in range(4000)]
+            exchanges = [harness.proxy.ask() for _ in range(4000)]
             decisions = await asyncio.gather(
-                *(made.decide(one, x_call_id=f"m{number}") for number, one in enumerate(asked))
+                *(harness.decide(one, x_call_id=f"m{number}") for number, one in enumerate(exchanges))
             )
             assert len(decisions) == 4000  # `decide` fails for a stream without an answer
             assert all(one.address or one.status == 503 for one in decisions)
-            for one in asked:
+            for one in exchanges:
                 one.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
+            await until(lambda: harness.front.streams == 0 and harness.is_idle())
 
     run(case())
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -25,16 +25,16 @@
 
 def test_a_tenant_over_its_share_is_told_so_and_others_are_refused() -> None:
     async def case() -> None:
-        async with stage() as made:
-            engine = made.sidecar.engine
+        async with stage() as harness:
+            engine = harness.sidecar.engine
             for over_share, status, reason in ((True, 429, "share"), (False, 503, "harmless")):
                 engine.balancer.handle = lambda now, event, over_share=over_share: (  # type: ignore[method-assign]
                     [Refuse(event.id, 500_000_000, over_share)] if isinstance(event, Request) else []
                 )
-                asked = made.proxy.ask()
-                message = pb.ProcessingRequest(request_headers=headers_message(made.headers()))
-                await asked.call.write(message)
-                answer = (await asked.call.read()).immediate_response
+                exchange = harness.proxy.ask()
+                message = pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
+                await exchange.call.write(message)
+                answer = (await exchange.call.read()).immediate_response
                 assert answer.status.code == status
                 assert reason in answer.details
                 set_headers = {
@@ -48,16 +48,20 @@
 
 def test_the_answer_says_what_came_of_a_token() -> None:
     async def case() -> None:
-        async with stage() as made:
-            first = made.proxy.ask()
-            decision = await made.decide(first)
+        async with stage() as harness:
+            first = harness.proxy.ask()
+            decision = await harness.decide(first)
             first.cancel()
-            await until(made.quiet)
+            await until(harness.is_idle)
             assert decision.checked == ""
-            retried = await made.decide(made.proxy.ask(), **{TOKEN_HEADER: decision.token, ATTEMPTS: "2"})
+            retried = await harness.decide(
+                harness.proxy.ask(), **{TOKEN_HEADER: decision.token, ATTEMPTS: "2"}
+            )
             assert (retried.checked, bool(retried.address)) == ("accepted", True)
-            await until(lambda: made.front.streams <= 1)
-            retried = await made.decide(made.proxy.ask(), x_call_id="c9", **{TOKEN_HEADER: decision.token})
+            await until(lambda: harness.front.streams <= 1)
+            retried = await harness.decide(
+                harness.proxy.ask(), x_call_id="c9", **{TOKEN_HEADER: decision.token}
+            )
             assert retried.status == 502
             assert retried.checked.startswith("rejected: ")
             assert CHECKED not in retried.details
@@ -67,25 +71,29 @@
 
 def test_a_new_table_is_taken_over_and_a_new_address_is_said_to_wait() -> None:
     async def case() -> None:
-        async with stage() as made:
-            front = made.front
-            decision = await made.decide(made.proxy.ask())
+        async with stage() as harness:
+            front = harness.front
+            decision = await harness.decide(harness.proxy.ask())
             await until(lambda: front.streams <= 1)
             old_table = front.table
             new_table = replace(
                 old_table, keys=(b"n" * 16, KEY), valid_ms=77, routes=(Route("check", "/other", ""),)
             )
             front.renew(new_table)
-            asked = made.proxy.ask()
-            headers = made.headers(x_call_id="c2") | {":path": "/other/x"}
+            exchange = harness.proxy.ask()
+            headers = harness.headers(x_call_id="c2") | {":path": "/other/x"}
             del headers["x-call-class"]
-            rerouted = await asked.decide(headers, 10.0)
+            rerouted = await exchange.decide(headers, 10.0)
             assert rerouted is not None
             assert (rerouted.valid_s, bool(rerouted.address)) == (0.077, True)
-            retried = await made.decide(made.proxy.ask(), **{TOKEN_HEADER: decision.token, "x-call-id": "c1"})
+            retried = await harness.decide(
+                harness.proxy.ask(), **{TOKEN_HEADER: decision.token, "x-call-id": "c1"}
+            )
             assert retried.checked == "accepted" or retried.status == 409  # the previous key still verifies
             front.renew(replace(new_table, keys=(b"n" * 16,)))
-            rejected = await made.decide(made.proxy.ask(), x_call_id="c3", **{TOKEN_HEADER: decision.token})
+            rejected = await harness.decide(
+                harness.proxy.ask(), x_call_id="c3", **{TOKEN_HEADER: decision.token}
+            )
             assert rejected.checked.startswith("rejected: ")
 
     run(case())
@@ -124,9 +132,9 @@
 
 def test_a_proxy_that_never_reads_holds_up_nobody_and_no_more_than_its_window() -> None:
     async def case() -> None:
-        async with stage() as made:
-            unread = made.proxy.ask()
-            await unread.call.write(pb.ProcessingRequest(request_headers=headers_message(made.headers())))
+        async with stage() as harness:
+            unread = harness.proxy.ask()
+            await unread.call.write(pb.ProcessingRequest(request_headers=headers_message(harness.headers())))
             body = pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 4000))
             for _ in range(2000):
                 try:
@@ -135,11 +143,11 @@
                 except TimeoutError:
                     break  # HTTP/2 flow control: the processor reads no more of this stream
             for number in range(20):
-                asked = made.proxy.ask()
-                assert (await made.decide(asked, x_call_id=f"o{number}")).address
-                await asked.report({":status": "200"}, 10.0)
+                exchange = harness.proxy.ask()
+                assert (await harness.decide(exchange, x_call_id=f"o{number}")).address
+                await exchange.report({":status": "200"}, 10.0)
             unread.cancel()
-            await until(lambda: made.front.streams == 0 and made.quiet())
+            await until(lambda: harness.front.streams == 0 and harness.is_idle())
 
     run(case())
 
@@ -147,13 +155,13 @@
 @pytest.mark.parametrize("opens", [True, False])
 def test_a_proxy_without_a_processor_fails_as_it_is_set(opens: bool) -> None:
     async def case() -> None:
-        async with stage() as made:
-            peer = made.peers[0]
+        async with stage() as harness:
+            peer = harness.peers[0]
             ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
             open_addresses = (f"127.0.0.1:{peer.port}",) if opens else ()
             ways = Ways(tries=1, message_timeout_s=0.3, fails_open=open_addresses)
-            proxy = Proxy("q", made.front.port, ledger, random.Random(2), ways)
-            await made.front.close(0.0)
+            proxy = Proxy("q", harness.front.port, ledger, random.Random(2), ways)
+            await harness.front.close(0.0)
             await proxy.one("q1")
             await proxy.close()
             sent = ledger.sent["q1"]
--- a/tests/extproc/test_prior.py
+++ b/tests/extproc/test_prior.py
@@ -19,7 +19,7 @@
 )
 from tests.helpers import MS, Driver, S, fleet, of, sends
 
-SAFE, FRAGILE, CELLED, ANYWHERE = range(4)
+SAFE, FRAGILE, CELLED, DEDUP_EVERYWHERE = range(4)
 
 
 def ask_with_prior(prior: Prior, grade: int) -> list[Action]:
@@ -45,7 +45,7 @@
         (CELLED, Prior()),
         (FRAGILE, Prior(endpoint=3, zone=0, cell=1, age=S)),
         (FRAGILE, Prior()),
-        (ANYWHERE, Prior(endpoint=3, zone=0, cell=1, age=S)),
+        (DEDUP_EVERYWHERE, Prior(endpoint=3, zone=0, cell=1, age=S)),
     ],
 )
 def test_what_may_not_be_repeated_is_neither_sent_nor_refused_unless_that_is_harmless(
@@ -53,7 +53,7 @@
 ) -> None:
     actions = ask_with_prior(prior, grade)
     assert not of(actions, Send)
-    if grade == ANYWHERE:  # all servers deduplicate it, so a client's retry after a refusal is safe
+    if grade == DEDUP_EVERYWHERE:  # all servers deduplicate it, so a client's retry after a refusal is safe
         assert of(actions, Refuse)
     else:
         assert of(actions, Fail) and not of(actions, Refuse)
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -76,15 +76,15 @@
 @contextlib.asynccontextmanager
 async def echo(paths: Paths) -> AsyncIterator[Echo]:
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)  # refused handshakes
-    made = await Echo(paths).start()
+    echo_server = await Echo(paths).start()
     try:
-        yield made
+        yield echo_server
     finally:
-        made.server.close()
+        echo_server.server.close()
 
 
-class Line:
-    async def open(self, port: int, context: ssl.SSLContext) -> Line:
+class EchoClient:
+    async def open(self, port: int, context: ssl.SSLContext) -> EchoClient:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port, ssl=context)
         return self
 
@@ -101,13 +101,13 @@
 
 async def echoes(port: int, context: ssl.SSLContext) -> bool:
     try:
-        line = await Line().open(port, context)
+        client = await EchoClient().open(port, context)
     except OSError:
         return False
     try:
-        return await line.echoes()
+        return await client.echoes()
     finally:
-        line.writer.close()
+        client.writer.close()
 
 
 def test_a_rotation_drops_no_connection_and_the_next_handshake_has_the_new_certificate(
@@ -115,12 +115,12 @@
 ) -> None:
     async def case() -> None:
         keys = Keys(tmp_path)
-        async with echo(keys.paths()) as made:
-            before = await Line().open(made.port, keys.client())
+        async with echo(keys.paths()) as echo_server:
+            before = await EchoClient().open(echo_server.port, keys.client())
             assert await before.echoes()
             keys.issue()
-            made.keyring.look()
-            after = await Line().open(made.port, keys.client())
+            echo_server.keyring.look()
+            after = await EchoClient().open(echo_server.port, keys.client())
             assert await after.echoes() and await before.echoes()
             assert before.serial() != after.serial()
             assert after.serial() == certificate_facts(load_certificates(keys.path("server.pem"))[0]).serial
@@ -131,19 +131,19 @@
 def test_old_and_new_authority_hold_side_by_side_until_the_old_one_is_taken_out(tmp_path: Path) -> None:
     async def case() -> None:
         keys = Keys(tmp_path)
-        async with echo(keys.paths()) as made:
+        async with echo(keys.paths()) as echo_server:
             old = keys.client()
             keys.authority.rotate("petrel 2")
-            made.keyring.look()
-            assert await echoes(made.port, old)
+            echo_server.keyring.look()
+            assert await echoes(echo_server.port, old)
             keys.issue()
-            made.keyring.look()
-            assert await echoes(made.port, keys.client())
+            echo_server.keyring.look()
+            assert await echoes(echo_server.port, keys.client())
             (tmp_path / "authorities.pem").write_bytes((tmp_path / "authority.pem").read_bytes())
-            made.keyring.look()
-            assert await echoes(made.port, keys.client())
+            echo_server.keyring.look()
+            assert await echoes(echo_server.port, keys.client())
             old.load_verify_locations(cafile=keys.path("authority.pem"))
-            assert not await echoes(made.port, old)
+            assert not await echoes(echo_server.port, old)
 
     run(case())
 
@@ -153,13 +153,13 @@
         keys = Keys(tmp_path / "ours")
         other = Keys(tmp_path / "theirs")
         keys.authority.issue("stranger", ["gate.z.example"], 90)
-        async with echo(keys.paths()) as made:
-            assert await echoes(made.port, keys.client())
-            assert not await echoes(made.port, keys.client(None))
-            assert not await echoes(made.port, keys.client(folder=other.folder))
-            assert not await echoes(made.port, keys.client("stranger"))
-            assert made.keyring.refused == 1
-            assert any("not a peer: certificate names gate.z.example" in line for line in made.log)
+        async with echo(keys.paths()) as echo_server:
+            assert await echoes(echo_server.port, keys.client())
+            assert not await echoes(echo_server.port, keys.client(None))
+            assert not await echoes(echo_server.port, keys.client(folder=other.folder))
+            assert not await echoes(echo_server.port, keys.client("stranger"))
+            assert echo_server.keyring.refused == 1
+            assert any("not a peer: certificate names gate.z.example" in line for line in echo_server.log)
 
     run(case())
 
@@ -168,13 +168,13 @@
     async def case() -> None:
         keys = Keys(tmp_path)
         keys.authority.revoke([], 90)
-        async with echo(keys.paths(revoked=keys.path("revoked.pem"))) as made:
-            assert await echoes(made.port, keys.client())
+        async with echo(keys.paths(revoked=keys.path("revoked.pem"))) as echo_server:
+            assert await echoes(echo_server.port, keys.client())
             keys.authority.revoke(
                 [certificate_facts(load_certificates(keys.path("client.pem"))[0]).serial], 90
             )
-            made.keyring.look()
-            assert not await echoes(made.port, keys.client())
+            echo_server.keyring.look()
+            assert not await echoes(echo_server.port, keys.client())
 
     run(case())
 
@@ -184,13 +184,13 @@
 ) -> None:
     async def case() -> None:
         keys = Keys(tmp_path)
-        async with echo(keys.paths()) as made:
+        async with echo(keys.paths()) as echo_server:
             now = keyrings.time.time()
             monkeypatch.setattr(keyrings.time, "time", lambda: now + 91 * DAY_S)
-            made.keyring.look()
-            assert not await echoes(made.port, keys.client())
-            assert made.keyring.refused == 1
-            assert any("handshakes are refused" in line for line in made.log)
+            echo_server.keyring.look()
+            assert not await echoes(echo_server.port, keys.client())
+            assert echo_server.keyring.refused == 1
+            assert any("handshakes are refused" in line for line in echo_server.log)
             monkeypatch.undo()
 
     run(case())
@@ -200,14 +200,14 @@
 def test_what_cannot_be_used_is_told_and_the_old_files_stay_in_use(name: str, tmp_path: Path) -> None:
     async def case() -> None:
         keys = Keys(tmp_path)
-        async with echo(keys.paths()) as made:
+        async with echo(keys.paths()) as echo_server:
             context = keys.client()
             (tmp_path / name).write_text("none")
-            made.keyring.look()
-            assert sum("the previous ones stay in use" in line for line in made.log) == 1
-            made.keyring.look()  # logged once per change
-            assert len(made.log) == 1
-            assert await echoes(made.port, context)
+            echo_server.keyring.look()
+            assert sum("the previous ones stay in use" in line for line in echo_server.log) == 1
+            echo_server.keyring.look()  # logged once per change
+            assert len(echo_server.log) == 1
+            assert await echoes(echo_server.port, context)
 
     run(case())
 
@@ -228,8 +228,8 @@
     async def case() -> None:
         keys = Keys(tmp_path)
         keyring = Keyring(keys.paths(), ["h2"], lambda text: None)
-        async with stage(ok) as made:
-            parts = made.sidecar.engine, made.front.transport, made.sidecar.listener.classes
+        async with stage(ok) as harness:
+            parts = harness.sidecar.engine, harness.front.transport, harness.sidecar.listener.classes
             front = Front(Grpc(routes=ROUTES), *parts, keyring.context, keyring.admits)
             await front.start(("127.0.0.1", 0))
             authorities = (tmp_path / "authorities.pem").read_bytes()
