--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -39,9 +39,8 @@
         self.protocols = protocols
         self.log = log
         self.expiry_log = ExpiryLog()
-        self.refused = (
-            0  # handshakes refused because the certificate isn't valid, and clients that are not peers
-        )
+        # handshakes refused because the certificate isn't valid, and clients that are not peers
+        self.refused = 0
         self.current_context, self.certificate = self._load(paths)
         self.loaded_stamps = self._file_stamps()
         self.context = self.current_context
