--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -208,7 +208,9 @@
         self.engine = engine
         self.transport = transport
         self.classes = classes
-        max_deadline = max((request_class.deadline for request_class in engine.settings.request_classes), default=0)
+        max_deadline = max(
+            (request_class.deadline for request_class in engine.settings.request_classes), default=0
+        )
         self.token_signer = TokenSigner(table.keys, max_deadline // MS)
         self.streams = 0
         self.refused_early = 0
--- a/tests/extproc/test_prior.py
+++ b/tests/extproc/test_prior.py
@@ -40,7 +40,10 @@
 @pytest.mark.parametrize(
     ("grade", "prior"),
     [
-        (CELLED, PriorAttempt(endpoint=3, zone=0, cell=1, age=3 * S)),  # past the deduplication window of the cell
+        (
+            CELLED,
+            PriorAttempt(endpoint=3, zone=0, cell=1, age=3 * S),
+        ),  # past the deduplication window of the cell
         (CELLED, PriorAttempt(endpoint=3, zone=0, cell=77, age=S)),  # no server of that cell is left
         (CELLED, PriorAttempt()),
         (FRAGILE, PriorAttempt(endpoint=3, zone=0, cell=1, age=S)),
