--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -138,7 +138,7 @@
     world.change(Z, n1=fact(A, born=1, started=100))
     assert world.change(Z, n1=fact(A, born=1, started=100)) == []
     # The same start, converted with a slightly different clock offset.
-    (resized,) = world.change(Z, n1=fact(A, born=1, started=101, units=2.0))
+    (resized,) = world.change(Z, n1=fact(A, born=1, started=101, relative_capacity=2.0))
     assert (resized.entry.started, resized.entry.relative_capacity) == (100, 2.0)
 
 
