--- a/benchmarks/registries.py
+++ b/benchmarks/registries.py
@@ -14,7 +14,7 @@
 
 from garnethaven.config import Config
 from garnethaven.interface import Endpoint, ListKind
-from garnethaven.membership.catchup import CatchUp, Entry, Tell
+from garnethaven.membership.catchup import CatchUp, Entry, ReportChanges
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.etcd.source import EtcdSource
 from garnethaven.membership.merger import Merger
@@ -113,14 +113,14 @@
     merger = Merger(Model(("etcd",)), loop, lambda kind, changed: told.append(len(changed)))
     core.opened()
     first = core.snapshot(1, {f"n{n}": Entry(value(n, 0), 1, 1) for n in range(size)}, True)[0]
-    assert isinstance(first, Tell)
+    assert isinstance(first, ReportChanges)
     merger.change("etcd", entries.take(first, 1))
     merger.flush()
     began = time.process_time()
     for number in range(CHANGES):
         at = number + 2
         (order,) = core.changes(at, [(f"n{number % size}", Entry(value(number % size, at), 1, at))])
-        assert isinstance(order, Tell)
+        assert isinstance(order, ReportChanges)
         merger.model.change("etcd", entries.take(order, at), 0.0)
         merger.flush()
     spent = time.process_time() - began
--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class ReportChanges:
     """Report changed keys; None: removed."""
 
     entries: Mapping[str, Entry | None]
@@ -120,7 +120,7 @@
     good: bool
 
 
-Order = Read | Watch | Tell | Contact
+Order = Read | Watch | ReportChanges | Contact
 
 CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
@@ -172,7 +172,7 @@
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
         self.standing = SyncState.FOLLOWING
-        return [Tell(changed, whole=True), Contact(True), Watch(revision)]
+        return [ReportChanges(changed, whole=True), Contact(True), Watch(revision)]
 
     def watching(self, current_revision: int) -> list[Order]:
         """A watch was opened when the registry was at `current_revision`."""
@@ -195,7 +195,7 @@
             elif entry.modified > self.revision and (key in self.entries or len(self.entries) < ENTRIES_MOST):
                 self.entries[key] = reported[key] = entry
         self.revision = revision
-        return [Tell(reported), *self._check_caught_up()] if reported else self._check_caught_up()
+        return [ReportChanges(reported), *self._check_caught_up()] if reported else self._check_caught_up()
 
     def quiet(self, revision: int) -> list[Order]:
         """There are no further changes up to a revision: the copy is up to date."""
@@ -253,7 +253,7 @@
         self.creations: dict[str, tuple[int, int]] = {}
         self.has_snapshot = False
 
-    def update(self, changes: Tell, wall_ms: int) -> dict[str, Value | None]:
+    def update(self, changes: ReportChanges, wall_ms: int) -> dict[str, Value | None]:
         """The parsed value of each key that changed; None: it was removed, or its value is unusable."""
         parsed: dict[str, Value | None] = {}
         for key, entry in changes.entries.items():
--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from garnethaven.membership.catchup import CreationTracker, Entry, Tell
+from garnethaven.membership.catchup import CreationTracker, Entry, ReportChanges
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import Payload, PayloadError
 
@@ -26,7 +26,7 @@
         self.logged_versions: dict[tuple[str, int], None] = {}  # key and revision, oldest first
         self.unlogged: list[str] = []  # messages that are not logged yet
 
-    def take(self, changes: Tell, wall_ms: int) -> dict[str, Fact | None]:
+    def take(self, changes: ReportChanges, wall_ms: int) -> dict[str, Fact | None]:
         """The facts of the changed keys; None: the key was removed or its value is unusable."""
         facts = self.creations.update(changes, wall_ms)
         return {self.prefix + key: fact for key, fact in facts.items()}
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -14,7 +14,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.membership.announcing import Announcing
-from garnethaven.membership.catchup import CatchUp, Contact, Order, Tell
+from garnethaven.membership.catchup import CatchUp, Contact, Order, ReportChanges
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
@@ -187,7 +187,7 @@
         """Execute the orders that need no endpoint and return the others."""
         remaining: list[Order] = []
         for order in orders:
-            if isinstance(order, Tell):
+            if isinstance(order, ReportChanges):
                 self._publish(order)
             elif isinstance(order, Contact):
                 self.telling.contact(order.good)
@@ -195,7 +195,7 @@
                 remaining.append(order)
         return remaining
 
-    def _publish(self, update: Tell) -> None:
+    def _publish(self, update: ReportChanges) -> None:
         facts = self.entries.take(update, self.telling.wall_ms())
         if update.whole:
             facts = self.telling.left_over(facts) | facts
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -16,8 +16,8 @@
     Names,
     Order,
     Read,
+    ReportChanges,
     SyncState,
-    Tell,
     Watch,
 )
 
@@ -69,7 +69,7 @@
             if not pending:
                 return
             order = pending.pop(0)
-            if isinstance(order, Tell):
+            if isinstance(order, ReportChanges):
                 for key, entry in order.entries.items():
                     if entry is None:
                         del self.reported[key]  # the removal of an unreported key is an error
@@ -211,8 +211,8 @@
     core.lost()
     core.opened()
     assert core.watching(12) == []
-    assert core.changes(11, [("a", None)]) == [Tell({"a": None})]
-    assert core.changes(12, [("b", entry(12))]) == [Tell({"b": entry(12)}), Contact(True)]
+    assert core.changes(11, [("a", None)]) == [ReportChanges({"a": None})]
+    assert core.changes(12, [("b", entry(12))]) == [ReportChanges({"b": entry(12)}), Contact(True)]
 
 
 def test_history_that_is_gone_is_replaced_by_a_proven_read_and_absence_is_an_end() -> None:
@@ -221,7 +221,7 @@
     core.opened()
     assert core.compacted() == [Read(proven=True)]
     report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
-    assert report == Tell({"a": None, "c": entry(15)}, whole=True)
+    assert report == ReportChanges({"a": None, "c": entry(15)}, whole=True)
     assert (contact, watch) == (Contact(True), Watch(20))
 
 
@@ -236,7 +236,7 @@
 def test_a_history_that_began_anew_is_believed_when_it_is_proven() -> None:
     core = followed(False, a=entry(3), b=entry(4))
     report = core.snapshot(6, {"b": entry(4)}, proven=True)[0]
-    assert report == Tell({"a": None}, whole=True)
+    assert report == ReportChanges({"a": None}, whole=True)
     assert (core.revision, core.began_anew) == (6, 1)
 
 
@@ -253,7 +253,7 @@
 def test_a_key_removed_and_put_back_in_one_answer_is_told_as_its_new_life() -> None:
     core = followed(a=entry(3))
     orders = core.changes(12, [("a", None), ("a", entry(12))])
-    assert orders == [Tell({"a": entry(12)})]
+    assert orders == [ReportChanges({"a": entry(12)})]
     assert core.changes(13, [("z", None)]) == []  # a key that was never reported
 
 
@@ -283,17 +283,17 @@
     core = followed(**{name: entry(n + 1) for n, name in enumerate("edcba")})
     assert (sorted(core.entries), core.left_out) == (["a", "b", "c"], 2)
     assert core.changes(11, [("f", entry(11))]) == []
-    assert core.changes(12, [("a", None), ("f", entry(12))]) == [Tell({"a": None, "f": entry(12)})]
+    assert core.changes(12, [("a", None), ("f", entry(12))]) == [ReportChanges({"a": None, "f": entry(12)})]
 
 
 def test_since_when_a_life_is_known() -> None:
     tracker: CreationTracker[int] = CreationTracker(lambda key, entry, since_ms: since_ms)
-    assert tracker.update(Tell({"a": entry(3)}, whole=True), 1000) == {"a": 0}  # of unknown age
-    assert tracker.update(Tell({"b": entry(11)}), 2000) == {"b": 2000}
-    assert tracker.update(Tell({"b": entry(11, 12), "a": entry(3, 13)}), 3000) == {"b": 2000, "a": 0}
-    assert tracker.update(Tell({"a": entry(14)}), 4000) == {"a": 4000}  # removed and created again
-    assert tracker.update(Tell({"a": None}), 5000) == {"a": None}
-    assert tracker.update(Tell({"a": entry(14)}), 6000) == {"a": 6000}
+    assert tracker.update(ReportChanges({"a": entry(3)}, whole=True), 1000) == {"a": 0}  # of unknown age
+    assert tracker.update(ReportChanges({"b": entry(11)}), 2000) == {"b": 2000}
+    assert tracker.update(ReportChanges({"b": entry(11, 12), "a": entry(3, 13)}), 3000) == {"b": 2000, "a": 0}
+    assert tracker.update(ReportChanges({"a": entry(14)}), 4000) == {"a": 4000}  # removed and created again
+    assert tracker.update(ReportChanges({"a": None}), 5000) == {"a": None}
+    assert tracker.update(ReportChanges({"a": entry(14)}), 6000) == {"a": 6000}
 
 
 # Registries that answer for one name at a time
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from garnethaven.limits.budgets import ANSWER_MEMORY_SHARE, MB, MIN_LIST_BYTES, max_list_bytes
-from garnethaven.membership.catchup import Entry, Tell
+from garnethaven.membership.catchup import Entry, ReportChanges
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.model import Model
 from garnethaven.membership.payloads import Payload, Rules
@@ -229,7 +229,9 @@
 
 def test_each_of_eleven_hundred_bad_entries_of_a_registry_is_told_of_once() -> None:
     entries = Entries("", Payload(Rules(), {}, {}, lambda wall_ms: wall_ms))
-    bad = Tell({f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True)
+    bad = ReportChanges(
+        {f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True
+    )
     for _ in range(2):  # as after a reconnect, which reads all of them again
         entries.take(bad, 0)
     assert entries.flaws.total() == SERVERS
