--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -120,7 +120,7 @@
     good: bool
 
 
-Order = Read | Watch | ReportChanges | Contact
+SyncAction = Read | Watch | ReportChanges | Contact
 
 CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
@@ -143,21 +143,21 @@
 
     # Contact
 
-    def opened(self) -> list[Order]:
+    def opened(self) -> list[SyncAction]:
         """A connection to an endpoint is open."""
         if self.standing is SyncState.READING:
             return [Read()]
         self.standing = SyncState.CATCHING_UP
         return [Watch(self.revision)] if self.keeps_history else [Read()]
 
-    def lost(self) -> list[Order]:
+    def lost(self) -> list[SyncAction]:
         if self.standing is not SyncState.READING:
             self.standing = SyncState.BROKEN
         return [Contact(False)]
 
     # Answers
 
-    def snapshot(self, revision: int, entries: Mapping[str, Entry], proven: bool) -> list[Order]:
+    def snapshot(self, revision: int, entries: Mapping[str, Entry], proven: bool) -> list[SyncAction]:
         """A snapshot of the registry as of a revision."""
         if revision < self.revision:
             if not proven:
@@ -174,7 +174,7 @@
         self.standing = SyncState.FOLLOWING
         return [ReportChanges(changed, whole=True), Contact(True), Watch(revision)]
 
-    def watching(self, current_revision: int) -> list[Order]:
+    def watching(self, current_revision: int) -> list[SyncAction]:
         """A watch was opened when the registry was at `current_revision`."""
         if self.standing not in CONNECTED_STATES:
             return []
@@ -183,7 +183,7 @@
         self.gap_end = current_revision
         return self._check_caught_up()
 
-    def changes(self, revision: int, entries: Iterable[tuple[str, Entry | None]]) -> list[Order]:
+    def changes(self, revision: int, entries: Iterable[tuple[str, Entry | None]]) -> list[SyncAction]:
         """All changes since the last event, up to a revision, in the order in which they happened."""
         if self.standing not in CONNECTED_STATES or revision <= self.revision:
             return []
@@ -197,7 +197,7 @@
         self.revision = revision
         return [ReportChanges(reported), *self._check_caught_up()] if reported else self._check_caught_up()
 
-    def quiet(self, revision: int) -> list[Order]:
+    def quiet(self, revision: int) -> list[SyncAction]:
         """There are no further changes up to a revision: the copy is up to date."""
         if self.standing not in CONNECTED_STATES:
             return []
@@ -206,19 +206,19 @@
         self.revision = revision
         return self._check_caught_up()
 
-    def compacted(self) -> list[Order]:
+    def compacted(self) -> list[SyncAction]:
         """The registry no longer has the changes after the revision of the copy."""
         self.standing = SyncState.CATCHING_UP
         return [Read(proven=True)]
 
-    def doubted(self) -> list[Order]:
+    def doubted(self) -> list[SyncAction]:
         """An answer came from an endpoint that has had no contact with its leader for too long."""
         if self.standing is SyncState.READING:
             return [Read(proven=True)]
         self.standing = SyncState.UNCERTAIN
         return [Contact(False), Read(proven=True)]
 
-    def _handle_outdated(self) -> list[Order]:
+    def _handle_outdated(self) -> list[SyncAction]:
         """An answer was older than the copy: the endpoint lags, or the registry's history restarted.
 
         Only a proven answer can distinguish the two.
@@ -227,7 +227,7 @@
         self.standing = SyncState.UNCERTAIN
         return [Contact(False), Read(proven=True)]
 
-    def _check_caught_up(self) -> list[Order]:
+    def _check_caught_up(self) -> list[SyncAction]:
         if self.standing is SyncState.CATCHING_UP and self.revision >= self.gap_end:
             self.standing = SyncState.FOLLOWING
             return [Contact(True)]
--- a/garnethaven/membership/consul/source.py
+++ b/garnethaven/membership/consul/source.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, Order, Read, Watch
+from garnethaven.membership.catchup import CatchUp, Read, SyncAction, Watch
 from garnethaven.membership.consul.answers import AgentAnswer, Trust
 from garnethaven.membership.consul.client import Agent
 from garnethaven.membership.consul.registration import ServiceRegistration
@@ -54,7 +54,7 @@
         finally:
             await agent.close()
 
-    def _accept(self, catch_up: CatchUp, answer: AgentAnswer) -> list[Order]:
+    def _accept(self, catch_up: CatchUp, answer: AgentAnswer) -> list[SyncAction]:
         if answer.trust is Trust.DOUBTFUL:
             return catch_up.doubted()
         return catch_up.snapshot(answer.index, answer.entries, proven=answer.trust is Trust.PROVEN)
--- a/garnethaven/membership/etcd/answers.py
+++ b/garnethaven/membership/etcd/answers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnethaven.membership.catchup import CatchUp, Entry, Order
+from garnethaven.membership.catchup import CatchUp, Entry, SyncAction
 from garnethaven.membership.payloads import MAX_PAYLOAD_BYTES
 
 DELETE = 1
@@ -28,7 +28,7 @@
         self.fragments: list[Any] = []
         self.created = False
 
-    def take(self, answer: Any) -> list[Order]:
+    def take(self, answer: Any) -> list[SyncAction]:
         """The orders that follow from an answer; raises WatchEnded."""
         if answer.canceled:
             if answer.compact_revision:
--- a/garnethaven/membership/etcd/source.py
+++ b/garnethaven/membership/etcd/source.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, Order, Read, Watch
+from garnethaven.membership.catchup import CatchUp, Read, SyncAction, Watch
 from garnethaven.membership.etcd.answers import WatchAnswers, WatchEnded, entry_of
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired, WatchStream
 from garnethaven.membership.etcd.registration import LeasedKey
@@ -73,7 +73,7 @@
 
     async def _watch(
         self, settings: Etcd, catch_up: CatchUp, member: MemberClient, after: int
-    ) -> list[Order]:
+    ) -> list[SyncAction]:
         """Apply changes until other orders follow, and return those; raises what ended the watch."""
         stream = WatchStream(member, settings.prefix, after)
         answers = WatchAnswers(catch_up, self._name)
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -14,7 +14,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.membership.announcing import Announcing
-from garnethaven.membership.catchup import CatchUp, Contact, Order, ReportChanges
+from garnethaven.membership.catchup import CatchUp, Contact, ReportChanges, SyncAction
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
@@ -183,9 +183,9 @@
         age = self.telling.age_s()
         self.telling.say("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
 
-    def carry_out(self, orders: list[Order]) -> list[Order]:
+    def carry_out(self, orders: list[SyncAction]) -> list[SyncAction]:
         """Execute the orders that need no endpoint and return the others."""
-        remaining: list[Order] = []
+        remaining: list[SyncAction] = []
         for order in orders:
             if isinstance(order, ReportChanges):
                 self._publish(order)
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -14,9 +14,9 @@
     CreationTracker,
     Entry,
     Names,
-    Order,
     Read,
     ReportChanges,
+    SyncAction,
     SyncState,
     Watch,
 )
@@ -62,7 +62,7 @@
         self.lagging_revision: int | None = None  # the next unproven answer has this old revision
         self.good = False
 
-    def execute(self, orders: list[Order]) -> None:
+    def execute(self, orders: list[SyncAction]) -> None:
         registry = self.registry
         pending = list(orders)
         for _ in range(20):
