--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -114,13 +114,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Contact:
+class ReportContact:
     """Report whether the copy is up to date (`good`) or may lack changes."""
 
     good: bool
 
 
-SyncAction = Read | Watch | ReportChanges | Contact
+SyncAction = Read | Watch | ReportChanges | ReportContact
 
 CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
@@ -153,7 +153,7 @@
     def lost(self) -> list[SyncAction]:
         if self.standing is not SyncState.READING:
             self.standing = SyncState.BROKEN
-        return [Contact(False)]
+        return [ReportContact(False)]
 
     # Answers
 
@@ -172,7 +172,7 @@
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
         self.standing = SyncState.FOLLOWING
-        return [ReportChanges(changed, whole=True), Contact(True), Watch(revision)]
+        return [ReportChanges(changed, whole=True), ReportContact(True), Watch(revision)]
 
     def watching(self, current_revision: int) -> list[SyncAction]:
         """A watch was opened when the registry was at `current_revision`."""
@@ -216,7 +216,7 @@
         if self.standing is SyncState.READING:
             return [Read(proven=True)]
         self.standing = SyncState.UNCERTAIN
-        return [Contact(False), Read(proven=True)]
+        return [ReportContact(False), Read(proven=True)]
 
     def _handle_outdated(self) -> list[SyncAction]:
         """An answer was older than the copy: the endpoint lags, or the registry's history restarted.
@@ -225,12 +225,12 @@
         """
         self.behind += 1
         self.standing = SyncState.UNCERTAIN
-        return [Contact(False), Read(proven=True)]
+        return [ReportContact(False), Read(proven=True)]
 
     def _check_caught_up(self) -> list[SyncAction]:
         if self.standing is SyncState.CATCHING_UP and self.revision >= self.gap_end:
             self.standing = SyncState.FOLLOWING
-            return [Contact(True)]
+            return [ReportContact(True)]
         return []
 
 
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -14,7 +14,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.membership.announcing import Announcing
-from garnethaven.membership.catchup import CatchUp, Contact, ReportChanges, SyncAction
+from garnethaven.membership.catchup import CatchUp, ReportChanges, ReportContact, SyncAction
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
@@ -189,7 +189,7 @@
         for order in orders:
             if isinstance(order, ReportChanges):
                 self._publish(order)
-            elif isinstance(order, Contact):
+            elif isinstance(order, ReportContact):
                 self.telling.contact(order.good)
             else:
                 remaining.append(order)
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -10,12 +10,12 @@
 from garnethaven.membership import catchup
 from garnethaven.membership.catchup import (
     CatchUp,
-    Contact,
     CreationTracker,
     Entry,
     Names,
     Read,
     ReportChanges,
+    ReportContact,
     SyncAction,
     SyncState,
     Watch,
@@ -75,7 +75,7 @@
                         del self.reported[key]  # the removal of an unreported key is an error
                     else:
                         self.reported[key] = entry
-            elif isinstance(order, Contact):
+            elif isinstance(order, ReportContact):
                 self.good = order.good
             elif isinstance(order, Read):
                 at, entries = registry.revision, registry.entries
@@ -199,8 +199,8 @@
 
 def test_a_break_takes_nothing_away_however_long() -> None:
     core = followed(a=entry(3))
-    assert core.lost() == [Contact(False)]
-    assert core.lost() == [Contact(False)]
+    assert core.lost() == [ReportContact(False)]
+    assert core.lost() == [ReportContact(False)]
     assert set(core.entries) == {"a"}
     assert core.opened() == [Watch(10)]
     assert core.standing is SyncState.CATCHING_UP
@@ -212,7 +212,7 @@
     core.opened()
     assert core.watching(12) == []
     assert core.changes(11, [("a", None)]) == [ReportChanges({"a": None})]
-    assert core.changes(12, [("b", entry(12))]) == [ReportChanges({"b": entry(12)}), Contact(True)]
+    assert core.changes(12, [("b", entry(12))]) == [ReportChanges({"b": entry(12)}), ReportContact(True)]
 
 
 def test_history_that_is_gone_is_replaced_by_a_proven_read_and_absence_is_an_end() -> None:
@@ -222,12 +222,12 @@
     assert core.compacted() == [Read(proven=True)]
     report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
     assert report == ReportChanges({"a": None, "c": entry(15)}, whole=True)
-    assert (contact, watch) == (Contact(True), Watch(20))
+    assert (contact, watch) == (ReportContact(True), Watch(20))
 
 
 def test_an_unproven_answer_from_behind_is_not_believed_either_way() -> None:
     core = followed(False, a=entry(3))
-    assert core.snapshot(9, {"b": entry(2)}, proven=False) == [Contact(False), Read(proven=True)]
+    assert core.snapshot(9, {"b": entry(2)}, proven=False) == [ReportContact(False), Read(proven=True)]
     assert core.standing is SyncState.UNCERTAIN
     assert set(core.entries) == {"a"}
     assert core.behind == 1
@@ -244,10 +244,10 @@
     core = followed(a=entry(3))
     core.lost()
     core.opened()
-    assert core.watching(9) == [Contact(False), Read(proven=True)]
+    assert core.watching(9) == [ReportContact(False), Read(proven=True)]
     assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
-    assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [Contact(True), Watch(11)]
-    assert core.quiet(8) == [Contact(False), Read(proven=True)]
+    assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [ReportContact(True), Watch(11)]
+    assert core.quiet(8) == [ReportContact(False), Read(proven=True)]
 
 
 def test_a_key_removed_and_put_back_in_one_answer_is_told_as_its_new_life() -> None:
