--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class ReadSnapshot:
     """Read a snapshot of the registry; `proven`: confirmed by the registry's leader."""
 
     proven: bool = False
@@ -120,7 +120,7 @@
     good: bool
 
 
-SyncAction = Read | Watch | ReportChanges | ReportContact
+SyncAction = ReadSnapshot | Watch | ReportChanges | ReportContact
 
 CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
@@ -146,9 +146,9 @@
     def opened(self) -> list[SyncAction]:
         """A connection to an endpoint is open."""
         if self.standing is SyncState.READING:
-            return [Read()]
+            return [ReadSnapshot()]
         self.standing = SyncState.CATCHING_UP
-        return [Watch(self.revision)] if self.keeps_history else [Read()]
+        return [Watch(self.revision)] if self.keeps_history else [ReadSnapshot()]
 
     def lost(self) -> list[SyncAction]:
         if self.standing is not SyncState.READING:
@@ -209,14 +209,14 @@
     def compacted(self) -> list[SyncAction]:
         """The registry no longer has the changes after the revision of the copy."""
         self.standing = SyncState.CATCHING_UP
-        return [Read(proven=True)]
+        return [ReadSnapshot(proven=True)]
 
     def doubted(self) -> list[SyncAction]:
         """An answer came from an endpoint that has had no contact with its leader for too long."""
         if self.standing is SyncState.READING:
-            return [Read(proven=True)]
+            return [ReadSnapshot(proven=True)]
         self.standing = SyncState.UNCERTAIN
-        return [ReportContact(False), Read(proven=True)]
+        return [ReportContact(False), ReadSnapshot(proven=True)]
 
     def _handle_outdated(self) -> list[SyncAction]:
         """An answer was older than the copy: the endpoint lags, or the registry's history restarted.
@@ -225,7 +225,7 @@
         """
         self.behind += 1
         self.standing = SyncState.UNCERTAIN
-        return [ReportContact(False), Read(proven=True)]
+        return [ReportContact(False), ReadSnapshot(proven=True)]
 
     def _check_caught_up(self) -> list[SyncAction]:
         if self.standing is SyncState.CATCHING_UP and self.revision >= self.gap_end:
--- a/garnethaven/membership/consul/source.py
+++ b/garnethaven/membership/consul/source.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, Read, SyncAction, Watch
+from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, Watch
 from garnethaven.membership.consul.answers import AgentAnswer, Trust
 from garnethaven.membership.consul.client import Agent
 from garnethaven.membership.consul.registration import ServiceRegistration
@@ -47,7 +47,7 @@
                 started_at = self.loop.time()
                 index = order.after if isinstance(order, Watch) else 0
                 self.queries += 1
-                answer = await agent.entries(index, isinstance(order, Read) and order.proven)
+                answer = await agent.entries(index, isinstance(order, ReadSnapshot) and order.proven)
                 pending_orders = self.carry_out(self._accept(catch_up, answer))
                 if self.loop.time() - started_at < MIN_QUERY_INTERVAL_S:
                     await asyncio.sleep(MIN_QUERY_INTERVAL_S)
--- a/garnethaven/membership/etcd/source.py
+++ b/garnethaven/membership/etcd/source.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, Read, SyncAction, Watch
+from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, Watch
 from garnethaven.membership.etcd.answers import WatchAnswers, WatchEnded, entry_of
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired, WatchStream
 from garnethaven.membership.etcd.registration import LeasedKey
@@ -61,7 +61,7 @@
         pending_orders = catch_up.opened()
         while pending_orders:
             order = pending_orders.pop(0)
-            if isinstance(order, Read):
+            if isinstance(order, ReadSnapshot):
                 self.reads += 1
                 answer = await member.range(settings.prefix)
                 entries = {self._name(kv.key): entry_of(kv) for kv in answer.kvs}
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -13,7 +13,7 @@
     CreationTracker,
     Entry,
     Names,
-    Read,
+    ReadSnapshot,
     ReportChanges,
     ReportContact,
     SyncAction,
@@ -77,7 +77,7 @@
                         self.reported[key] = entry
             elif isinstance(order, ReportContact):
                 self.good = order.good
-            elif isinstance(order, Read):
+            elif isinstance(order, ReadSnapshot):
                 at, entries = registry.revision, registry.entries
                 if self.lagging_revision is not None and not order.proven:
                     at, entries = self.lagging_revision, registry.snapshots.get(self.lagging_revision, {})
@@ -192,7 +192,7 @@
 
 def followed(keeps_history: bool = True, **entries: Entry) -> CatchUp:
     core = CatchUp(keeps_history)
-    assert core.opened() == [Read()]
+    assert core.opened() == [ReadSnapshot()]
     core.snapshot(10, entries, proven=True)
     return core
 
@@ -219,7 +219,7 @@
     core = followed(a=entry(3), b=entry(4))
     core.lost()
     core.opened()
-    assert core.compacted() == [Read(proven=True)]
+    assert core.compacted() == [ReadSnapshot(proven=True)]
     report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
     assert report == ReportChanges({"a": None, "c": entry(15)}, whole=True)
     assert (contact, watch) == (ReportContact(True), Watch(20))
@@ -227,7 +227,10 @@
 
 def test_an_unproven_answer_from_behind_is_not_believed_either_way() -> None:
     core = followed(False, a=entry(3))
-    assert core.snapshot(9, {"b": entry(2)}, proven=False) == [ReportContact(False), Read(proven=True)]
+    assert core.snapshot(9, {"b": entry(2)}, proven=False) == [
+        ReportContact(False),
+        ReadSnapshot(proven=True),
+    ]
     assert core.standing is SyncState.UNCERTAIN
     assert set(core.entries) == {"a"}
     assert core.behind == 1
@@ -244,10 +247,10 @@
     core = followed(a=entry(3))
     core.lost()
     core.opened()
-    assert core.watching(9) == [ReportContact(False), Read(proven=True)]
+    assert core.watching(9) == [ReportContact(False), ReadSnapshot(proven=True)]
     assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
     assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [ReportContact(True), Watch(11)]
-    assert core.quiet(8) == [ReportContact(False), Read(proven=True)]
+    assert core.quiet(8) == [ReportContact(False), ReadSnapshot(proven=True)]
 
 
 def test_a_key_removed_and_put_back_in_one_answer_is_told_as_its_new_life() -> None:
