--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class WatchChanges:
     """Request all changes after a revision."""
 
     after: int
@@ -120,7 +120,7 @@
     good: bool
 
 
-SyncAction = ReadSnapshot | Watch | ReportChanges | ReportContact
+SyncAction = ReadSnapshot | WatchChanges | ReportChanges | ReportContact
 
 CONNECTED_STATES = (SyncState.FOLLOWING, SyncState.CATCHING_UP)
 
@@ -148,7 +148,7 @@
         if self.standing is SyncState.READING:
             return [ReadSnapshot()]
         self.standing = SyncState.CATCHING_UP
-        return [Watch(self.revision)] if self.keeps_history else [ReadSnapshot()]
+        return [WatchChanges(self.revision)] if self.keeps_history else [ReadSnapshot()]
 
     def lost(self) -> list[SyncAction]:
         if self.standing is not SyncState.READING:
@@ -172,7 +172,7 @@
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
         self.standing = SyncState.FOLLOWING
-        return [ReportChanges(changed, whole=True), ReportContact(True), Watch(revision)]
+        return [ReportChanges(changed, whole=True), ReportContact(True), WatchChanges(revision)]
 
     def watching(self, current_revision: int) -> list[SyncAction]:
         """A watch was opened when the registry was at `current_revision`."""
--- a/garnethaven/membership/consul/source.py
+++ b/garnethaven/membership/consul/source.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, Watch
+from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, WatchChanges
 from garnethaven.membership.consul.answers import AgentAnswer, Trust
 from garnethaven.membership.consul.client import Agent
 from garnethaven.membership.consul.registration import ServiceRegistration
@@ -45,7 +45,7 @@
             while True:
                 order = pending_orders.pop(0)
                 started_at = self.loop.time()
-                index = order.after if isinstance(order, Watch) else 0
+                index = order.after if isinstance(order, WatchChanges) else 0
                 self.queries += 1
                 answer = await agent.entries(index, isinstance(order, ReadSnapshot) and order.proven)
                 pending_orders = self.carry_out(self._accept(catch_up, answer))
--- a/garnethaven/membership/etcd/source.py
+++ b/garnethaven/membership/etcd/source.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, Watch
+from garnethaven.membership.catchup import CatchUp, ReadSnapshot, SyncAction, WatchChanges
 from garnethaven.membership.etcd.answers import WatchAnswers, WatchEnded, entry_of
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired, WatchStream
 from garnethaven.membership.etcd.registration import LeasedKey
@@ -68,7 +68,7 @@
                 pending_orders += self.carry_out(
                     catch_up.snapshot(answer.header.revision, entries, proven=True)
                 )
-            elif isinstance(order, Watch):
+            elif isinstance(order, WatchChanges):
                 pending_orders += await self._watch(settings, catch_up, member, order.after)
 
     async def _watch(
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -18,7 +18,7 @@
     ReportContact,
     SyncAction,
     SyncState,
-    Watch,
+    WatchChanges,
 )
 
 KEYS = "abc"
@@ -83,7 +83,7 @@
                     at, entries = self.lagging_revision, registry.snapshots.get(self.lagging_revision, {})
                     self.lagging_revision = None
                 pending += self.core.snapshot(at, entries, order.proven)
-            elif isinstance(order, Watch):
+            elif isinstance(order, WatchChanges):
                 if self.core.keeps_history and order.after < registry.compacted:
                     pending += self.core.compacted()
                     continue
@@ -202,7 +202,7 @@
     assert core.lost() == [ReportContact(False)]
     assert core.lost() == [ReportContact(False)]
     assert set(core.entries) == {"a"}
-    assert core.opened() == [Watch(10)]
+    assert core.opened() == [WatchChanges(10)]
     assert core.standing is SyncState.CATCHING_UP
 
 
@@ -222,7 +222,7 @@
     assert core.compacted() == [ReadSnapshot(proven=True)]
     report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
     assert report == ReportChanges({"a": None, "c": entry(15)}, whole=True)
-    assert (contact, watch) == (ReportContact(True), Watch(20))
+    assert (contact, watch) == (ReportContact(True), WatchChanges(20))
 
 
 def test_an_unproven_answer_from_behind_is_not_believed_either_way() -> None:
@@ -249,7 +249,7 @@
     core.opened()
     assert core.watching(9) == [ReportContact(False), ReadSnapshot(proven=True)]
     assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
-    assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [ReportContact(True), Watch(11)]
+    assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [ReportContact(True), WatchChanges(11)]
     assert core.quiet(8) == [ReportContact(False), ReadSnapshot(proven=True)]
 
 
@@ -278,7 +278,7 @@
     core = followed(a=entry(3))
     assert core.quiet(500) == []
     core.lost()
-    assert core.opened() == [Watch(500)]
+    assert core.opened() == [WatchChanges(500)]
 
 
 def test_a_registry_with_too_many_entries_takes_bounded_memory(monkeypatch: pytest.MonkeyPatch) -> None:
