--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -269,7 +269,7 @@
         return parsed
 
 
-class Names:
+class NameTracker:
     """The current and the removed names of a registry that answers for one name at a time."""
 
     def __init__(self) -> None:
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -23,7 +23,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from garnethaven.membership.catchup import Names
+from garnethaven.membership.catchup import NameTracker
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import Payload, PayloadError
 from garnethaven.membership.zookeeper import records
@@ -79,7 +79,7 @@
         self.prefix = self.root.rstrip("/") + "/"
         self.payload = payload
         self.persistent = persistent
-        self.names = Names()  # nodes with a fact, and the zxid of their creation
+        self.names = NameTracker()  # nodes with a fact, and the zxid of their creation
         self.queued_reads: deque[str] = deque()
         self.queued_names: set[str] = set()  # the names in `queued_reads`
         self.reads_in_flight: set[str] = set()
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -12,7 +12,7 @@
     CatchUp,
     CreationTracker,
     Entry,
-    Names,
+    NameTracker,
     ReadSnapshot,
     ReportChanges,
     ReportContact,
@@ -313,7 +313,7 @@
         return self.registry.snapshots.get(self.at, {}) if self.at else self.registry.entries
 
 
-def read_by_names(names: Names, host: Host, reported: set[str], during: Op | None) -> bool:
+def read_by_names(names: NameTracker, host: Host, reported: set[str], during: Op | None) -> bool:
     """List the names and read each node; `during` happens in between. False: the host lags."""
     names.opened()
     listed = set(host.entries())
@@ -344,7 +344,7 @@
             for last in range(first, 5):
                 for behind in range(0, last - first + 2):
                     registry = Registry()
-                    names, reported, host = Names(), set[str](), Host(registry)
+                    names, reported, host = NameTracker(), set[str](), Host(registry)
                     for op in ops[:first]:
                         registry.do(op)
                     assert read_by_names(names, host, reported, None)
@@ -380,7 +380,7 @@
 
 
 def test_standings_of_names() -> None:
-    names = Names()
+    names = NameTracker()
     names.lost()
     assert names.standing is SyncState.READING
     for call, standing in (
@@ -395,7 +395,7 @@
 
 def test_ends_are_remembered_within_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(catchup, "ENDED_MOST", 2)
-    names = Names()
+    names = NameTracker()
     for number, name in enumerate("abc", start=1):
         names.takes(name, number)
         names.end(name)
