--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -133,7 +133,7 @@
 
     def __init__(self, keeps_history: bool) -> None:
         self.keeps_history = keeps_history
-        self.standing = SyncState.READING
+        self.sync_state = SyncState.READING
         self.revision = 0
         self.entries: dict[str, Entry] = {}
         self.left_out = 0  # entries beyond the bound in the last snapshot
@@ -145,14 +145,14 @@
 
     def opened(self) -> list[SyncAction]:
         """A connection to an endpoint is open."""
-        if self.standing is SyncState.READING:
+        if self.sync_state is SyncState.READING:
             return [ReadSnapshot()]
-        self.standing = SyncState.CATCHING_UP
+        self.sync_state = SyncState.CATCHING_UP
         return [WatchChanges(self.revision)] if self.keeps_history else [ReadSnapshot()]
 
     def lost(self) -> list[SyncAction]:
-        if self.standing is not SyncState.READING:
-            self.standing = SyncState.BROKEN
+        if self.sync_state is not SyncState.READING:
+            self.sync_state = SyncState.BROKEN
         return [ReportContact(False)]
 
     # Answers
@@ -171,12 +171,12 @@
         changed: dict[str, Entry | None] = {key: None for key in self.entries if key not in retained}
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
-        self.standing = SyncState.FOLLOWING
+        self.sync_state = SyncState.FOLLOWING
         return [ReportChanges(changed, whole=True), ReportContact(True), WatchChanges(revision)]
 
     def watching(self, current_revision: int) -> list[SyncAction]:
         """A watch was opened when the registry was at `current_revision`."""
-        if self.standing not in CONNECTED_STATES:
+        if self.sync_state not in CONNECTED_STATES:
             return []
         if current_revision < self.revision:
             return self._handle_outdated()
@@ -185,7 +185,7 @@
 
     def changes(self, revision: int, entries: Iterable[tuple[str, Entry | None]]) -> list[SyncAction]:
         """All changes since the last event, up to a revision, in the order in which they happened."""
-        if self.standing not in CONNECTED_STATES or revision <= self.revision:
+        if self.sync_state not in CONNECTED_STATES or revision <= self.revision:
             return []
         reported: dict[str, Entry | None] = {}
         for key, entry in entries:
@@ -199,7 +199,7 @@
 
     def quiet(self, revision: int) -> list[SyncAction]:
         """There are no further changes up to a revision: the copy is up to date."""
-        if self.standing not in CONNECTED_STATES:
+        if self.sync_state not in CONNECTED_STATES:
             return []
         if revision < self.revision:
             return self._handle_outdated()
@@ -208,14 +208,14 @@
 
     def compacted(self) -> list[SyncAction]:
         """The registry no longer has the changes after the revision of the copy."""
-        self.standing = SyncState.CATCHING_UP
+        self.sync_state = SyncState.CATCHING_UP
         return [ReadSnapshot(proven=True)]
 
     def doubted(self) -> list[SyncAction]:
         """An answer came from an endpoint that has had no contact with its leader for too long."""
-        if self.standing is SyncState.READING:
+        if self.sync_state is SyncState.READING:
             return [ReadSnapshot(proven=True)]
-        self.standing = SyncState.UNCERTAIN
+        self.sync_state = SyncState.UNCERTAIN
         return [ReportContact(False), ReadSnapshot(proven=True)]
 
     def _handle_outdated(self) -> list[SyncAction]:
@@ -224,12 +224,12 @@
         Only a proven answer can distinguish the two.
         """
         self.behind += 1
-        self.standing = SyncState.UNCERTAIN
+        self.sync_state = SyncState.UNCERTAIN
         return [ReportContact(False), ReadSnapshot(proven=True)]
 
     def _check_caught_up(self) -> list[SyncAction]:
-        if self.standing is SyncState.CATCHING_UP and self.revision >= self.gap_end:
-            self.standing = SyncState.FOLLOWING
+        if self.sync_state is SyncState.CATCHING_UP and self.revision >= self.gap_end:
+            self.sync_state = SyncState.FOLLOWING
             return [ReportContact(True)]
         return []
 
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -146,7 +146,7 @@
         catch_up = self.core
         figures: dict[str, object] = {
             "servers": len(self.telling.facts()),
-            "standing": catch_up.standing.value,
+            "standing": catch_up.sync_state.value,
             "revision": catch_up.revision,
             "age_s": round(self.telling.age_s(), 3),
             "answers_behind": catch_up.behind,
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -172,7 +172,7 @@
         if first == len(ops):
             follower.execute(follower.core.lost())
         reconnect(follower, compacts, lags)
-    assert follower.good and follower.core.standing is SyncState.FOLLOWING
+    assert follower.good and follower.core.sync_state is SyncState.FOLLOWING
     assert follower.reported == registry.entries == follower.core.entries, (ops, first, last, compacts, lags)
 
 
@@ -203,7 +203,7 @@
     assert core.lost() == [ReportContact(False)]
     assert set(core.entries) == {"a"}
     assert core.opened() == [WatchChanges(10)]
-    assert core.standing is SyncState.CATCHING_UP
+    assert core.sync_state is SyncState.CATCHING_UP
 
 
 def test_contact_is_good_only_when_the_gap_has_been_told() -> None:
@@ -231,7 +231,7 @@
         ReportContact(False),
         ReadSnapshot(proven=True),
     ]
-    assert core.standing is SyncState.UNCERTAIN
+    assert core.sync_state is SyncState.UNCERTAIN
     assert set(core.entries) == {"a"}
     assert core.behind == 1
 
