--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -138,7 +138,7 @@
         self.entries: dict[str, Entry] = {}
         self.left_out = 0  # entries beyond the bound in the last snapshot
         self.behind = 0  # number of answers older than the copy
-        self.began_anew = 0  # number of restarts of the registry's history
+        self.history_restarts = 0  # number of restarts of the registry's history
         self.gap_end = 0  # revision up to which a gap must be filled
 
     # Contact
@@ -163,7 +163,7 @@
             if not proven:
                 return self._handle_outdated()
             self.behind += 1
-            self.began_anew += 1
+            self.history_restarts += 1
         retained = dict(entries)
         if len(retained) > ENTRIES_MOST:
             retained = {key: retained[key] for key in sorted(retained)[:ENTRIES_MOST]}
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -150,7 +150,7 @@
             "revision": catch_up.revision,
             "age_s": round(self.telling.age_s(), 3),
             "answers_behind": catch_up.behind,
-            "histories_begun_anew": catch_up.began_anew,
+            "histories_begun_anew": catch_up.history_restarts,
             "left_out": catch_up.left_out,
             "flaws": dict(self.entries.flaws),
             "connects": self.connects,
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -240,7 +240,7 @@
     core = followed(False, a=entry(3), b=entry(4))
     report = core.snapshot(6, {"b": entry(4)}, proven=True)[0]
     assert report == ReportChanges({"a": None}, whole=True)
-    assert (core.revision, core.began_anew) == (6, 1)
+    assert (core.revision, core.history_restarts) == (6, 1)
 
 
 def test_an_endpoint_that_lags_is_asked_for_what_its_leader_vouches_for() -> None:
