--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -137,7 +137,7 @@
         self.revision = 0
         self.entries: dict[str, Entry] = {}
         self.left_out = 0  # entries beyond the bound in the last snapshot
-        self.behind = 0  # number of answers older than the copy
+        self.outdated_answers = 0  # number of answers older than the copy
         self.history_restarts = 0  # number of restarts of the registry's history
         self.gap_end = 0  # revision up to which a gap must be filled
 
@@ -162,7 +162,7 @@
         if revision < self.revision:
             if not proven:
                 return self._handle_outdated()
-            self.behind += 1
+            self.outdated_answers += 1
             self.history_restarts += 1
         retained = dict(entries)
         if len(retained) > ENTRIES_MOST:
@@ -223,7 +223,7 @@
 
         Only a proven answer can distinguish the two.
         """
-        self.behind += 1
+        self.outdated_answers += 1
         self.sync_state = SyncState.UNCERTAIN
         return [ReportContact(False), ReadSnapshot(proven=True)]
 
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -149,7 +149,7 @@
             "standing": catch_up.sync_state.value,
             "revision": catch_up.revision,
             "age_s": round(self.telling.age_s(), 3),
-            "answers_behind": catch_up.behind,
+            "answers_behind": catch_up.outdated_answers,
             "histories_begun_anew": catch_up.history_restarts,
             "left_out": catch_up.left_out,
             "flaws": dict(self.entries.flaws),
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -233,7 +233,7 @@
     ]
     assert core.sync_state is SyncState.UNCERTAIN
     assert set(core.entries) == {"a"}
-    assert core.behind == 1
+    assert core.outdated_answers == 1
 
 
 def test_a_history_that_began_anew_is_believed_when_it_is_proven() -> None:
