--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -136,7 +136,7 @@
         self.sync_state = SyncState.READING
         self.revision = 0
         self.entries: dict[str, Entry] = {}
-        self.left_out = 0  # entries beyond the bound in the last snapshot
+        self.excess_entries = 0  # entries beyond the bound in the last snapshot
         self.outdated_answers = 0  # number of answers older than the copy
         self.history_restarts = 0  # number of restarts of the registry's history
         self.gap_end = 0  # revision up to which a gap must be filled
@@ -167,7 +167,7 @@
         retained = dict(entries)
         if len(retained) > ENTRIES_MOST:
             retained = {key: retained[key] for key in sorted(retained)[:ENTRIES_MOST]}
-        self.left_out = len(entries) - len(retained)
+        self.excess_entries = len(entries) - len(retained)
         changed: dict[str, Entry | None] = {key: None for key in self.entries if key not in retained}
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -151,7 +151,7 @@
             "age_s": round(self.telling.age_s(), 3),
             "answers_behind": catch_up.outdated_answers,
             "histories_begun_anew": catch_up.history_restarts,
-            "left_out": catch_up.left_out,
+            "left_out": catch_up.excess_entries,
             "flaws": dict(self.entries.flaws),
             "connects": self.connects,
         }
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -284,7 +284,7 @@
 def test_a_registry_with_too_many_entries_takes_bounded_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(catchup, "ENTRIES_MOST", 3)
     core = followed(**{name: entry(n + 1) for n, name in enumerate("edcba")})
-    assert (sorted(core.entries), core.left_out) == (["a", "b", "c"], 2)
+    assert (sorted(core.entries), core.excess_entries) == (["a", "b", "c"], 2)
     assert core.changes(11, [("f", entry(11))]) == []
     assert core.changes(12, [("a", None), ("f", entry(12))]) == [ReportChanges({"a": None, "f": entry(12)})]
 
