--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -211,7 +211,7 @@
         self.sync_state = SyncState.CATCHING_UP
         return [ReadSnapshot(proven=True)]
 
-    def doubted(self) -> list[SyncAction]:
+    def leader_lost(self) -> list[SyncAction]:
         """An answer came from an endpoint that has had no contact with its leader for too long."""
         if self.sync_state is SyncState.READING:
             return [ReadSnapshot(proven=True)]
