--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -197,7 +197,7 @@
         self.revision = revision
         return [ReportChanges(reported), *self._check_caught_up()] if reported else self._check_caught_up()
 
-    def quiet(self, revision: int) -> list[SyncAction]:
+    def progress(self, revision: int) -> list[SyncAction]:
         """There are no further changes up to a revision: the copy is up to date."""
         if self.sync_state not in CONNECTED_STATES:
             return []
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -248,9 +248,9 @@
     core.lost()
     core.opened()
     assert core.watching(9) == [ReportContact(False), ReadSnapshot(proven=True)]
-    assert core.quiet(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
+    assert core.progress(11) == core.changes(11, [("a", None)]) == []  # its watch is ignored
     assert core.snapshot(11, {"a": entry(3)}, proven=True)[1:] == [ReportContact(True), WatchChanges(11)]
-    assert core.quiet(8) == [ReportContact(False), ReadSnapshot(proven=True)]
+    assert core.progress(8) == [ReportContact(False), ReadSnapshot(proven=True)]
 
 
 def test_a_key_removed_and_put_back_in_one_answer_is_told_as_its_new_life() -> None:
@@ -263,7 +263,7 @@
 def test_what_comes_after_a_watch_was_given_up_is_not_taken() -> None:
     core = followed(a=entry(3))
     core.lost()
-    assert core.changes(11, [("a", None)]) == core.quiet(11) == core.watching(11) == []
+    assert core.changes(11, [("a", None)]) == core.progress(11) == core.watching(11) == []
     assert core.revision == 10
 
 
@@ -276,7 +276,7 @@
 
 def test_quiet_moves_on_so_that_a_later_gap_is_short() -> None:
     core = followed(a=entry(3))
-    assert core.quiet(500) == []
+    assert core.progress(500) == []
     core.lost()
     assert core.opened() == [WatchChanges(500)]
 
