--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -110,7 +110,7 @@
     """Report changed keys; None: removed."""
 
     entries: Mapping[str, Entry | None]
-    whole: bool = False  # from a snapshot: the whole copy has been reported after this
+    from_snapshot: bool = False  # from a snapshot: the whole copy has been reported after this
 
 
 @dataclass(slots=True, frozen=True)
