--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -295,7 +295,7 @@
 
     # Names
 
-    def takes(self, name: str, created: int) -> bool:
+    def accept(self, name: str, created: int) -> bool:
         """Record a name; False if its creation is older than its known removal: the endpoint lags.
 
         `created` is the revision of the node's creation.
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -328,7 +328,7 @@
         if node is None:
             names.drop(name)
             reported.discard(name)
-        elif not names.takes(name, node.created):
+        elif not names.accept(name, node.created):
             return False
         else:
             reported.add(name)
@@ -354,7 +354,7 @@
                         if not behind:
                             continue
                         if op[1]:  # the event was received before the host was lost
-                            assert names.takes(op[0], registry.entries[op[0]].created)
+                            assert names.accept(op[0], registry.entries[op[0]].created)
                             reported.add(op[0])
                         else:
                             names.end(op[0])
@@ -397,6 +397,6 @@
     monkeypatch.setattr(catchup, "ENDED_MOST", 2)
     names = NameTracker()
     for number, name in enumerate("abc", start=1):
-        names.takes(name, number)
+        names.accept(name, number)
         names.end(name)
     assert set(names.ended) == {"b", "c"}
