--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -273,7 +273,7 @@
     """The current and the removed names of a registry that answers for one name at a time."""
 
     def __init__(self) -> None:
-        self.held: dict[str, int] = {}  # revision of creation, by current name
+        self.current: dict[str, int] = {}  # revision of creation, by current name
         self.ended: dict[str, int] = {}  # the same, by removed name
         self.standing = SyncState.READING
         self.has_full_list = False
@@ -303,16 +303,16 @@
         if created <= self.ended.get(name, 0):
             self.standing = SyncState.UNCERTAIN
             return False
-        self.held[name] = created
+        self.current[name] = created
         return True
 
     def drop(self, name: str) -> None:
         """Drop a name without recording a removal: its node is missing or unusable."""
-        self.held.pop(name, None)
+        self.current.pop(name, None)
 
     def end(self, name: str) -> None:
         """Record the removal of a name."""
-        created = self.held.pop(name, None)
+        created = self.current.pop(name, None)
         if created is None:
             return
         self.ended.pop(name, None)
@@ -322,7 +322,7 @@
 
     def absent(self, listed: set[str]) -> list[str]:
         """Remove the names that a list requested after they were recorded lacks; returns them."""
-        removed = [name for name in self.held if name not in listed]
+        removed = [name for name in self.current if name not in listed]
         for name in removed:
             self.end(name)
         return removed
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -163,7 +163,7 @@
         """The directory has been read completely: contact is good, servers of an earlier list are removed."""
         self.telling.contact(True)
         if not self.telling.settled:
-            current_keys = {prefix + name for name in self.following.names.held}
+            current_keys = {prefix + name for name in self.following.names.current}
             self.merger.change(ZOOKEEPER, self.telling.left_over(current_keys))
 
     def _directory_failed(self, error: str) -> None:
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -362,7 +362,7 @@
                     names.lost()
                     lagging = Host(registry)
                     lagging.at = max(1, registry.revision - behind) if behind else 0
-                    if set(names.held) & set(registry.entries) - set(lagging.entries()):
+                    if set(names.current) & set(registry.entries) - set(lagging.entries()):
                         continue  # the session's zxid rejects a host that lacks entries seen before
                     removed_names = set(names.ended) - set(registry.entries)
                     if behind and not read_by_names(names, lagging, reported, None):
@@ -370,7 +370,7 @@
                         assert names.standing is SyncState.UNCERTAIN
                     assert not reported & removed_names, (ops, first, last, behind)  # none reappeared
                     assert read_by_names(names, host, reported, ops[last])
-                    assert reported == names.held.keys()
+                    assert reported == names.current.keys()
                     # A name created during the read is reported by its own event.
                     late = {ops[last][0]} if ops[last][1] else set()
                     assert reported | late == set(registry.entries) | late, (ops, first, last, behind)
