--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -274,7 +274,7 @@
 
     def __init__(self) -> None:
         self.current: dict[str, int] = {}  # revision of creation, by current name
-        self.ended: dict[str, int] = {}  # the same, by removed name
+        self.removed: dict[str, int] = {}  # the same, by removed name
         self.standing = SyncState.READING
         self.has_full_list = False
 
@@ -300,7 +300,7 @@
 
         `created` is the revision of the node's creation.
         """
-        if created <= self.ended.get(name, 0):
+        if created <= self.removed.get(name, 0):
             self.standing = SyncState.UNCERTAIN
             return False
         self.current[name] = created
@@ -315,10 +315,10 @@
         created = self.current.pop(name, None)
         if created is None:
             return
-        self.ended.pop(name, None)
-        self.ended[name] = created
-        if len(self.ended) > ENDED_MOST:
-            del self.ended[next(iter(self.ended))]
+        self.removed.pop(name, None)
+        self.removed[name] = created
+        if len(self.removed) > ENDED_MOST:
+            del self.removed[next(iter(self.removed))]
 
     def absent(self, listed: set[str]) -> list[str]:
         """Remove the names that a list requested after they were recorded lacks; returns them."""
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -348,7 +348,7 @@
                     for op in ops[:first]:
                         registry.do(op)
                     assert read_by_names(names, host, reported, None)
-                    removed_before = set(names.ended)
+                    removed_before = set(names.removed)
                     for op in ops[first:last]:
                         registry.do(op)
                         if not behind:
@@ -364,7 +364,7 @@
                     lagging.at = max(1, registry.revision - behind) if behind else 0
                     if set(names.current) & set(registry.entries) - set(lagging.entries()):
                         continue  # the session's zxid rejects a host that lacks entries seen before
-                    removed_names = set(names.ended) - set(registry.entries)
+                    removed_names = set(names.removed) - set(registry.entries)
                     if behind and not read_by_names(names, lagging, reported, None):
                         lagged += 1
                         assert names.standing is SyncState.UNCERTAIN
@@ -374,7 +374,7 @@
                     # A name created during the read is reported by its own event.
                     late = {ops[last][0]} if ops[last][1] else set()
                     assert reported | late == set(registry.entries) | late, (ops, first, last, behind)
-                    assert removed_before <= set(names.ended) | set(registry.entries)
+                    assert removed_before <= set(names.removed) | set(registry.entries)
                     walked += 1
     assert walked > 3_000 and lagged > 100
 
@@ -399,4 +399,4 @@
     for number, name in enumerate("abc", start=1):
         names.accept(name, number)
         names.end(name)
-    assert set(names.ended) == {"b", "c"}
+    assert set(names.removed) == {"b", "c"}
--- a/tests/membership/test_following.py
+++ b/tests/membership/test_following.py
@@ -250,4 +250,4 @@
     world.nodes.clear()
     world.connect()
     world.answer()
-    assert len(world.following.names.ended) == 10
+    assert len(world.following.names.removed) == 10
