--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -288,7 +288,7 @@
         if self.has_full_list:
             self.standing = SyncState.BROKEN
 
-    def whole(self) -> None:
+    def mark_complete(self) -> None:
         """All names have been received since contact came back."""
         self.has_full_list = True
         self.standing = SyncState.FOLLOWING
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -243,5 +243,5 @@
     def _check_complete(self) -> bool:
         complete = self.listed and not self.unread_names
         if complete:
-            self.names.whole()
+            self.names.mark_complete()
         return complete
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -332,7 +332,7 @@
             return False
         else:
             reported.add(name)
-    names.whole()
+    names.mark_complete()
     return True
 
 
@@ -384,10 +384,10 @@
     names.lost()
     assert names.standing is SyncState.READING
     for call, standing in (
-        (names.whole, SyncState.FOLLOWING),
+        (names.mark_complete, SyncState.FOLLOWING),
         (names.lost, SyncState.BROKEN),
         (names.opened, SyncState.CATCHING_UP),
-        (names.whole, SyncState.FOLLOWING),
+        (names.mark_complete, SyncState.FOLLOWING),
     ):
         call()
         assert names.standing is standing
