--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -320,7 +320,7 @@
         if len(self.removed) > ENDED_MOST:
             del self.removed[next(iter(self.removed))]
 
-    def absent(self, listed: set[str]) -> list[str]:
+    def remove_absent(self, listed: set[str]) -> list[str]:
         """Remove the names that a list requested after they were recorded lacks; returns them."""
         removed = [name for name in self.current if name not in listed]
         for name in removed:
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -136,7 +136,7 @@
         return Outcome(facts={name: None}, complete=self._check_complete())
 
     def _directory_deleted(self) -> Outcome:
-        deleted: dict[str, Fact | None] = dict.fromkeys(self.names.absent(set()))
+        deleted: dict[str, Fact | None] = dict.fromkeys(self.names.remove_absent(set()))
         self.unread_names.clear()
         return Outcome(facts=deleted, complete=self._check_complete())
 
@@ -166,7 +166,7 @@
             names = sorted(names)[:MEMBERS_MOST]
         listed = set(names)
         outcome = Outcome()
-        outcome.facts = dict.fromkeys(self.names.absent(listed))
+        outcome.facts = dict.fromkeys(self.names.remove_absent(listed))
         self.listed = True
         self.unread_names = listed
         for name in names:
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -317,7 +317,7 @@
     """List the names and read each node; `during` happens in between. False: the host lags."""
     names.opened()
     listed = set(host.entries())
-    reported -= set(names.absent(listed))
+    reported -= set(names.remove_absent(listed))
     if during is not None:
         host.registry.do(during)
         if not during[1]:
