--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -310,7 +310,7 @@
         """Drop a name without recording a removal: its node is missing or unusable."""
         self.current.pop(name, None)
 
-    def end(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Record the removal of a name."""
         created = self.current.pop(name, None)
         if created is None:
@@ -324,5 +324,5 @@
         """Remove the names that a list requested after they were recorded lacks; returns them."""
         removed = [name for name in self.current if name not in listed]
         for name in removed:
-            self.end(name)
+            self.remove(name)
         return removed
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -131,7 +131,7 @@
         return Outcome(self._queue_read(name))
 
     def _node_deleted(self, name: str) -> Outcome:
-        self.names.end(name)
+        self.names.remove(name)
         self.unread_names.discard(name)
         return Outcome(facts={name: None}, complete=self._check_complete())
 
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -321,7 +321,7 @@
     if during is not None:
         host.registry.do(during)
         if not during[1]:
-            names.end(during[0])  # the watch event of the removal
+            names.remove(during[0])  # the watch event of the removal
             reported.discard(during[0])
     for name in sorted(listed):
         node = host.entries().get(name)
@@ -357,7 +357,7 @@
                             assert names.accept(op[0], registry.entries[op[0]].created)
                             reported.add(op[0])
                         else:
-                            names.end(op[0])
+                            names.remove(op[0])
                             reported.discard(op[0])
                     names.lost()
                     lagging = Host(registry)
@@ -398,5 +398,5 @@
     names = NameTracker()
     for number, name in enumerate("abc", start=1):
         names.accept(name, number)
-        names.end(name)
+        names.remove(name)
     assert set(names.removed) == {"b", "c"}
