--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -275,23 +275,23 @@
     def __init__(self) -> None:
         self.current: dict[str, int] = {}  # revision of creation, by current name
         self.removed: dict[str, int] = {}  # the same, by removed name
-        self.standing = SyncState.READING
+        self.sync_state = SyncState.READING
         self.has_full_list = False
 
     # Contact
 
     def opened(self) -> None:
         """A connection to an endpoint is open; all names must be listed and read again."""
-        self.standing = SyncState.CATCHING_UP if self.has_full_list else SyncState.READING
+        self.sync_state = SyncState.CATCHING_UP if self.has_full_list else SyncState.READING
 
     def lost(self) -> None:
         if self.has_full_list:
-            self.standing = SyncState.BROKEN
+            self.sync_state = SyncState.BROKEN
 
     def mark_complete(self) -> None:
         """All names have been received since contact came back."""
         self.has_full_list = True
-        self.standing = SyncState.FOLLOWING
+        self.sync_state = SyncState.FOLLOWING
 
     # Names
 
@@ -301,7 +301,7 @@
         `created` is the revision of the node's creation.
         """
         if created <= self.removed.get(name, 0):
-            self.standing = SyncState.UNCERTAIN
+            self.sync_state = SyncState.UNCERTAIN
             return False
         self.current[name] = created
         return True
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -189,7 +189,7 @@
     def figures(self) -> dict[str, object]:
         return {
             "servers": len(self.telling.facts()),
-            "standing": self.following.names.standing.value,
+            "standing": self.following.names.sync_state.value,
             "age_s": round(self.age_s(), 3),
             "troubles": self.troubles,
         }
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -367,7 +367,7 @@
                     removed_names = set(names.removed) - set(registry.entries)
                     if behind and not read_by_names(names, lagging, reported, None):
                         lagged += 1
-                        assert names.standing is SyncState.UNCERTAIN
+                        assert names.sync_state is SyncState.UNCERTAIN
                     assert not reported & removed_names, (ops, first, last, behind)  # none reappeared
                     assert read_by_names(names, host, reported, ops[last])
                     assert reported == names.current.keys()
@@ -382,7 +382,7 @@
 def test_standings_of_names() -> None:
     names = NameTracker()
     names.lost()
-    assert names.standing is SyncState.READING
+    assert names.sync_state is SyncState.READING
     for call, standing in (
         (names.mark_complete, SyncState.FOLLOWING),
         (names.lost, SyncState.BROKEN),
@@ -390,7 +390,7 @@
         (names.mark_complete, SyncState.FOLLOWING),
     ):
         call()
-        assert names.standing is standing
+        assert names.sync_state is standing
 
 
 def test_ends_are_remembered_within_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
