--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -19,7 +19,7 @@
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.payloads import Rules
-from garnethaven.membership.telling import Telling
+from garnethaven.membership.telling import SourceOutput
 
 STABLE_AFTER_S = 5.0  # an endpoint followed for longer resets the backoff
 
@@ -60,7 +60,7 @@
         self.settings = settings
         self.loop = loop
         self.rng = Random(seed)
-        self.telling = Telling(self.name, merger, loop, names, log, settings.cache)
+        self.telling = SourceOutput(self.name, merger, loop, names, log, settings.cache)
         self._reset()
         self.task: asyncio.Task[None] | None = None
         self.stopping_tasks: set[asyncio.Task[None]] = set()
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -14,7 +14,7 @@
 LOG_INTERVAL_S = 5.0  # minimum interval between two log lines of one kind
 
 
-class Telling:
+class SourceOutput:
     """The output of one registry source. Until it is `settled`, an earlier list stays in use.
 
     That list comes from the cache file or, after a reload, from the registry followed before.
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -12,7 +12,7 @@
 from garnethaven.membership.hosts import Hosts
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.table import ZOOKEEPER, ZooKeeper
-from garnethaven.membership.telling import Telling
+from garnethaven.membership.telling import SourceOutput
 from garnethaven.membership.zookeeper.client import Client
 from garnethaven.membership.zookeeper.following import DirectoryFollower, Outcome
 from garnethaven.membership.zookeeper.records import RecordError
@@ -38,7 +38,7 @@
         self.merger = merger
         self.loop = loop
         self.rng = Random(seed)
-        self.telling = Telling(ZOOKEEPER, merger, loop, names, log, settings.cache)
+        self.telling = SourceOutput(ZOOKEEPER, merger, loop, names, log, settings.cache)
         self.troubles = 0
         self.retry_timer: asyncio.TimerHandle | None = None
         self.generation = 0
