--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -108,7 +108,7 @@
         self.own = self.announce(address, Random(self.rng.random())) if registration is not None else None
 
     def log_registration(self, text: str) -> None:
-        self.telling.say("register", f"{self.name}: {text}")
+        self.telling.log_limited("register", f"{self.name}: {text}")
 
     async def withdraw(self) -> None:
         if self.own is not None:
@@ -181,7 +181,7 @@
     def _endpoint_lost(self, catch_up: CatchUp, reason: str) -> None:
         self.carry_out(catch_up.lost())
         age = self.telling.age_s()
-        self.telling.say("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
+        self.telling.log_limited("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
 
     def carry_out(self, orders: list[SyncAction]) -> list[SyncAction]:
         """Execute the orders that need no endpoint and return the others."""
@@ -203,4 +203,4 @@
             self.telling.merger.change(self.name, facts)
         flaws = self.entries.say()
         if flaws:
-            self.telling.say("flaw", f"{self.name}: {flaws}; not used")
+            self.telling.log_limited("flaw", f"{self.name}: {flaws}; not used")
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -80,7 +80,7 @@
         """Seconds since the list was last known to be up to date; 0 while it is."""
         return self.merger.model.age_s(self.name, self.loop.time())
 
-    def say(self, kind: str, text: str) -> None:
+    def log_limited(self, kind: str, text: str) -> None:
         """Log a line, at most one of each kind in `LOG_INTERVAL_S`."""
         now = self.loop.time()
         if now - self.logged_at.get(kind, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -123,10 +123,12 @@
     def down(self, reason: str) -> None:
         self.following.names.lost()
         self.telling.contact(False)
-        self.telling.say("down", f"registry: {reason}; the last list is kept, {self.age_s():.1f} s old")
+        self.telling.log_limited(
+            "down", f"registry: {reason}; the last list is kept, {self.age_s():.1f} s old"
+        )
 
     def expired(self) -> None:
-        self.telling.say(
+        self.telling.log_limited(
             "expired", "registry: the session has expired; a new one is started, the servers are kept"
         )
         if self.register is not None:
@@ -156,7 +158,9 @@
         if outcome.error:
             self._directory_failed(outcome.error)
         if self.following.last_flaw:
-            self.telling.say("flaw", f"registry: node {self.following.last_flaw}; its server is not used")
+            self.telling.log_limited(
+                "flaw", f"registry: node {self.following.last_flaw}; its server is not used"
+            )
             self.following.last_flaw = ""
 
     def _directory_complete(self, prefix: str) -> None:
@@ -170,7 +174,7 @@
         """The directory can't be followed at present: keep the servers and read it again after a delay."""
         self.troubles += 1
         self.telling.contact(False)
-        self.telling.say("trouble", f"registry: {error}; the last list is kept")
+        self.telling.log_limited("trouble", f"registry: {error}; the last list is kept")
         if self.retry_timer is None:
             self.retry_timer = self.loop.call_later(FOLLOW_RETRY_DELAY_S, self._retry_follow)
 
