--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -198,7 +198,7 @@
     def _publish(self, update: ReportChanges) -> None:
         facts = self.entries.take(update, self.telling.wall_ms())
         if update.whole:
-            facts = self.telling.left_over(facts) | facts
+            facts = self.telling.initial_removals(facts) | facts
         if facts:
             self.telling.merger.change(self.name, facts)
         flaws = self.entries.say()
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -62,7 +62,7 @@
         """The facts of this registry in the model."""
         return self.merger.model.sources[self.name].facts
 
-    def left_over(self, current: Container[str]) -> dict[str, Fact | None]:
+    def initial_removals(self, current: Container[str]) -> dict[str, Fact | None]:
         """Removals of earlier facts whose keys are not in `current`; empty except at the first full read."""
         if self.settled:
             return {}
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -168,7 +168,7 @@
         self.telling.contact(True)
         if not self.telling.settled:
             current_keys = {prefix + name for name in self.following.names.current}
-            self.merger.change(ZOOKEEPER, self.telling.left_over(current_keys))
+            self.merger.change(ZOOKEEPER, self.telling.initial_removals(current_keys))
 
     def _directory_failed(self, error: str) -> None:
         """The directory can't be followed at present: keep the servers and read it again after a delay."""
