--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -94,7 +94,7 @@
 
     def _reset(self) -> None:
         """Start anew for the configured location; facts of an earlier location stay until it is read."""
-        self.telling.settled = False
+        self.telling.fully_read = False
         self.core = CatchUp(self.keeps_history)
         self.entries = Entries(self.location(), self.telling.payload(self.settings.rules))
 
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -36,7 +36,7 @@
         self.log = log
         self.clock_offset = time.time_ns() - time.monotonic_ns()
         self.logged_at: dict[str, float] = {}
-        self.settled = False  # whether a full read has replaced the earlier list
+        self.fully_read = False  # whether a full read has replaced the earlier list
         self.cache = Cache(cache, loop, log, self.clock_offset) if cache else None
 
     def recall(self) -> None:
@@ -64,9 +64,9 @@
 
     def initial_removals(self, current: Container[str]) -> dict[str, Fact | None]:
         """Removals of earlier facts whose keys are not in `current`; empty except at the first full read."""
-        if self.settled:
+        if self.fully_read:
             return {}
-        self.settled = True
+        self.fully_read = True
         return {key: None for key in self.facts() if key not in current}
 
     def contact(self, good: bool) -> None:
@@ -92,5 +92,5 @@
             self.cache.close()
 
     def _save(self) -> None:
-        if self.cache is not None and self.settled:
+        if self.cache is not None and self.fully_read:
             self.cache.keep(self.facts())
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -50,7 +50,7 @@
     def _set_up(self, settings: ZooKeeper) -> None:
         self.settings = settings
         self.generation += 1
-        self.telling.settled = False
+        self.telling.fully_read = False
         payload = self.telling.payload(settings.rules)
         self.following = DirectoryFollower(settings.root, payload, settings.persistent)
         session = Session(settings.session_timeout_ms, settings.digest or None, settings.read_only)
@@ -166,7 +166,7 @@
     def _directory_complete(self, prefix: str) -> None:
         """The directory has been read completely: contact is good, servers of an earlier list are removed."""
         self.telling.contact(True)
-        if not self.telling.settled:
+        if not self.telling.fully_read:
             current_keys = {prefix + name for name in self.following.names.current}
             self.merger.change(ZOOKEEPER, self.telling.initial_removals(current_keys))
 
