--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -88,7 +88,7 @@
     # Life cycle
 
     def start(self) -> None:
-        self.telling.recall()
+        self.telling.load_cache()
         self.telling.contact(False)
         self._start_following()
 
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -39,7 +39,7 @@
         self.fully_read = False  # whether a full read has replaced the earlier list
         self.cache = Cache(cache, loop, log, self.clock_offset) if cache else None
 
-    def recall(self) -> None:
+    def load_cache(self) -> None:
         """Use the cached list, if there is one, until the registry has been read."""
         if self.cache is not None:
             known = self.cache.read()
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -65,7 +65,7 @@
 
     def start(self) -> None:
         if self.telling.cache is not None:
-            self.telling.recall()
+            self.telling.load_cache()
             self.telling.contact(False)
         self.client.start()
 
