--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -89,7 +89,7 @@
 
     def start(self) -> None:
         self.telling.load_cache()
-        self.telling.contact(False)
+        self.telling.set_contact(False)
         self._start_following()
 
     def _reset(self) -> None:
@@ -190,7 +190,7 @@
             if isinstance(order, ReportChanges):
                 self._publish(order)
             elif isinstance(order, ReportContact):
-                self.telling.contact(order.good)
+                self.telling.set_contact(order.good)
             else:
                 remaining.append(order)
         return remaining
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -69,7 +69,7 @@
         self.fully_read = True
         return {key: None for key in self.facts() if key not in current}
 
-    def contact(self, good: bool) -> None:
+    def set_contact(self, good: bool) -> None:
         """Record whether the list is known to be up to date."""
         if good:
             self.merger.model.regained(self.name)
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -66,7 +66,7 @@
     def start(self) -> None:
         if self.telling.cache is not None:
             self.telling.load_cache()
-            self.telling.contact(False)
+            self.telling.set_contact(False)
         self.client.start()
 
     def registers(self, address: tuple[str, int]) -> None:
@@ -122,7 +122,7 @@
 
     def down(self, reason: str) -> None:
         self.following.names.lost()
-        self.telling.contact(False)
+        self.telling.set_contact(False)
         self.telling.log_limited(
             "down", f"registry: {reason}; the last list is kept, {self.age_s():.1f} s old"
         )
@@ -165,7 +165,7 @@
 
     def _directory_complete(self, prefix: str) -> None:
         """The directory has been read completely: contact is good, servers of an earlier list are removed."""
-        self.telling.contact(True)
+        self.telling.set_contact(True)
         if not self.telling.fully_read:
             current_keys = {prefix + name for name in self.following.names.current}
             self.merger.change(ZOOKEEPER, self.telling.initial_removals(current_keys))
@@ -173,7 +173,7 @@
     def _directory_failed(self, error: str) -> None:
         """The directory can't be followed at present: keep the servers and read it again after a delay."""
         self.troubles += 1
-        self.telling.contact(False)
+        self.telling.set_contact(False)
         self.telling.log_limited("trouble", f"registry: {error}; the last list is kept")
         if self.retry_timer is None:
             self.retry_timer = self.loop.call_later(FOLLOW_RETRY_DELAY_S, self._retry_follow)
