--- a/garnethaven/membership/announcing.py
+++ b/garnethaven/membership/announcing.py
@@ -13,7 +13,7 @@
 SIGNS = 3  # keepalives in the time after which the registry removes an entry without one
 
 
-class Announcing:
+class RegistrationTask:
     """Registers this program and keeps the registration alive; `name` identifies it in the log.
 
     It uses a connection of its own, so that a slow watch can't cause the loss of the entry.
--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -18,12 +18,12 @@
 from urllib.parse import quote
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import SIGNS, Announcing
+from garnethaven.membership.announcing import SIGNS, RegistrationTask
 from garnethaven.membership.consul.client import Agent
 from garnethaven.membership.table import Consul, ConsulRegistration
 
 
-class ServiceRegistration(Announcing):
+class ServiceRegistration(RegistrationTask):
     """The service and its check."""
 
     def __init__(
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -16,14 +16,14 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import SIGNS, Announcing
+from garnethaven.membership.announcing import SIGNS, RegistrationTask
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired
 from garnethaven.membership.hosts import EndpointLostError
 from garnethaven.membership.payloads import encode_entry
 from garnethaven.membership.table import Etcd, EtcdRegistration
 
 
-class LeasedKey(Announcing):
+class LeasedKey(RegistrationTask):
     """The key and its lease."""
 
     def __init__(
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -13,7 +13,7 @@
 from typing import ClassVar, Generic, Protocol, TypeVar
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import Announcing
+from garnethaven.membership.announcing import RegistrationTask
 from garnethaven.membership.catchup import CatchUp, ReportChanges, ReportContact, SyncAction
 from garnethaven.membership.entries import Entries
 from garnethaven.membership.hosts import EndpointLostError, Hosts
@@ -64,7 +64,7 @@
         self._reset()
         self.task: asyncio.Task[None] | None = None
         self.stopping_tasks: set[asyncio.Task[None]] = set()
-        self.own: Announcing | None = None
+        self.own: RegistrationTask | None = None
         self.connects = 0
 
     # Implemented by each kind of registry
@@ -73,7 +73,7 @@
         """The prefix or service that is followed."""
         raise NotImplementedError
 
-    def announce(self, address: Address, rng: Random) -> Announcing:
+    def announce(self, address: Address, rng: Random) -> RegistrationTask:
         """Start to register this program as the settings say."""
         raise NotImplementedError
 
