--- a/garnethaven/membership/announcing.py
+++ b/garnethaven/membership/announcing.py
@@ -10,7 +10,7 @@
 from garnethaven.addresses import Address
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 
-SIGNS = 3  # keepalives in the time after which the registry removes an entry without one
+KEEPALIVES_PER_TTL = 3  # keepalives in the time after which the registry removes an entry without one
 
 
 class RegistrationTask:
--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -18,7 +18,7 @@
 from urllib.parse import quote
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import SIGNS, RegistrationTask
+from garnethaven.membership.announcing import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.consul.client import Agent
 from garnethaven.membership.table import Consul, ConsulRegistration
 
@@ -58,7 +58,7 @@
                 await agent.put(f"/v1/agent/check/pass/{check}")
                 self.check_passed = True
                 self.hosts.lasted()
-                await asyncio.sleep(self.registration.ttl_s / SIGNS)
+                await asyncio.sleep(self.registration.ttl_s / KEEPALIVES_PER_TTL)
         finally:
             self.agent, self.check_passed = None, False
             await agent.close()
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import SIGNS, RegistrationTask
+from garnethaven.membership.announcing import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired
 from garnethaven.membership.hosts import EndpointLostError
 from garnethaven.membership.payloads import encode_entry
@@ -67,7 +67,7 @@
                 await member.put(self.registration.key, self.value, lease)
                 self.lease = lease
                 self.hosts.lasted()
-            await asyncio.sleep(self.registration.ttl_s / SIGNS)
+            await asyncio.sleep(self.registration.ttl_s / KEEPALIVES_PER_TTL)
             if not await member.keep_alive(self.lease):
                 self.lease = 0
 
