--- a/garnethaven/membership/announcing.py
+++ b/garnethaven/membership/announcing.py
@@ -38,7 +38,7 @@
     # Implemented for each kind of registry
 
     @property
-    def there(self) -> bool:
+    def is_registered(self) -> bool:
         """Whether the entry is in the registry, according to the last answer."""
         raise NotImplementedError
 
@@ -69,7 +69,7 @@
     async def withdraw(self) -> None:
         """Remove the entry and wait for the confirmation, at most for the time in the settings."""
         task, self.task = self.task, None
-        if self.there:
+        if self.is_registered:
             with contextlib.suppress(TimeoutError, EndpointLostError):
                 await asyncio.wait_for(self.take_back(), self.withdraw_s)
         if task is not None:
