--- a/garnethaven/membership/announcing.py
+++ b/garnethaven/membership/announcing.py
@@ -52,12 +52,12 @@
 
     # The task
 
-    def wanted_still(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether the entry shall be kept; False from the withdrawal on, so that it is not created again."""
         return self.task is not None
 
     async def _run(self) -> None:
-        while self.wanted_still():
+        while self.is_wanted():
             refused = False
             try:
                 await self.keep(self.hosts.next())
--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -54,7 +54,7 @@
         try:
             await agent.put("/v1/agent/service/register", self.service())
             check = quote(f"service:{self.id}", safe="")
-            while self.wanted_still():
+            while self.is_wanted():
                 await agent.put(f"/v1/agent/check/pass/{check}")
                 self.check_passed = True
                 self.hosts.lasted()
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -61,7 +61,7 @@
             await member.close()
 
     async def _keep(self, member: MemberClient) -> None:
-        while self.wanted_still():
+        while self.is_wanted():
             if not self.lease:
                 lease = await member.grant(self.registration.ttl_s)
                 await member.put(self.registration.key, self.value, lease)
