--- a/benchmarks/registries.py
+++ b/benchmarks/registries.py
@@ -15,7 +15,7 @@
 from garnethaven.config import Config
 from garnethaven.interface import Endpoint, ListKind
 from garnethaven.membership.catchup import CatchUp, Entry, ReportChanges
-from garnethaven.membership.entries import Entries
+from garnethaven.membership.entries import EntryConverter
 from garnethaven.membership.etcd.source import EtcdSource
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.model import Model
@@ -107,7 +107,7 @@
 
 async def cost(size: int) -> None:
     """CPU of one change, from its entry to the module's door, among so many servers."""
-    core, entries = CatchUp(True), Entries(PREFIX, Payload(Rules(), {}, {}, lambda wall: 1))
+    core, entries = CatchUp(True), EntryConverter(PREFIX, Payload(Rules(), {}, {}, lambda wall: 1))
     told: list[int] = []
     loop = asyncio.get_running_loop()
     merger = Merger(Model(("etcd",)), loop, lambda kind, changed: told.append(len(changed)))
--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -15,7 +15,7 @@
 FLAWS_MOST = 4_096  # remembered versions of logged entries; a forgotten version may be logged again
 
 
-class Entries:
+class EntryConverter:
     """Converts entries to facts. `prefix` is put before each key, so that the keys of two places differ."""
 
     def __init__(self, prefix: str, payload: Payload) -> None:
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -15,7 +15,7 @@
 from garnethaven.addresses import Address
 from garnethaven.membership.announcing import RegistrationTask
 from garnethaven.membership.catchup import CatchUp, ReportChanges, ReportContact, SyncAction
-from garnethaven.membership.entries import Entries
+from garnethaven.membership.entries import EntryConverter
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.payloads import Rules
@@ -96,7 +96,7 @@
         """Start anew for the configured location; facts of an earlier location stay until it is read."""
         self.telling.fully_read = False
         self.core = CatchUp(self.keeps_history)
-        self.entries = Entries(self.location(), self.telling.payload(self.settings.rules))
+        self.entries = EntryConverter(self.location(), self.telling.payload(self.settings.rules))
 
     def _start_following(self) -> None:
         self.task = self.loop.create_task(self._run(self.settings, self.core))
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -16,7 +16,7 @@
 
 from garnethaven.limits.budgets import ANSWER_MEMORY_SHARE, MB, MIN_LIST_BYTES, max_list_bytes
 from garnethaven.membership.catchup import Entry, ReportChanges
-from garnethaven.membership.entries import Entries
+from garnethaven.membership.entries import EntryConverter
 from garnethaven.membership.model import Model
 from garnethaven.membership.payloads import Payload, Rules
 from garnethaven.peers.table import Peers
@@ -228,7 +228,7 @@
 
 
 def test_each_of_eleven_hundred_bad_entries_of_a_registry_is_told_of_once() -> None:
-    entries = Entries("", Payload(Rules(), {}, {}, lambda wall_ms: wall_ms))
+    entries = EntryConverter("", Payload(Rules(), {}, {}, lambda wall_ms: wall_ms))
     bad = ReportChanges(
         {f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True
     )
