--- a/benchmarks/registries.py
+++ b/benchmarks/registries.py
@@ -114,14 +114,14 @@
     core.opened()
     first = core.snapshot(1, {f"n{n}": Entry(value(n, 0), 1, 1) for n in range(size)}, True)[0]
     assert isinstance(first, ReportChanges)
-    merger.change("etcd", entries.take(first, 1))
+    merger.change("etcd", entries.convert(first, 1))
     merger.flush()
     began = time.process_time()
     for number in range(CHANGES):
         at = number + 2
         (order,) = core.changes(at, [(f"n{number % size}", Entry(value(number % size, at), 1, at))])
         assert isinstance(order, ReportChanges)
-        merger.model.change("etcd", entries.take(order, at), 0.0)
+        merger.model.change("etcd", entries.convert(order, at), 0.0)
         merger.flush()
     spent = time.process_time() - began
     print(f"{size:6d} servers: {1e6 * spent / CHANGES:6.1f} us of CPU a change")
--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -26,7 +26,7 @@
         self.logged_versions: dict[tuple[str, int], None] = {}  # key and revision, oldest first
         self.unlogged: list[str] = []  # messages that are not logged yet
 
-    def take(self, changes: ReportChanges, wall_ms: int) -> dict[str, Fact | None]:
+    def convert(self, changes: ReportChanges, wall_ms: int) -> dict[str, Fact | None]:
         """The facts of the changed keys; None: the key was removed or its value is unusable."""
         facts = self.creations.update(changes, wall_ms)
         return {self.prefix + key: fact for key, fact in facts.items()}
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -196,7 +196,7 @@
         return remaining
 
     def _publish(self, update: ReportChanges) -> None:
-        facts = self.entries.take(update, self.telling.wall_ms())
+        facts = self.entries.convert(update, self.telling.wall_ms())
         if update.whole:
             facts = self.telling.initial_removals(facts) | facts
         if facts:
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -233,7 +233,7 @@
         {f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True
     )
     for _ in range(2):  # as after a reconnect, which reads all of them again
-        entries.take(bad, 0)
+        entries.convert(bad, 0)
     assert entries.flaws.total() == SERVERS
 
 
