--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -48,7 +48,7 @@
         self.flaws[reason] += 1
         self.unlogged.append(f"{key[:100]!r}: {reason}")
 
-    def say(self) -> str:
+    def take_log_line(self) -> str:
         """One line of the messages that are not logged yet; empty if there are none."""
         unlogged, self.unlogged = self.unlogged, []
         if not unlogged:
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -201,6 +201,6 @@
             facts = self.telling.initial_removals(facts) | facts
         if facts:
             self.telling.merger.change(self.name, facts)
-        flaws = self.entries.say()
+        flaws = self.entries.take_log_line()
         if flaws:
             self.telling.log_limited("flaw", f"{self.name}: {flaws}; not used")
