--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -57,7 +57,7 @@
             while self.is_wanted():
                 await agent.put(f"/v1/agent/check/pass/{check}")
                 self.check_passed = True
-                self.hosts.lasted()
+                self.hosts.reset_backoff()
                 await asyncio.sleep(self.registration.ttl_s / KEEPALIVES_PER_TTL)
         finally:
             self.agent, self.check_passed = None, False
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -66,7 +66,7 @@
                 lease = await member.grant(self.registration.ttl_s)
                 await member.put(self.registration.key, self.value, lease)
                 self.lease = lease
-                self.hosts.lasted()
+                self.hosts.reset_backoff()
             await asyncio.sleep(self.registration.ttl_s / KEEPALIVES_PER_TTL)
             if not await member.keep_alive(self.lease):
                 self.lease = 0
--- a/garnethaven/membership/hosts.py
+++ b/garnethaven/membership/hosts.py
@@ -55,6 +55,6 @@
         self.failures += 1
         return self.rng.random() * span_s + (REFUSED_PAUSE_S if refused else 0.0)
 
-    def lasted(self) -> None:
+    def reset_backoff(self) -> None:
         """Reset the backoff, because a session has lasted long enough."""
         self.failures = 0
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -175,7 +175,7 @@
             except Exception as fault:  # a bug: keep the last list and try the next endpoint
                 self._endpoint_lost(catch_up, f"internal error: {fault!r}")
             if self.loop.time() - started_at > STABLE_AFTER_S:
-                hosts.lasted()
+                hosts.reset_backoff()
             await asyncio.sleep(hosts.wait_s(refused))
 
     def _endpoint_lost(self, catch_up: CatchUp, reason: str) -> None:
--- a/garnethaven/membership/zookeeper/client.py
+++ b/garnethaven/membership/zookeeper/client.py
@@ -188,7 +188,7 @@
         if self.tick_timer is not None:
             self.tick_timer.cancel()
         if self.up_at and self.loop.time() - self.up_at > self.session.timeout_s:
-            self.hosts.lasted()
+            self.hosts.reset_backoff()
         self.up_at = 0.0
         for event in self.session.closed():
             self.user.event(event)
--- a/tests/membership/test_hosts.py
+++ b/tests/membership/test_hosts.py
@@ -37,7 +37,7 @@
     assert max(waits) <= HOST_MAX_WAIT_S
     assert max(waits[50:]) > 4.0
     assert min(waits[50:]) < 0.5  # full jitter
-    hosts.lasted()
+    hosts.reset_backoff()
     assert hosts.wait_s() <= 0.5
 
 
