--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -55,7 +55,7 @@
 
     address: Address
     entry: Endpoint
-    born: int = 0  # position in the source's order of creations; the largest is the newest
+    creation: int = 0  # position in the source's order of creations; the largest is the newest
     proof: int = 0  # start time reported by the server itself, in the source's unit; 0: none
 
 
--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -180,7 +180,7 @@
         fact = self._fact_of(name, event)
         if fact is None:
             self.names.drop(name)
-        elif not self.names.accept(name, fact.born):
+        elif not self.names.accept(name, fact.creation):
             return Outcome(host_lags=True)
         if name in self.names_to_reread:
             self.names_to_reread.discard(name)
--- a/tests/membership/test_payloads.py
+++ b/tests/membership/test_payloads.py
@@ -58,7 +58,7 @@
     entry = fact.entry
     assert fact.address == ("10.0.0.1", 80)
     assert (entry.zone, entry.kind, entry.cell, entry.relative_capacity) == (1, 1, 4, 2.5)
-    assert (entry.state, entry.started, fact.born, fact.proof) == (State.UP, 50_000, 42, 5000)
+    assert (entry.state, entry.started, fact.creation, fact.proof) == (State.UP, 50_000, 42, 5000)
     assert read(OWN | {"phase": "DRAINING"}).entry.state is State.DRAINING
     assert read(OWN | {"phase": None}).entry.state is State.DRAINING
 
