--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -56,7 +56,7 @@
     address: Address
     entry: Endpoint
     creation: int = 0  # position in the source's order of creations; the largest is the newest
-    proof: int = 0  # start time reported by the server itself, in the source's unit; 0: none
+    process_start: int = 0  # start time reported by the server itself, in the source's unit; 0: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -201,7 +201,9 @@
             if successor is not None:
                 self.moved += 1
                 fact = facts[successor]
-                same_process = not fact.proof or not record.fact.proof or fact.proof == record.fact.proof
+                same_process = (
+                    not fact.proof or not record.fact.process_start or fact.proof == record.fact.process_start
+                )
                 started = record.started if same_process else max(fact.entry.started, record.started)
                 # From here on the successor's fact identifies the process.
                 record = self.records[address] = ServerRecord(successor, fact, started)
--- a/tests/membership/test_payloads.py
+++ b/tests/membership/test_payloads.py
@@ -58,7 +58,7 @@
     entry = fact.entry
     assert fact.address == ("10.0.0.1", 80)
     assert (entry.zone, entry.kind, entry.cell, entry.relative_capacity) == (1, 1, 4, 2.5)
-    assert (entry.state, entry.started, fact.creation, fact.proof) == (State.UP, 50_000, 42, 5000)
+    assert (entry.state, entry.started, fact.creation, fact.process_start) == (State.UP, 50_000, 42, 5000)
     assert read(OWN | {"phase": "DRAINING"}).entry.state is State.DRAINING
     assert read(OWN | {"phase": None}).entry.state is State.DRAINING
 
@@ -66,7 +66,7 @@
 def test_without_a_start_the_nodes_creation_counts_and_proves_nothing() -> None:
     document = {key: value for key, value in OWN.items() if key != "up_since_ms"}
     fact = read(document)
-    assert (fact.entry.started, fact.proof) == (90_000, 0)
+    assert (fact.entry.started, fact.process_start) == (90_000, 0)
 
 
 def test_curators_form_with_a_map() -> None:
@@ -74,7 +74,7 @@
     fact = read(CURATOR, form="curator", places=places)
     entry = fact.entry
     assert (fact.address, entry.zone, entry.cell, entry.relative_capacity) == (("10.0.0.1", 80), 1, 4, 2.5)
-    assert (entry.state, fact.proof, entry.started) == (State.UP, 0, 90_000)
+    assert (entry.state, fact.process_start, entry.started) == (State.UP, 0, 90_000)
     assert read(CURATOR, form="curator", secure=True).address == ("10.0.0.1", 443)
     assert read(CURATOR | {"enabled": False}, form="curator").entry.state is State.DRAINING
     marked = read(CURATOR, form="curator", places={"drain": "payload.leaving"})
