--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -151,7 +151,7 @@
         for key, fact in facts.items():
             self.dirty |= source.set_fact(key, fact)
 
-    def lost(self, name: str, now: float) -> None:
+    def contact_lost(self, name: str, now: float) -> None:
         """Contact with a source is lost: its facts stay."""
         source = self.sources[name]
         if source.lost_at is None:
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -159,8 +159,8 @@
 def test_lost_contact_drops_nothing_and_has_an_age() -> None:
     world = World()
     world.change(Z, n1=fact(A))
-    world.model.lost(Z, 10.0)
-    world.model.lost(Z, 12.0)
+    world.model.contact_lost(Z, 10.0)
+    world.model.contact_lost(Z, 12.0)
     assert world.model.take_changes() == []
     assert world.up() == {A}
     assert world.model.age_s(Z, 15.0) == 5.0
--- a/tests/membership/test_several.py
+++ b/tests/membership/test_several.py
@@ -57,7 +57,7 @@
     model = model_of_registries(moves=[("etcd", "consul")])
     model.change("etcd", {"a": fact(5)}, 0.0)
     model.change("consul", {"a": fact(900)}, 0.0)
-    model.lost("consul", 0.5)
+    model.contact_lost("consul", 0.5)
     model.take_changes()
     model.change("etcd", {"a": None}, 1.0)
     removed = single_change(model)
