--- a/garnethaven/membership/merger.py
+++ b/garnethaven/membership/merger.py
@@ -63,7 +63,7 @@
         else:
             known = {key: fact for key, fact in facts.items() if fact is not None}
             self.model.snapshot(DISCOVERY, known, self.loop.time())
-        self.model.regained(DISCOVERY)
+        self.model.contact_regained(DISCOVERY)
         self.flush()  # the engine waits for discovery's answer, even if nothing changed
 
     # Passing changes on
--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -157,7 +157,7 @@
         if source.lost_at is None:
             source.lost_at = now
 
-    def regained(self, name: str) -> None:
+    def contact_regained(self, name: str) -> None:
         self.sources[name].lost_at = None
 
     def age_s(self, name: str, now: float) -> float:
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -164,7 +164,7 @@
     assert world.model.take_changes() == []
     assert world.up() == {A}
     assert world.model.age_s(Z, 15.0) == 5.0
-    world.model.regained(Z)
+    world.model.contact_regained(Z)
     assert world.model.age_s(Z, 15.0) == 0.0
 
 
