--- a/garnethaven/membership/merger.py
+++ b/garnethaven/membership/merger.py
@@ -38,7 +38,7 @@
         self.batches = Batches()
         self.timer: asyncio.TimerHandle | None = None
         self.batch_count = 0
-        self.changed: list[Callable[[], None]] = []  # callbacks, called after each flush
+        self.flush_callbacks: list[Callable[[], None]] = []  # callbacks, called after each flush
 
     # Sources
 
@@ -89,7 +89,7 @@
         self._log_mass_removal(changed, count_before)
         self.batch_count += 1
         self.batches.done(started_at, self.loop.time())
-        for callback in self.changed:
+        for callback in self.flush_callbacks:
             callback()
 
     def _log_mass_removal(self, changed: list[Member], total: int) -> None:
