--- a/garnethaven/membership/call_schedule.py
+++ b/garnethaven/membership/call_schedule.py
@@ -108,7 +108,7 @@
     min_pause_s: float
 
     @classmethod
-    def asked(cls, overdue_s: float, ask_within_s: float, fleet_size: int) -> CallTiming:
+    def for_service(cls, overdue_s: float, ask_within_s: float, fleet_size: int) -> CallTiming:
         """Timing for a discovery service shared by `fleet_size` instances.
 
         `ask_within_s` is the time after which a change counts as known to an instance that did not ask; 0 if
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -127,7 +127,7 @@
         if self.pushed:
             timing = CallTiming.pushed(overdue_s)
         else:
-            timing = CallTiming.asked(overdue_s, ask_within_s, fleet_size)
+            timing = CallTiming.for_service(overdue_s, ask_within_s, fleet_size)
         self.schedule = CallSchedule(timing, self.fresh.watch_wait_s, Random(config.seed))
         self.calls: dict[int, ListCall] = {}  # by number; calls neither answered nor ended
         self.timer: asyncio.TimerHandle | None = None  # fires when the schedule is due
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -76,7 +76,7 @@
     """For any schedule, three calls begin within the time limit, the last of them at least 1 s before it."""
     fresh = ListFreshness(size, float(ask_within_s))
     for seed in range(20):
-        timing = CallTiming.asked(fresh.overdue_s, float(ask_within_s), size)
+        timing = CallTiming.for_service(fresh.overdue_s, float(ask_within_s), size)
         schedule = CallSchedule(timing, fresh.watch_wait_s, Random(seed))
         (fetch,) = schedule.start(0.0, 0.0)
         (watch,) = schedule.answered(0.1, fetch.number, changed=False)
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -33,7 +33,7 @@
 def schedule_of(fleet_size: int, ask_within_s: float = 10.0, seed: int = 1) -> CallSchedule:
     fresh = ListFreshness(fleet_size, ask_within_s, seed)
     return CallSchedule(
-        CallTiming.asked(fresh.overdue_s, ask_within_s, fleet_size), fresh.watch_wait_s, Random(seed)
+        CallTiming.for_service(fresh.overdue_s, ask_within_s, fleet_size), fresh.watch_wait_s, Random(seed)
     )
 
 
