--- a/garnethaven/membership/call_schedule.py
+++ b/garnethaven/membership/call_schedule.py
@@ -127,7 +127,7 @@
         )
 
     @classmethod
-    def pushed(cls, overdue_s: float) -> CallTiming:
+    def for_agent(cls, overdue_s: float) -> CallTiming:
         """Timing for an agent on this machine, to which lists are pushed: a call to it costs nothing."""
         return cls(
             overdue_s=overdue_s,
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -125,7 +125,7 @@
         self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, MAX_WATCH_WAIT_S, self.pushed)
         overdue_s = self.fresh.overdue_s
         if self.pushed:
-            timing = CallTiming.pushed(overdue_s)
+            timing = CallTiming.for_agent(overdue_s)
         else:
             timing = CallTiming.for_service(overdue_s, ask_within_s, fleet_size)
         self.schedule = CallSchedule(timing, self.fresh.watch_wait_s, Random(config.seed))
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -293,7 +293,7 @@
 @pytest.mark.parametrize("fails", [Event.REFUSES, Event.SILENT, Event.OVERLOADED])
 def test_an_agent_is_asked_within_a_drains_grace(fails: Event) -> None:
     fresh = ListFreshness(214, 10.0, pushed=True)
-    world = World(CallSchedule(CallTiming.pushed(fresh.overdue_s), fresh.watch_wait_s, Random(1)))
+    world = World(CallSchedule(CallTiming.for_agent(fresh.overdue_s), fresh.watch_wait_s, Random(1)))
     world.execute(world.schedule.start(0.0, 0.0))
     world.run_until(3.0)
     world.apply(fails)
