--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -171,7 +171,7 @@
             list_revision=fresh.revision,
             list_behind=fresh.stale_answers,
             discovery_calls=self.discovery.calls_made,
-            discovery_extra_calls=self.discovery.extra_calls,
+            discovery_extra_calls=self.discovery.fetch_calls,
             refused_share=round(overload.refused_share, 3),
             ease=round(overload.smoothed_latency_fraction, 3),
             under_way=len(self.engine.open_ids),
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -137,7 +137,7 @@
         self.last_logged = ""
         self.last_logged_at = 0.0
         self.calls_made = 0
-        self.extra_calls = 0  # the calls among `calls_made` that are fetches, not watches
+        self.fetch_calls = 0  # the calls among `calls_made` that are fetches, not watches
         engine.watch = self.watch
         engine.report_outcome = self.contradicts
 
@@ -252,7 +252,7 @@
         call = ListCall(self, payload, action)
         self.calls[action.number] = call
         self.calls_made += 1
-        self.extra_calls += action.kind is CallKind.FETCH
+        self.fetch_calls += action.kind is CallKind.FETCH
         self.loop.call_soon(self._send, call, self.target)  # a synchronous failure needs it in `calls`
 
     def _send(self, call: ListCall, target: Target) -> None:
