--- a/garnethaven/app/sidecar.py
+++ b/garnethaven/app/sidecar.py
@@ -151,7 +151,7 @@
 
     def figures(self) -> Figures:
         """The current limits and their use."""
-        listener, fresh, pool = self.listener, self.discovery.fresh, self.transport.pool
+        listener, fresh, pool = self.listener, self.discovery.freshness, self.transport.pool
         overload = self.engine.balancer.overload
         clients = listener.counted_connections()
         return Figures(
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -122,13 +122,13 @@
         self.address = config.discovery
         self.target = Target(self.pool, self.address)
         fleet_size, ask_within_s = config.settings.fleet_size, config.settings.discovery_call_span / S
-        self.fresh = ListFreshness(fleet_size, ask_within_s, config.seed, MAX_WATCH_WAIT_S, self.pushed)
-        overdue_s = self.fresh.overdue_s
+        self.freshness = ListFreshness(fleet_size, ask_within_s, config.seed, MAX_WATCH_WAIT_S, self.pushed)
+        overdue_s = self.freshness.overdue_s
         if self.pushed:
             timing = CallTiming.for_agent(overdue_s)
         else:
             timing = CallTiming.for_service(overdue_s, ask_within_s, fleet_size)
-        self.schedule = CallSchedule(timing, self.fresh.watch_wait_s, Random(config.seed))
+        self.schedule = CallSchedule(timing, self.freshness.watch_wait_s, Random(config.seed))
         self.calls: dict[int, ListCall] = {}  # by number; calls neither answered nor ended
         self.timer: asyncio.TimerHandle | None = None  # fires when the schedule is due
         self.list_is_empty = False  # an empty list must be fetched again: a watch reports only changes
@@ -145,7 +145,7 @@
         """Hand over the list persisted by a previous process (`known`), and schedule its confirmation."""
         try:
             listed = self.reader.read_list(known)
-            self.fresh.revision, entries = listed.revision, listed.entries
+            self.freshness.revision, entries = listed.revision, listed.entries
         except ListError as problem:
             self.engine.log(f"the persisted list cannot be read, starting with an empty one: {problem}")
             entries = []
@@ -172,7 +172,7 @@
         self.address = address
         self.target.move(None)
         self.target = Target(self.pool, address)
-        self.fresh.reset_revision()
+        self.freshness.reset_revision()
         self._execute(self.schedule.move(self.loop.time()))
 
     def watch(self) -> None:
@@ -184,12 +184,12 @@
     def contradicts(self, endpoint: int, outcome: Outcome) -> None:
         """Record an outcome at a listed server that contradicts the list; fetch the list if justified."""
         kind = EVIDENCE.get(outcome)
-        delay = self.fresh.record_evidence(self.loop.time(), endpoint, kind) if kind is not None else None
+        delay = self.freshness.record_evidence(self.loop.time(), endpoint, kind) if kind is not None else None
         if delay is not None:
             self.loop.call_later(delay, self._fetch_if_needed)
 
     def _fetch_if_needed(self) -> None:
-        if not self.fresh.is_call_needed():
+        if not self.freshness.is_call_needed():
             return
         spending = self.engine.spending
         if spending is None or spending.may_spend(Spend.DISCOVERY):
@@ -205,7 +205,7 @@
         """Schedule another fetch while the list is empty, also after a fetch that failed."""
         if self.list_is_empty and self.empty_list_timer is None:
             self.empty_list_timer = self.loop.call_later(
-                self.fresh.empty_list_retry_s(), self._fetch_if_empty
+                self.freshness.empty_list_retry_s(), self._fetch_if_empty
             )
 
     def _fetch_if_empty(self) -> None:
@@ -241,11 +241,11 @@
         self.timer = self.loop.call_later(LATE_ANSWER_S, self._advance)
 
     def _advance(self) -> None:
-        self.schedule.watch_wait_s = self.fresh.watch_wait_s
+        self.schedule.watch_wait_s = self.freshness.watch_wait_s
         self._execute(self.schedule.advance(self.loop.time()))
 
     def _begin(self, action: BeginCall) -> None:
-        query = b"?after=%d&wait_ms=%d" % (self.fresh.revision, int(action.wait_s * 1000))
+        query = b"?after=%d&wait_ms=%d" % (self.freshness.revision, int(action.wait_s * 1000))
         host = b"%s:%d" % (self.address[0].encode(), self.address[1])
         path = b"/api/targets%s" % (b"" if action.full else query)
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
@@ -282,11 +282,11 @@
             self._failed(call, Failure.REJECTED)
             return
         revision, complete, entries = listed.revision, listed.complete, listed.entries
-        verdict = self.fresh.classify_answer(now, revision, complete, len(entries))
+        verdict = self.freshness.classify_answer(now, revision, complete, len(entries))
         self.list_is_empty = not entries and (verdict is AnswerAction.APPLY_AND_REFETCH or self.list_is_empty)
         if verdict is AnswerAction.IGNORE_STALE:
             self._log(
-                f"revision {revision} is older than {self.fresh.revision}: ignored, the full list is fetched"
+                f"revision {revision} is older than {self.freshness.revision}: ignored, the full list is fetched"
             )
             self._failed(call, Failure.BEHIND)
             return
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -59,7 +59,7 @@
     env.discovery.publish(server.member() for server in await env.add(servers))
     env.sidecar = Sidecar([])
     client: Client = env.sidecar.discovery
-    client.fresh.watch_wait_s = wait_s
+    client.freshness.watch_wait_s = wait_s
     client.move(("127.0.0.1", env.discovery.port))
     try:
         await wait_until(lambda: len(env.names()) == servers)
