--- a/garnethaven/membership/zookeeper/following.py
+++ b/garnethaven/membership/zookeeper/following.py
@@ -31,7 +31,7 @@
 from garnethaven.membership.zookeeper.session import Event, ReplyReceived, WatchEvent
 
 MAX_READS_IN_FLIGHT = 64  # enough to fill the connection, few enough not to delay watch events
-MEMBERS_MOST = 20_000
+MAX_MEMBERS = 20_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -161,9 +161,9 @@
             )
             return Outcome(error=f"{self.root} {reason}")
         names = Reader(event.body).strings()
-        if len(names) > MEMBERS_MOST:
+        if len(names) > MAX_MEMBERS:
             self._flaw("too many nodes", self.root)
-            names = sorted(names)[:MEMBERS_MOST]
+            names = sorted(names)[:MAX_MEMBERS]
         listed = set(names)
         outcome = Outcome()
         outcome.facts = dict.fromkeys(self.names.remove_absent(listed))
