--- a/garnethaven/membership/etcd/answers.py
+++ b/garnethaven/membership/etcd/answers.py
@@ -10,7 +10,7 @@
 
 DELETE = 1
 PROGRESS_ID = -1  # the watch id of answers to progress requests
-FRAGMENTS_MOST = 10_000  # events buffered until the last fragment; above it the watch is ended
+MAX_FRAGMENT_EVENTS = 10_000  # events buffered until the last fragment; above it the watch is ended
 
 Change = tuple[str, Entry | None]
 
@@ -39,7 +39,7 @@
             return self.catch_up.watching(answer.header.revision)
         self.fragments += answer.events
         if answer.fragment:
-            if len(self.fragments) > FRAGMENTS_MOST:
+            if len(self.fragments) > MAX_FRAGMENT_EVENTS:
                 raise WatchEnded("one revision has too many changes")
             return []
         if not self.fragments:
