--- a/garnethaven/membership/zookeeper/client.py
+++ b/garnethaven/membership/zookeeper/client.py
@@ -92,7 +92,7 @@
         self.user = user
         self.tls = tls
         self.tls_name = tls_name
-        self.wire: Connection | None = None
+        self.connection: Connection | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
         self.tick_timer: asyncio.TimerHandle | None = None
@@ -114,13 +114,13 @@
 
     def flush(self) -> None:
         """Write the queued requests and set the timer for the next ping or the silence limit."""
-        wire = self.wire
+        wire = self.connection
         if wire is None or wire.transport is None:
             return
         output = self.session.take_output(self.loop.time())
         if output:
             wire.transport.write(output)
-        if self.wire is wire:  # `write` may have dropped the connection because of a full buffer
+        if self.connection is wire:  # `write` may have dropped the connection because of a full buffer
             self._set_tick_timer()
 
     async def close(self) -> None:
@@ -131,12 +131,12 @@
                 timer.cancel()
         if self.connect_task is not None:
             self.connect_task.cancel()
-        if self.wire is not None and self.session.state is State.UP:
+        if self.connection is not None and self.session.state is State.UP:
             self.session.request(Op.CLOSE, b"", None)
             self.flush()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(asyncio.shield(self.connection_ended), CLOSE_TIMEOUT_S)
-        wire, self.wire = self.wire, None
+        wire, self.connection = self.connection, None
         if wire is not None:
             wire.abort()
 
@@ -158,15 +158,15 @@
                 )
         except (OSError, TimeoutError) as error:
             self.connect_task = None
-            if self.wire is None:
+            if self.connection is None:
                 self._schedule_reconnect(f"{host}:{port} can't be reached: {str(error) or 'timed out'}")
 
     def connected(self, wire: Connection) -> None:
         self.connect_task = None
-        if self.closing or self.wire is not None:
+        if self.closing or self.connection is not None:
             wire.abort()
             return
-        self.wire = wire
+        self.connection = wire
         self.connects += 1
         self.session.connect(self.loop.time())
         self.flush()
@@ -182,7 +182,7 @@
 
     def drop_connection(self, reason: str, refused: bool = False) -> None:
         """Drop the connection: its pending requests are lost, the session may be resumed on another."""
-        wire, self.wire = self.wire, None
+        wire, self.connection = self.connection, None
         if wire is not None:
             wire.abort()
         if self.tick_timer is not None:
@@ -223,7 +223,7 @@
         self.tick_timer = self.loop.call_at(self.session.next_tick_at(), self._tick)
 
     def _tick(self) -> None:
-        if self.wire is None:
+        if self.connection is None:
             return
         for event in self.session.tick(self.loop.time()):
             if isinstance(event, HostUnusable):
