--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -95,11 +95,11 @@
     def _reset(self) -> None:
         """Start anew for the configured location; facts of an earlier location stay until it is read."""
         self.telling.fully_read = False
-        self.core = CatchUp(self.keeps_history)
+        self.catch_up = CatchUp(self.keeps_history)
         self.entries = EntryConverter(self.location(), self.telling.payload(self.settings.rules))
 
     def _start_following(self) -> None:
-        self.task = self.loop.create_task(self._run(self.settings, self.core))
+        self.task = self.loop.create_task(self._run(self.settings, self.catch_up))
 
     def registers(self, address: Address) -> None:
         if self.own is not None:
@@ -143,7 +143,7 @@
         self.telling.close()
 
     def figures(self) -> dict[str, object]:
-        catch_up = self.core
+        catch_up = self.catch_up
         figures: dict[str, object] = {
             "servers": len(self.telling.facts()),
             "standing": catch_up.sync_state.value,
