--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -60,7 +60,7 @@
         self.settings = settings
         self.loop = loop
         self.rng = Random(seed)
-        self.telling = SourceOutput(self.name, merger, loop, names, log, settings.cache)
+        self.output = SourceOutput(self.name, merger, loop, names, log, settings.cache)
         self._reset()
         self.task: asyncio.Task[None] | None = None
         self.stopping_tasks: set[asyncio.Task[None]] = set()
@@ -88,15 +88,15 @@
     # Life cycle
 
     def start(self) -> None:
-        self.telling.load_cache()
-        self.telling.set_contact(False)
+        self.output.load_cache()
+        self.output.set_contact(False)
         self._start_following()
 
     def _reset(self) -> None:
         """Start anew for the configured location; facts of an earlier location stay until it is read."""
-        self.telling.fully_read = False
+        self.output.fully_read = False
         self.catch_up = CatchUp(self.keeps_history)
-        self.entries = EntryConverter(self.location(), self.telling.payload(self.settings.rules))
+        self.entries = EntryConverter(self.location(), self.output.payload(self.settings.rules))
 
     def _start_following(self) -> None:
         self.task = self.loop.create_task(self._run(self.settings, self.catch_up))
@@ -108,7 +108,7 @@
         self.own = self.announce(address, Random(self.rng.random())) if registration is not None else None
 
     def log_registration(self, text: str) -> None:
-        self.telling.log_limited("register", f"{self.name}: {text}")
+        self.output.log_limited("register", f"{self.name}: {text}")
 
     async def withdraw(self) -> None:
         if self.own is not None:
@@ -140,15 +140,15 @@
         for task in list(self.stopping_tasks):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-        self.telling.close()
+        self.output.close()
 
     def figures(self) -> dict[str, object]:
         catch_up = self.catch_up
         figures: dict[str, object] = {
-            "servers": len(self.telling.facts()),
+            "servers": len(self.output.facts()),
             "standing": catch_up.sync_state.value,
             "revision": catch_up.revision,
-            "age_s": round(self.telling.age_s(), 3),
+            "age_s": round(self.output.age_s(), 3),
             "answers_behind": catch_up.outdated_answers,
             "histories_begun_anew": catch_up.history_restarts,
             "left_out": catch_up.excess_entries,
@@ -180,8 +180,8 @@
 
     def _endpoint_lost(self, catch_up: CatchUp, reason: str) -> None:
         self.carry_out(catch_up.lost())
-        age = self.telling.age_s()
-        self.telling.log_limited("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
+        age = self.output.age_s()
+        self.output.log_limited("down", f"{self.name}: {reason}; the last list is kept, {age:.1f} s old")
 
     def carry_out(self, orders: list[SyncAction]) -> list[SyncAction]:
         """Execute the orders that need no endpoint and return the others."""
@@ -190,17 +190,17 @@
             if isinstance(order, ReportChanges):
                 self._publish(order)
             elif isinstance(order, ReportContact):
-                self.telling.set_contact(order.good)
+                self.output.set_contact(order.good)
             else:
                 remaining.append(order)
         return remaining
 
     def _publish(self, update: ReportChanges) -> None:
-        facts = self.entries.convert(update, self.telling.wall_ms())
+        facts = self.entries.convert(update, self.output.wall_ms())
         if update.whole:
-            facts = self.telling.initial_removals(facts) | facts
+            facts = self.output.initial_removals(facts) | facts
         if facts:
-            self.telling.merger.change(self.name, facts)
+            self.output.merger.change(self.name, facts)
         flaws = self.entries.take_log_line()
         if flaws:
-            self.telling.log_limited("flaw", f"{self.name}: {flaws}; not used")
+            self.output.log_limited("flaw", f"{self.name}: {flaws}; not used")
