--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -64,7 +64,7 @@
         self._reset()
         self.task: asyncio.Task[None] | None = None
         self.stopping_tasks: set[asyncio.Task[None]] = set()
-        self.own: RegistrationTask | None = None
+        self.announcement: RegistrationTask | None = None
         self.connects = 0
 
     # Implemented by each kind of registry
@@ -102,17 +102,19 @@
         self.task = self.loop.create_task(self._run(self.settings, self.catch_up))
 
     def registers(self, address: Address) -> None:
-        if self.own is not None:
-            self.own.stop()
+        if self.announcement is not None:
+            self.announcement.stop()
         registration = self.settings.register
-        self.own = self.announce(address, Random(self.rng.random())) if registration is not None else None
+        self.announcement = (
+            self.announce(address, Random(self.rng.random())) if registration is not None else None
+        )
 
     def log_registration(self, text: str) -> None:
         self.output.log_limited("register", f"{self.name}: {text}")
 
     async def withdraw(self) -> None:
-        if self.own is not None:
-            await self.own.withdraw()
+        if self.announcement is not None:
+            await self.announcement.withdraw()
 
     def reload(self, settings: S, address: Address) -> None:
         """Follow the changed settings. Known servers stay until the new location has been read completely."""
@@ -135,8 +137,8 @@
 
     async def close(self) -> None:
         self._stop()
-        if self.own is not None:
-            self.own.stop()
+        if self.announcement is not None:
+            self.announcement.stop()
         for task in list(self.stopping_tasks):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
@@ -155,8 +157,8 @@
             "flaws": dict(self.entries.flaws),
             "connects": self.connects,
         }
-        if self.own is not None:
-            figures["registered"] = self.own.there
+        if self.announcement is not None:
+            figures["registered"] = self.announcement.there
         return figures | self.extra_figures()
 
     # Following endpoints
