--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -50,14 +50,14 @@
     def __init__(self) -> None:
         self.module: dict[int, Endpoint] = {}
         self.handed_over = 0
-        self.told: list[list[Endpoint]] = []
+        self.received_deltas: list[list[Endpoint]] = []
         self.log: list[str] = []
         self.sources: Sources | None = None
 
     def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Any]]) -> None:
         assert kind is ListKind.DELTA
         self.handed_over += 1
-        self.told.append([entry for entry, _ in entries])
+        self.received_deltas.append([entry for entry, _ in entries])
         for entry, _ in entries:
             if entry.state is State.REMOVED:
                 self.module.pop(entry.id, None)
