--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -48,7 +48,7 @@
     """The followed sources, the resulting servers, and the log lines."""
 
     def __init__(self) -> None:
-        self.module: dict[int, Endpoint] = {}
+        self.known_endpoints: dict[int, Endpoint] = {}
         self.handed_over = 0
         self.received_deltas: list[list[Endpoint]] = []
         self.log: list[str] = []
@@ -60,9 +60,9 @@
         self.received_deltas.append([entry for entry, _ in entries])
         for entry, _ in entries:
             if entry.state is State.REMOVED:
-                self.module.pop(entry.id, None)
+                self.known_endpoints.pop(entry.id, None)
             else:
-                self.module[entry.id] = entry
+                self.known_endpoints[entry.id] = entry
 
     def follow_table(self, settings: Membership, seed: int = 1) -> None:
         loop = asyncio.get_running_loop()
@@ -80,13 +80,15 @@
     def up(self) -> set[int]:
         """The numbers of the servers whose state is UP."""
         known = {number_of(address(number)): number for number in self.numbers()}
-        return {known[server_id] for server_id, entry in self.module.items() if entry.state is State.UP}
+        return {
+            known[server_id] for server_id, entry in self.known_endpoints.items() if entry.state is State.UP
+        }
 
     async def sees(self, *numbers: int) -> None:
         await wait_until(lambda: self.up() == set(numbers))
 
     def entry(self, number: int) -> Endpoint:
-        return self.module[number_of(address(number))]
+        return self.known_endpoints[number_of(address(number))]
 
     async def close(self) -> None:
         if self.sources is not None:
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -194,12 +194,14 @@
         made = World(cluster)
         made.appear(*range(5000))
         made.follow_table(Membership(etcd=made.settings()))
-        await wait_until(lambda: len(made.module) == 5000)
+        await wait_until(lambda: len(made.known_endpoints) == 5000)
         for number in range(200):
             made.appear(number, phase="DRAINING")
             await asyncio.sleep(0.004)
         draining = State.DRAINING
-        await wait_until(lambda: sum(entry.state is draining for entry in made.module.values()) == 200)
+        await wait_until(
+            lambda: sum(entry.state is draining for entry in made.known_endpoints.values()) == 200
+        )
         assert made.etcd.reads == 1
         await made.close()
         await cluster.close()
