--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -95,7 +95,7 @@
             await self.sources.close()
 
 
-async def holds(condition: Callable[[], bool], seconds: float) -> None:
+async def stays_true(condition: Callable[[], bool], seconds: float) -> None:
     """Assert that the condition stays true for this many seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -26,7 +26,7 @@
 from garnethaven.membership.table import Consul, ConsulHost, ConsulRegistration, Membership
 from standins.consul.cluster import Cluster
 from tests.loopback import run, wait_until
-from tests.membership.estate import Estate, address, holds, payload
+from tests.membership.estate import Estate, address, payload, stays_true
 
 
 class World(Estate):
@@ -109,7 +109,7 @@
                 agent.stop()
             await made.vanish(2, 3)
             await made.appear(3)
-            await holds(lambda: made.up() == {1, 2, 3}, 0.2)
+            await stays_true(lambda: made.up() == {1, 2, 3}, 0.2)
             for agent in made.cluster.agents:
                 await agent.start()
             await wait_until(lambda: made.up() == {1, 3} and made.entry(3).started > first_start)
@@ -196,7 +196,7 @@
             agent.cut()
             await made.vanish(1)
             await wait_until(lambda: any(f"status {status}" in line for line in made.log))
-            await holds(lambda: made.up() == {1, 2}, 0.3)
+            await stays_true(lambda: made.up() == {1, 2}, 0.3)
             agent.status = 0
             await made.sees(2)
             assert made.consul.connects - connects < 40
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -20,7 +20,7 @@
 from garnethaven.membership.table import Etcd, EtcdHost, EtcdRegistration, Membership, Tls
 from standins.etcd.cluster import Cluster, Member
 from tests.loopback import run, wait_until
-from tests.membership.estate import Estate, address, holds, payload
+from tests.membership.estate import Estate, address, payload, stays_true
 
 PREFIX = "/checks/"
 
@@ -94,7 +94,7 @@
                 member.go()
             made.vanish(2)
             made.appear(4)
-            await holds(lambda: made.up() == {1, 2, 3}, 0.2)  # an unreachable registry removes nothing
+            await stays_true(lambda: made.up() == {1, 2, 3}, 0.2)  # an unreachable registry removes nothing
             reads = made.etcd.reads
             for member in made.cluster.members:
                 member.down = False
