--- a/tests/membership/estate.py
+++ b/tests/membership/estate.py
@@ -49,14 +49,14 @@
 
     def __init__(self) -> None:
         self.known_endpoints: dict[int, Endpoint] = {}
-        self.handed_over = 0
+        self.delta_count = 0
         self.received_deltas: list[list[Endpoint]] = []
         self.log: list[str] = []
         self.sources: Sources | None = None
 
     def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Any]]) -> None:
         assert kind is ListKind.DELTA
-        self.handed_over += 1
+        self.delta_count += 1
         self.received_deltas.append([entry for entry, _ in entries])
         for entry, _ in entries:
             if entry.state is State.REMOVED:
