--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -261,7 +261,7 @@
 
     # Incoming messages
 
-    def came(self, now: int, message: Message, source: str) -> list[Out]:
+    def receive(self, now: int, message: Message, source: str) -> list[Out]:
         """Process a message from address `source`; return the messages to send."""
         for update in message.updates:
             self.members.apply_update(now, update)
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -214,7 +214,7 @@
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
             self.dropped[DropReason.MALFORMED] += 1
             return
-        self._send(self.peer.came(now, message, address_text(source)))
+        self._send(self.peer.receive(now, message, address_text(source)))
 
     # Shutdown
 
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -77,7 +77,7 @@
 def test_an_answer_that_nobody_asked_for_has_no_age_and_is_dropped() -> None:
     member = peer("a")
     answer = Answer(4711, "b", 9, 0, 1, 1, [AgedRow(0, Row("b", 1, 5, 3))])
-    assert member.came(S, answer, "b") == []
+    assert member.receive(S, answer, "b") == []
     assert "b" not in member.rows.kept
 
 
@@ -87,7 +87,7 @@
     request = UNPACK(out.body)
     assert isinstance(request, SyncRequest)
     answer = Answer(request.nonce, out.at, 9, 0, 1, 1, [AgedRow(250, Row(out.at, 1, 5, 3))])
-    member.came(S + 1500 * 1_000_000, answer, out.at)
+    member.receive(S + 1500 * 1_000_000, answer, out.at)
     assert member.rows.age(S + 1500 * 1_000_000, out.at) == 1750 * 1_000_000
 
 
@@ -117,7 +117,7 @@
     outs = [out for out in requester.tick(S) if out.at == "a"] or [
         Out("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
-    answers = responder.came(S, UNPACK(outs[0].body), "b")
+    answers = responder.receive(S, UNPACK(outs[0].body), "b")
     assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= BODY_MOST for out in answers)
     first = UNPACK(answers[0].body)
     assert isinstance(first, Answer) and first.rows[0].row.name == "x399"
