--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -19,7 +19,7 @@
 
 from garnethaven.budgets.lending import Budget, Lending
 from garnethaven.gossip.spread import horizon_s, period_of
-from garnethaven.peers.conversation import UNPACK, Out, Peer
+from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
 from garnethaven.peers.membership import Rules
 from rigs.budgets import PER_S, SHARE, Stage, table
 from rigs.stage import keeping_book
@@ -85,7 +85,7 @@
         lending[name].join(peers[name])
     sent = 0
 
-    def carry(source: str, outs: list[Out]) -> None:
+    def carry(source: str, outs: list[OutgoingMessage]) -> None:
         nonlocal sent
         for out in outs:
             sent += len(out.body)
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -96,7 +96,7 @@
 UNPACK = msgspec.msgpack.Decoder(Message).decode
 
 
-class Out(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """One message to send."""
 
     at: str
@@ -189,7 +189,7 @@
 
     # Periodic steps
 
-    def tick(self, now: int) -> list[Out]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Publish the next heartbeat; return the sync requests of this period."""
         self.muted_this_period = self.mute(now)
         if not self.muted_this_period:
@@ -201,15 +201,17 @@
         requests = self._topic_requests(now)
         first_extra = len(probes) - self.members.extra
         return [
-            Out(probe.at, PACK(self._sync_request(probe, requests=requests, with_rows=index < first_extra)))
+            OutgoingMessage(
+                probe.at, PACK(self._sync_request(probe, requests=requests, with_rows=index < first_extra))
+            )
             for index, probe in enumerate(probes)
         ]
 
-    def leave(self, now: int) -> list[Out]:
+    def leave(self, now: int) -> list[OutgoingMessage]:
         """Announce a planned shutdown to the members of the next round."""
         updates = [self.members.leave_update(self.heartbeat)]
         probes = self.members.tick(now)
-        return [Out(probe.at, PACK(self._sync_request(probe, updates))) for probe in probes]
+        return [OutgoingMessage(probe.at, PACK(self._sync_request(probe, updates))) for probe in probes]
 
     def _make_row(self, now: int) -> Row:
         packed_values = {name: PACK(topic.make_value(now)) for name, topic in self.topics.items()}
@@ -261,7 +263,7 @@
 
     # Incoming messages
 
-    def receive(self, now: int, message: Message, source: str) -> list[Out]:
+    def receive(self, now: int, message: Message, source: str) -> list[OutgoingMessage]:
         """Process a message from address `source`; return the messages to send."""
         for update in message.updates:
             self.members.apply_update(now, update)
@@ -272,7 +274,7 @@
         self._apply_changes()
         return outgoing
 
-    def _handle_request(self, now: int, request: SyncRequest, source: str) -> list[Out]:
+    def _handle_request(self, now: int, request: SyncRequest, source: str) -> list[OutgoingMessage]:
         if request.name != self.own:
             self.members.record_heartbeat(
                 now, request.name, request.incarnation, request.heartbeat, request.at
@@ -282,7 +284,10 @@
             return self._forward_probe(now, request, target.name, source)
         since = request.since if request.serial_process == self.process or request.since == NO_ROWS else 0
         topic_answers = self._topic_answers(now, request)
-        return [Out(source, body) for body in self._pack_answers(now, request.nonce, since, topic_answers)]
+        return [
+            OutgoingMessage(source, body)
+            for body in self._pack_answers(now, request.nonce, since, topic_answers)
+        ]
 
     def _topic_answers(self, now: int, request: SyncRequest) -> dict[str, msgspec.Raw]:
         """Answers to the requester's topic requests; a value handed over is deducted here even if lost."""
@@ -300,7 +305,9 @@
                 answers[name] = msgspec.Raw(PACK(answer))
         return answers
 
-    def _forward_probe(self, now: int, request: SyncRequest, about: str, source: str) -> list[Out]:
+    def _forward_probe(
+        self, now: int, request: SyncRequest, about: str, source: str
+    ) -> list[OutgoingMessage]:
         """Probe a third member for one that can't reach it; the answer is sent on when it arrives."""
         probe = self.members.probe_for(now, about)
         if probe is None:
@@ -308,7 +315,7 @@
         self.forwarded_probes[probe.nonce] = (source, request.nonce)
         if len(self.forwarded_probes) > MAX_FORWARDED_PROBES:
             del self.forwarded_probes[next(iter(self.forwarded_probes))]
-        return [Out(probe.at, PACK(self._sync_request(probe)))]
+        return [OutgoingMessage(probe.at, PACK(self._sync_request(probe)))]
 
     def _pack_answers(
         self, now: int, nonce: int, since: int, topic_answers: dict[str, msgspec.Raw] | None = None
@@ -347,7 +354,7 @@
             for part, rows in enumerate(parts)
         ]
 
-    def _handle_answer(self, now: int, answer: Answer) -> list[Out]:
+    def _handle_answer(self, now: int, answer: Answer) -> list[OutgoingMessage]:
         asked_at = self.members.record_answer(now, answer.nonce)
         if asked_at is None:
             return []  # no pending request: the age of its rows is unknown
@@ -359,7 +366,7 @@
         if forwarded is None:
             return []
         source, nonce = forwarded
-        return [Out(source, body) for body in self._pack_answers(now, nonce, 0)[:1]]
+        return [OutgoingMessage(source, body) for body in self._pack_answers(now, nonce, 0)[:1]]
 
     def _receive_topics(self, now: int, asked_at: int, answer: Answer) -> None:
         for name, value in answer.gives.items():
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -22,7 +22,7 @@
 from garnethaven.feature import Feature
 from garnethaven.gossip.rows import Row
 from garnethaven.gossip.spread import horizon_s, period_of
-from garnethaven.peers.conversation import UNPACK, Out, Peer
+from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
 from garnethaven.peers.datagrams import MAX_BYTES, Dropped, DropReason, Seal
 from garnethaven.peers.membership import Rules
 from garnethaven.peers.table import Peers
@@ -176,7 +176,7 @@
 
     # Datagrams
 
-    def _send(self, outs: Iterable[Out]) -> None:
+    def _send(self, outs: Iterable[OutgoingMessage]) -> None:
         assert self.seal is not None
         if self.sock is None:
             return
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -12,7 +12,7 @@
 from itertools import count
 from random import Random
 
-from garnethaven.peers.conversation import UNPACK, Out, Peer
+from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
 from garnethaven.peers.membership import Rules
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.bound import Estate, settle_s
@@ -140,7 +140,7 @@
 
     # Datagrams
 
-    def _send(self, one: One, outs: Iterable[Out]) -> None:
+    def _send(self, one: One, outs: Iterable[OutgoingMessage]) -> None:
         for out in outs:
             one.sent += 1
             one.bytes_sent += len(out.body) + HEADERS
@@ -149,11 +149,11 @@
                 if self.rng.random() >= self.links.loss and not self.links.cut(one.name, out.at):
                     self._carry(one.name, out)
 
-    def _carry(self, source: str, out: Out) -> None:
+    def _carry(self, source: str, out: OutgoingMessage) -> None:
         delay = self.links.delay_s * (1.0 + self.rng.random())
         self.after(int(delay * S), lambda: self._arrives(source, out))
 
-    def _arrives(self, source: str, out: Out) -> None:
+    def _arrives(self, source: str, out: OutgoingMessage) -> None:
         one = self.members.get(out.at)
         if one is None or not one.up:
             return
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -21,7 +21,7 @@
 )
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from garnethaven.peers.conversation import BODY_MOST, PACK, UNPACK, Answer, Out, Peer
+from garnethaven.peers.conversation import BODY_MOST, PACK, UNPACK, Answer, OutgoingMessage, Peer
 from garnethaven.peers.membership import Rules
 
 S = 1_000_000_000
@@ -44,7 +44,7 @@
     peers: dict[str, Peer] = field(default_factory=dict)
     lending: dict[str, Lending] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)
-    in_transit: list[tuple[int, str, Out]] = field(default_factory=list)
+    in_transit: list[tuple[int, str, OutgoingMessage]] = field(default_factory=list)
     spent: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -78,7 +78,7 @@
             self._arrive()
         return spent
 
-    def _send(self, source: str, datagrams: list[Out]) -> None:
+    def _send(self, source: str, datagrams: list[OutgoingMessage]) -> None:
         for datagram in datagrams:
             if (source, datagram.at) not in self.cut and self.rng.random() >= self.loss:
                 self.in_transit += [(self.now + self.delay, source, datagram)] * (2 if self.repeat else 1)
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -19,7 +19,7 @@
     AgedRow,
     Answer,
     Exchange,
-    Out,
+    OutgoingMessage,
     Peer,
     SyncRequest,
     Topic,
@@ -44,7 +44,7 @@
         self.cut: set[tuple[str, str]] = set()
         self.now = S
 
-    def carry(self, source: str, outs: list[Out]) -> None:
+    def carry(self, source: str, outs: list[OutgoingMessage]) -> None:
         for out in outs:
             assert len(out.body) <= BODY_MOST
             if out.at in self.peers and (source, out.at) not in self.cut:
@@ -115,7 +115,7 @@
         responder.rows.learn(S, Row(f"x{number}", 1, 1, 3), 0)
     requester.members.rules.probes_per_period = 1
     outs = [out for out in requester.tick(S) if out.at == "a"] or [
-        Out("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
+        OutgoingMessage("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
     answers = responder.receive(S, UNPACK(outs[0].body), "b")
     assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= BODY_MOST for out in answers)
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from random import Random
 
-from garnethaven.peers.conversation import UNPACK, Out, Peer, SyncRequest
+from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer, SyncRequest
 from garnethaven.peers.membership import Rules, State
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.sharing import Sharing
@@ -33,7 +33,7 @@
         self.now = S
         self.peers: dict[str, Peer] = {}
         self.sharing: dict[str, Sharing] = {}
-        self.in_transit: list[tuple[str, Out]] = []
+        self.in_transit: list[tuple[str, OutgoingMessage]] = []
         self.faults_left = {"crash": 1, "lose": 1, "repeat": 1}
         for name in NAMES:
             rules = Rules(PERIOD, 1, 600 * S, 8)
@@ -71,7 +71,7 @@
         if action != "lose" and out.at in self.peers:
             self._send(out.at, self.peers[out.at].came(self.now, UNPACK(out.body), source))
 
-    def _send(self, source: str, outs: list[Out]) -> None:
+    def _send(self, source: str, outs: list[OutgoingMessage]) -> None:
         self.in_transit += [(source, out) for out in outs]
 
     def mark(self) -> object:
@@ -89,7 +89,7 @@
         return members, frozenset(in_transit.items()), tuple(self.faults_left.values())
 
     @staticmethod
-    def _content(out: Out) -> object:
+    def _content(out: OutgoingMessage) -> object:
         message = UNPACK(out.body)
         if isinstance(message, SyncRequest):
             return message.name, message.heartbeat, message.about, tuple(message.updates)
