--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -63,7 +63,7 @@
     wants: Annotated[dict[str, msgspec.Raw], Meta(max_length=8)] = {}  # topic requests to the receiver
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class SyncAnswer(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """One of the `parts` datagrams of an answer; `parts` is 0 if the request asked for no rows."""
 
     nonce: Number
@@ -91,7 +91,7 @@
     gives: dict[str, msgspec.Raw]
 
 
-Message = SyncRequest | Answer
+Message = SyncRequest | SyncAnswer
 PACK = msgspec.msgpack.Encoder().encode
 UNPACK = msgspec.msgpack.Decoder(Message).decode
 
@@ -354,7 +354,7 @@
             for part, rows in enumerate(parts)
         ]
 
-    def _handle_answer(self, now: int, answer: Answer) -> list[OutgoingMessage]:
+    def _handle_answer(self, now: int, answer: SyncAnswer) -> list[OutgoingMessage]:
         asked_at = self.members.record_answer(now, answer.nonce)
         if asked_at is None:
             return []  # no pending request: the age of its rows is unknown
@@ -368,7 +368,7 @@
         source, nonce = forwarded
         return [OutgoingMessage(source, body) for body in self._pack_answers(now, nonce, 0)[:1]]
 
-    def _receive_topics(self, now: int, asked_at: int, answer: Answer) -> None:
+    def _receive_topics(self, now: int, asked_at: int, answer: SyncAnswer) -> None:
         for name, value in answer.gives.items():
             exchange = self.exchanges.get(name)
             if exchange is None:
@@ -387,7 +387,7 @@
         if row.name in self.members.members and self.rows.learn(now, row, age):
             self.members.reset_silence_timer(now, row.name)
 
-    def _record_part(self, answer: Answer) -> None:
+    def _record_part(self, answer: SyncAnswer) -> None:
         """Advance the serial of the next request once all parts of an answer have arrived."""
         if not answer.parts:
             return  # the request asked for no rows
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -21,7 +21,7 @@
 )
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from garnethaven.peers.conversation import BODY_MOST, PACK, UNPACK, Answer, OutgoingMessage, Peer
+from garnethaven.peers.conversation import BODY_MOST, PACK, UNPACK, OutgoingMessage, Peer, SyncAnswer
 from garnethaven.peers.membership import Rules
 
 S = 1_000_000_000
@@ -256,7 +256,7 @@
                 fleet.now, msgspec.structs.replace(question, name="m1", wants=unreadable_body, about=""), "m1"
             )
         else:
-            answer: Any = Answer(question.nonce, out.at, 1, 0, 1, 1, [], [], unreadable_body)
+            answer: Any = SyncAnswer(question.nonce, out.at, 1, 0, 1, 1, [], [], unreadable_body)
             peer.came(fleet.now, answer, out.at)
     assert peer.unreadable == 2
 
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -17,10 +17,10 @@
     PACK,
     UNPACK,
     AgedRow,
-    Answer,
     Exchange,
     OutgoingMessage,
     Peer,
+    SyncAnswer,
     SyncRequest,
     Topic,
 )
@@ -76,7 +76,7 @@
 
 def test_an_answer_that_nobody_asked_for_has_no_age_and_is_dropped() -> None:
     member = peer("a")
-    answer = Answer(4711, "b", 9, 0, 1, 1, [AgedRow(0, Row("b", 1, 5, 3))])
+    answer = SyncAnswer(4711, "b", 9, 0, 1, 1, [AgedRow(0, Row("b", 1, 5, 3))])
     assert member.receive(S, answer, "b") == []
     assert "b" not in member.rows.kept
 
@@ -86,7 +86,7 @@
     (out, *_) = member.tick(S)
     request = UNPACK(out.body)
     assert isinstance(request, SyncRequest)
-    answer = Answer(request.nonce, out.at, 9, 0, 1, 1, [AgedRow(250, Row(out.at, 1, 5, 3))])
+    answer = SyncAnswer(request.nonce, out.at, 9, 0, 1, 1, [AgedRow(250, Row(out.at, 1, 5, 3))])
     member.receive(S + 1500 * 1_000_000, answer, out.at)
     assert member.rows.age(S + 1500 * 1_000_000, out.at) == 1750 * 1_000_000
 
@@ -120,7 +120,7 @@
     answers = responder.receive(S, UNPACK(outs[0].body), "b")
     assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= BODY_MOST for out in answers)
     first = UNPACK(answers[0].body)
-    assert isinstance(first, Answer) and first.rows[0].row.name == "x399"
+    assert isinstance(first, SyncAnswer) and first.rows[0].row.name == "x399"
 
 
 def test_what_was_taken_in_whole_is_not_asked_for_again() -> None:
@@ -214,8 +214,8 @@
 
 def test_relays_pass_on_what_they_do_not_read() -> None:
     values = {"t": msgspec.Raw(PACK([[1, 2.5, 3, 4]]))}
-    answer = UNPACK(PACK(Answer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, values))])))
-    assert isinstance(answer, Answer)
+    answer = UNPACK(PACK(SyncAnswer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, values))])))
+    assert isinstance(answer, SyncAnswer)
     assert bytes(answer.rows[0].row.told["t"]) == PACK([[1, 2.5, 3, 4]])
 
 
@@ -238,7 +238,7 @@
     (out, request) = extra[0]
     (reply,) = network.peers[out.at].came(network.now, request, "a")
     answer = UNPACK(reply.body)
-    assert isinstance(answer, Answer) and answer.rows == [] and answer.parts == 0
+    assert isinstance(answer, SyncAnswer) and answer.rows == [] and answer.parts == 0
     member.came(network.now, answer, out.at)
     assert receivers == [network.peers[out.at].process]
     assert {
