--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -169,13 +169,13 @@
 
     # Views
 
-    def mute(self, now: int) -> bool:
+    def is_muted(self, now: int) -> bool:
         """Whether this process publishes nothing, because another one has its name."""
         return now < self.mute_until
 
     def view(self, now: int) -> list[Row]:
         """The rows of the other counted members that share this member's view; empty while muted."""
-        if self.mute(now):
+        if self.is_muted(now):
             return []
         members = self.members.members
         return [
@@ -191,7 +191,7 @@
 
     def tick(self, now: int) -> list[OutgoingMessage]:
         """Publish the next heartbeat; return the sync requests of this period."""
-        self.muted_this_period = self.mute(now)
+        self.muted_this_period = self.is_muted(now)
         if not self.muted_this_period:
             self.heartbeat += 1
             self.rows.publish(now, self._make_row(now))
@@ -403,7 +403,7 @@
     def _handle_own_row(self, now: int, row: Row, age: int) -> None:
         """Handle a row with this member's own name that another member has sent."""
         incarnation, made_since_start = self.members.life, now - age > self.started_at
-        if (row.life == incarnation and row.beat <= self.heartbeat) or self.mute(now):
+        if (row.life == incarnation and row.beat <= self.heartbeat) or self.is_muted(now):
             return
         if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
             self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -247,7 +247,7 @@
             "horizon_ms": int(self.horizon_s * 1000),
             "alike": 1 + len(peer.view(now)),
             "doubt": peer.members.health_penalty,
-            "mute": peer.mute(now),
+            "mute": peer.is_muted(now),
             "false_alarms": peer.members.false_suspicions,
             "datagrams_sent": self.sent,
             "datagrams_came": self.received,
