--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -153,7 +153,7 @@
         self.rows = Rows(own, horizon, rules.most)
         self.topics: dict[str, Topic] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.eager = 0  # additional members to query per period while a topic has a request
+        self.extra_probes = 0  # additional members to query per period while a topic has a request
         self.unreadable = 0  # topic requests and answers that could not be decoded
         self.heartbeat = 0
         self.started_at = now
@@ -195,7 +195,7 @@
         if not self.muted_this_period:
             self.heartbeat += 1
             self.rows.publish(now, self._make_row(now))
-        probes = self.members.tick(now, self.eager)
+        probes = self.members.tick(now, self.extra_probes)
         self._apply_changes()
         self.rows.forget_past(now - self.rules.forget_after)
         requests = self._topic_requests(now)
