--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -154,7 +154,7 @@
         self.topics: dict[str, Topic] = {}
         self.exchanges: dict[str, Exchange] = {}
         self.extra_probes = 0  # additional members to query per period while a topic has a request
-        self.unreadable = 0  # topic requests and answers that could not be decoded
+        self.decode_failures = 0  # topic requests and answers that could not be decoded
         self.heartbeat = 0
         self.started_at = now
         self.muted_this_period = False
@@ -299,7 +299,7 @@
             try:
                 answer = exchange.gives(now, request.name, topic_request)
             except msgspec.MsgspecError:
-                self.unreadable += 1
+                self.decode_failures += 1
                 continue
             if answer is not None:
                 answers[name] = msgspec.Raw(PACK(answer))
@@ -376,7 +376,7 @@
             try:
                 exchange.takes(now, asked_at, answer.process, value)
             except msgspec.MsgspecError:
-                self.unreadable += 1
+                self.decode_failures += 1
 
     def _learn_row(self, now: int, aged_row: AgedRow, age: int) -> None:
         row = aged_row.row
