--- a/garnethaven/budgets/feature.py
+++ b/garnethaven/budgets/feature.py
@@ -12,7 +12,7 @@
 from garnethaven.engine.engine import S
 from garnethaven.engine.spending import Spend
 from garnethaven.feature import Feature
-from garnethaven.peers.conversation import CLASH
+from garnethaven.peers.conversation import NAME_CONFLICT_PAUSE
 from garnethaven.peers.feature import clock
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
     def _check_name_conflict(self, now: int) -> None:
         assert self.lending is not None and self.peers is not None and self.peers.peer is not None
         if self.peers.peer.mute(now):
-            self.lending.forfeit_all(now + CLASH)
+            self.lending.forfeit_all(now + NAME_CONFLICT_PAUSE)
 
     # Spending, called by the engine
 
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -31,7 +31,7 @@
 MAX_ROW_BYTES = 900  # bytes of the topic values in one row
 MAX_ANSWER_PARTS = 8  # datagrams in one answer
 MAX_FORWARDED_PROBES = 256  # probes pending on behalf of others
-CLASH = 60 * SECOND  # time without publishing after a name conflict
+NAME_CONFLICT_PAUSE = 60 * SECOND  # time without publishing after a name conflict
 NO_ROWS = 1 << 62  # as `since`: the request is for topics only, and the answer has no rows
 MAX_AGE_MS = 3_600_000
 
@@ -409,10 +409,10 @@
             self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
             return
         self.name_conflicts += 1
-        repeated = self.last_conflict_at is not None and now - self.last_conflict_at < CLASH
+        repeated = self.last_conflict_at is not None and now - self.last_conflict_at < NAME_CONFLICT_PAUSE
         self.last_conflict_at = now
         if row.life < incarnation or repeated:
-            self.mute_until = now + CLASH
+            self.mute_until = now + NAME_CONFLICT_PAUSE
             self.lines.append(
                 f"another process has the name {self.own!r}: this one does not publish under it for now"
             )
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -10,9 +10,9 @@
 from garnethaven.gossip.rows import Row
 from garnethaven.peers.conversation import (
     BODY_MOST,
-    CLASH,
     MAX_ANSWER_PARTS,
     MAX_ROW_BYTES,
+    NAME_CONFLICT_PAUSE,
     NO_ROWS,
     PACK,
     UNPACK,
@@ -183,7 +183,7 @@
     assert mute.view(network.now) == []  # it counts only itself
     assert network.peers["a"].members.members["b"].state is State.ALIVE
     assert network.peers["a"].horizon(network.now).members == 3
-    assert not mute.mute(network.now + CLASH)
+    assert not mute.mute(network.now + NAME_CONFLICT_PAUSE)
 
 
 def test_a_row_that_is_too_long_loses_its_longest_topic() -> None:
