--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -27,7 +27,7 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-BODY_MOST = 1150  # bytes of one message: with seal and headers, it fits a datagram of one MTU
+MAX_MESSAGE_BYTES = 1150  # bytes of one message: with seal and headers, it fits a datagram of one MTU
 MAX_ROW_BYTES = 900  # bytes of the topic values in one row
 MAX_ANSWER_PARTS = 8  # datagrams in one answer
 MAX_FORWARDED_PROBES = 256  # probes pending on behalf of others
@@ -330,7 +330,7 @@
             at = self.at if kept.row.name == self.own else member.at if member and not member.listed else ""
             age_ms = min(MAX_AGE_MS, -(-(now - kept.made_at) // MS))
             packed = PACK(AgedRow(age_ms, kept.row, at))
-            if parts[-1] and size + len(packed) > BODY_MOST - 200:
+            if parts[-1] and size + len(packed) > MAX_MESSAGE_BYTES - 200:
                 if len(parts) == MAX_ANSWER_PARTS:
                     break
                 parts.append([])
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -21,7 +21,7 @@
 )
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from garnethaven.peers.conversation import BODY_MOST, PACK, UNPACK, OutgoingMessage, Peer, SyncAnswer
+from garnethaven.peers.conversation import MAX_MESSAGE_BYTES, PACK, UNPACK, OutgoingMessage, Peer, SyncAnswer
 from garnethaven.peers.membership import Rules
 
 S = 1_000_000_000
@@ -273,5 +273,5 @@
     fleet.now += 2 * S
     transfers = fleet.peers["m1"].exchanges[TOPIC].gives(fleet.now, "m0", msgspec.Raw(PACK(shortages)))
     assert transfers is not None and len(transfers.entries) >= 2
-    assert len(PACK(transfers)) < BODY_MOST - 200
+    assert len(PACK(transfers)) < MAX_MESSAGE_BYTES - 200
     assert sum(len(transfer.batches) for transfer in transfers.entries) <= MAX_BATCHES_PER_ANSWER + 32
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -9,8 +9,8 @@
 
 from garnethaven.gossip.rows import Row
 from garnethaven.peers.conversation import (
-    BODY_MOST,
     MAX_ANSWER_PARTS,
+    MAX_MESSAGE_BYTES,
     MAX_ROW_BYTES,
     NAME_CONFLICT_PAUSE,
     NO_ROWS,
@@ -46,7 +46,7 @@
 
     def carry(self, source: str, outs: list[OutgoingMessage]) -> None:
         for out in outs:
-            assert len(out.body) <= BODY_MOST
+            assert len(out.body) <= MAX_MESSAGE_BYTES
             if out.at in self.peers and (source, out.at) not in self.cut:
                 answers = self.peers[out.at].came(self.now, UNPACK(out.body), source)
                 self.carry(out.at, answers)
@@ -118,7 +118,7 @@
         OutgoingMessage("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
     answers = responder.receive(S, UNPACK(outs[0].body), "b")
-    assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= BODY_MOST for out in answers)
+    assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= MAX_MESSAGE_BYTES for out in answers)
     first = UNPACK(answers[0].body)
     assert isinstance(first, SyncAnswer) and first.rows[0].row.name == "x399"
 
