--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -19,7 +19,7 @@
 
 from garnethaven.budgets.lending import Budget, Lending
 from garnethaven.gossip.spread import horizon_s, period_of
-from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
+from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import Rules
 from rigs.budgets import PER_S, SHARE, Stage, table
 from rigs.stage import keeping_book
@@ -89,7 +89,7 @@
         nonlocal sent
         for out in outs:
             sent += len(out.body)
-            carry(out.at, peers[out.at].came(now + 20_000_000, UNPACK(out.body), source))
+            carry(out.at, peers[out.at].came(now + 20_000_000, decode_message(out.body), source))
 
     began, spent, periods, found = now, [0.0], 0, -1.0
     quiet = max(3, 4 * S // period)
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -93,7 +93,7 @@
 
 Message = SyncRequest | SyncAnswer
 PACK = msgspec.msgpack.Encoder().encode
-UNPACK = msgspec.msgpack.Decoder(Message).decode
+decode_message = msgspec.msgpack.Decoder(Message).decode
 
 
 class OutgoingMessage(NamedTuple):
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -22,7 +22,7 @@
 from garnethaven.feature import Feature
 from garnethaven.gossip.rows import Row
 from garnethaven.gossip.spread import horizon_s, period_of
-from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
+from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.datagrams import MAX_BYTES, Dropped, DropReason, Seal
 from garnethaven.peers.membership import Rules
 from garnethaven.peers.table import Peers
@@ -207,7 +207,7 @@
         self.received += 1
         now = clock()
         try:
-            message = UNPACK(self.seal.open(data, source, now / S))
+            message = decode_message(self.seal.open(data, source, now / S))
         except Dropped as dropped:
             self.dropped[dropped.reason] += 1
             return
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -12,7 +12,7 @@
 from itertools import count
 from random import Random
 
-from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer
+from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import Rules
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.bound import Estate, settle_s
@@ -163,7 +163,7 @@
             self._comes(one, out.body, source)
 
     def _comes(self, one: One, body: bytes, source: str) -> None:
-        self._send(one, one.peer.came(self.clock(one), UNPACK(body), source))
+        self._send(one, one.peer.came(self.clock(one), decode_message(body), source))
 
     # The tenant
 
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -21,7 +21,14 @@
 )
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.spending import Spend
-from garnethaven.peers.conversation import MAX_MESSAGE_BYTES, PACK, UNPACK, OutgoingMessage, Peer, SyncAnswer
+from garnethaven.peers.conversation import (
+    MAX_MESSAGE_BYTES,
+    PACK,
+    OutgoingMessage,
+    Peer,
+    SyncAnswer,
+    decode_message,
+)
 from garnethaven.peers.membership import Rules
 
 S = 1_000_000_000
@@ -89,7 +96,8 @@
             for _, source, datagram in due:
                 if datagram.at in self.peers:
                     self._send(
-                        datagram.at, self.peers[datagram.at].came(self.now, UNPACK(datagram.body), source)
+                        datagram.at,
+                        self.peers[datagram.at].came(self.now, decode_message(datagram.body), source),
                     )
 
     def check_invariant(self) -> None:
@@ -250,7 +258,7 @@
     for name in ("wants", "gives"):
         unreadable_body = {TOPIC: msgspec.Raw(PACK({"x": 1}))}
         (out, *_) = peer.tick(fleet.now)
-        question = UNPACK(out.body)
+        question = decode_message(out.body)
         if name == "wants":
             peer.came(
                 fleet.now, msgspec.structs.replace(question, name="m1", wants=unreadable_body, about=""), "m1"
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -15,7 +15,6 @@
     NAME_CONFLICT_PAUSE,
     NO_ROWS,
     PACK,
-    UNPACK,
     AgedRow,
     Exchange,
     OutgoingMessage,
@@ -23,6 +22,7 @@
     SyncAnswer,
     SyncRequest,
     Topic,
+    decode_message,
 )
 from garnethaven.peers.membership import Rules, State
 
@@ -48,7 +48,7 @@
         for out in outs:
             assert len(out.body) <= MAX_MESSAGE_BYTES
             if out.at in self.peers and (source, out.at) not in self.cut:
-                answers = self.peers[out.at].came(self.now, UNPACK(out.body), source)
+                answers = self.peers[out.at].came(self.now, decode_message(out.body), source)
                 self.carry(out.at, answers)
 
     def period(self, times: int = 1) -> None:
@@ -84,7 +84,7 @@
 def test_an_answer_that_comes_late_tells_of_old_rows() -> None:
     member = peer("a")
     (out, *_) = member.tick(S)
-    request = UNPACK(out.body)
+    request = decode_message(out.body)
     assert isinstance(request, SyncRequest)
     answer = SyncAnswer(request.nonce, out.at, 9, 0, 1, 1, [AgedRow(250, Row(out.at, 1, 5, 3))])
     member.receive(S + 1500 * 1_000_000, answer, out.at)
@@ -100,11 +100,11 @@
     answers = [
         (out.at, answer)
         for out in outs
-        for answer in network.peers[out.at].came(network.now, UNPACK(out.body), "a")
+        for answer in network.peers[out.at].came(network.now, decode_message(out.body), "a")
     ]
     resumed_at = network.now + 3 * S
     for source, answer in answers:
-        member.came(resumed_at, UNPACK(answer.body), source)
+        member.came(resumed_at, decode_message(answer.body), source)
     assert member.horizon(resumed_at).heard == 1 and member.view(resumed_at) == []
 
 
@@ -117,9 +117,9 @@
     outs = [out for out in requester.tick(S) if out.at == "a"] or [
         OutgoingMessage("a", PACK(SyncRequest(1, "b", 1, 1, "b", "", 0, 0)))
     ]
-    answers = responder.receive(S, UNPACK(outs[0].body), "b")
+    answers = responder.receive(S, decode_message(outs[0].body), "b")
     assert len(answers) == MAX_ANSWER_PARTS and all(len(out.body) <= MAX_MESSAGE_BYTES for out in answers)
-    first = UNPACK(answers[0].body)
+    first = decode_message(answers[0].body)
     assert isinstance(first, SyncAnswer) and first.rows[0].row.name == "x399"
 
 
@@ -209,12 +209,12 @@
 @pytest.mark.parametrize("body", BAD)
 def test_what_is_no_message_is_refused_by_its_form(body: bytes) -> None:
     with pytest.raises(msgspec.MsgspecError):
-        UNPACK(body)
+        decode_message(body)
 
 
 def test_relays_pass_on_what_they_do_not_read() -> None:
     values = {"t": msgspec.Raw(PACK([[1, 2.5, 3, 4]]))}
-    answer = UNPACK(PACK(SyncAnswer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, values))])))
+    answer = decode_message(PACK(SyncAnswer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, values))])))
     assert isinstance(answer, SyncAnswer)
     assert bytes(answer.rows[0].row.told["t"]) == PACK([[1, 2.5, 3, 4]])
 
@@ -232,12 +232,12 @@
     before = {name: (received.process, received.through_serial) for name, received in member.received.items()}
     member.eager = 5
     outs = member.tick(network.now)
-    requests = [UNPACK(out.body) for out in outs]
+    requests = [decode_message(out.body) for out in outs]
     extra = [(out, request) for out, request in zip(outs, requests, strict=True) if request.since == NO_ROWS]
     assert len(extra) == 1 and len(outs) == 3  # all three others; two of them are asked for rows as usual
     (out, request) = extra[0]
     (reply,) = network.peers[out.at].came(network.now, request, "a")
-    answer = UNPACK(reply.body)
+    answer = decode_message(reply.body)
     assert isinstance(answer, SyncAnswer) and answer.rows == [] and answer.parts == 0
     member.came(network.now, answer, out.at)
     assert receivers == [network.peers[out.at].process]
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from random import Random
 
-from garnethaven.peers.conversation import UNPACK, OutgoingMessage, Peer, SyncRequest
+from garnethaven.peers.conversation import OutgoingMessage, Peer, SyncRequest, decode_message
 from garnethaven.peers.membership import Rules, State
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.sharing import Sharing
@@ -69,7 +69,7 @@
         if action != "repeat":
             del self.in_transit[target]
         if action != "lose" and out.at in self.peers:
-            self._send(out.at, self.peers[out.at].came(self.now, UNPACK(out.body), source))
+            self._send(out.at, self.peers[out.at].came(self.now, decode_message(out.body), source))
 
     def _send(self, source: str, outs: list[OutgoingMessage]) -> None:
         self.in_transit += [(source, out) for out in outs]
@@ -90,7 +90,7 @@
 
     @staticmethod
     def _content(out: OutgoingMessage) -> object:
-        message = UNPACK(out.body)
+        message = decode_message(out.body)
         if isinstance(message, SyncRequest):
             return message.name, message.heartbeat, message.about, tuple(message.updates)
         return (
