--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -117,7 +117,7 @@
     """
 
     wants: Callable[[int], Any]  # now -> request, None for no request
-    gives: Callable[[int, str, msgspec.Raw], Any]  # now, requester, its request -> answer or None
+    answer: Callable[[int, str, msgspec.Raw], Any]  # now, requester, its request -> answer or None
     takes: Callable[[int, int, int, msgspec.Raw], None]  # now, time of request, answering process, answer
 
 
