--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -118,7 +118,9 @@
 
     wants: Callable[[int], Any]  # now -> request, None for no request
     answer: Callable[[int, str, msgspec.Raw], Any]  # now, requester, its request -> answer or None
-    takes: Callable[[int, int, int, msgspec.Raw], None]  # now, time of request, answering process, answer
+    accept_answer: Callable[
+        [int, int, int, msgspec.Raw], None
+    ]  # now, time of request, answering process, answer
 
 
 class _Received(msgspec.Struct):
