--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -164,7 +164,7 @@
         peer = self.peer
         self.lines += peer.lines
         peer.lines.clear()
-        isolated = peer.members.deaf()
+        isolated = peer.members.is_isolated()
         if isolated is not self.was_isolated:
             self.was_isolated = isolated
             self.lines.append("this member receives no answers" if isolated else "answers are received again")
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -181,7 +181,7 @@
     def live(self) -> list[Member]:
         return [member for member in self.members.values() if member.state <= State.SUSPECT]
 
-    def deaf(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether this member has probably lost its own link."""
         return self.health_penalty >= ISOLATION_THRESHOLD
 
@@ -284,7 +284,7 @@
                 continue
             member = self.members.get(probe.name)
             probe.answered = True  # evaluated only once
-            if member is None or self.deaf():
+            if member is None or self.is_isolated():
                 continue
             if member.state is State.ALIVE and (member.incarnation, member.heartbeat) == probe.version:
                 self._set_state(now, member, State.SUSPECT)
@@ -293,7 +293,7 @@
             if (
                 member.state is State.SUSPECT
                 and now - member.state_since >= suspicion_timeout
-                and not self.deaf()
+                and not self.is_isolated()
             ):
                 self._set_state(now, member, State.GONE)
             elif member.state is not State.LEFT and now - member.last_heard >= self.rules.forget_after:
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -90,11 +90,11 @@
     harness.period(5)
     harness.reachable = set()
     harness.period(100)
-    assert harness.own.deaf() and harness.own.health_penalty > ISOLATION_THRESHOLD
+    assert harness.own.is_isolated() and harness.own.health_penalty > ISOLATION_THRESHOLD
     assert not [name for name in NAMES[1:] if harness.state(name) is not State.ALIVE]
     harness.reachable = set(NAMES)
     harness.period(20)
-    assert not harness.own.deaf()
+    assert not harness.own.is_isolated()
 
 
 def test_suspicion_of_oneself_is_counted_and_does_nothing() -> None:
