--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -187,7 +187,7 @@
         ]
 
     def horizon(self, now: int) -> Freshness:
-        return self.rows.freshness(now, self.members.counted())
+        return self.rows.freshness(now, self.members.member_count())
 
     # Periodic steps
 
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -174,7 +174,7 @@
 
     # Sizes and timeouts
 
-    def counted(self) -> int:
+    def member_count(self) -> int:
         """The number of members, including this one and silent ones, excluding those that have left."""
         return 1 + sum(member.state is not State.LEFT for member in self.members.values())
 
@@ -187,7 +187,9 @@
 
     def suspicion_timeout(self) -> int:
         """How long a SUSPECT member has to send a later heartbeat before it is GONE."""
-        periods = SUSPICION_PERIODS_FACTOR * math.log2(max(2, self.counted())) * (1 + self.health_penalty)
+        periods = (
+            SUSPICION_PERIODS_FACTOR * math.log2(max(2, self.member_count())) * (1 + self.health_penalty)
+        )
         return int(periods * self.rules.period)
 
     def probe_timeout(self) -> int:
@@ -317,7 +319,7 @@
         self._queue_update(member)
 
     def _queue_update(self, member: Member) -> None:
-        sends = RETRANSMIT_FACTOR * math.ceil(math.log2(max(2, self.counted())))
+        sends = RETRANSMIT_FACTOR * math.ceil(math.log2(max(2, self.member_count())))
         update = StateUpdate(member.name, member.incarnation, member.heartbeat, int(member.state))
         self.update_queue[member.name] = QueuedUpdate(update, sends)
 
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -104,7 +104,7 @@
         now = self.clock(one)
         one.peer = Peer(name, name, life, listed, rules, horizon, Random(self.rng.getrandbits(32)), now)
         settle = int(settle_s(estate.horizon_s, estate.period_s) * S)
-        members, allowances = one.peer.members.counted(), {"t": Allowance(estate.per_s, estate.burst)}
+        members, allowances = one.peer.members.member_count(), {"t": Allowance(estate.per_s, estate.burst)}
         one.admission = Admission(allowances, None, 1, settle, now, members)
         one.sharing = Sharing(one.peer, one.admission)
         one.turn = before.turn + 1 if before is not None else 0
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -150,7 +150,7 @@
     network.carry("b", leaving.leave(network.now))
     del network.peers["b"]
     network.period(3)
-    assert [network.peers[name].members.counted() for name in "ac"] == [2, 2]
+    assert [network.peers[name].members.member_count() for name in "ac"] == [2, 2]
     network.peers["b"] = peer("b", incarnation=2, now=network.now)
     network.period(6)
     assert [member.members.counted() for member in network.peers.values()] == [3, 3, 3]
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -62,7 +62,7 @@
     while harness.state("m3") is State.SUSPECT:
         harness.period()
     assert harness.state("m3") is State.GONE
-    assert harness.own.counted() == 6 and len(harness.own.live()) == 4
+    assert harness.own.member_count() == 6 and len(harness.own.live()) == 4
     assert any(update.name == "m3" and update.state == State.GONE for update in harness.own.take_updates())
     probed = set()
     for _ in range(20):
@@ -100,37 +100,37 @@
 def test_suspicion_of_oneself_is_counted_and_does_nothing() -> None:
     harness = Harness()
     harness.own.apply_update(harness.now, StateUpdate("m0", 1, 3, State.SUSPECT))
-    assert harness.own.false_suspicions == 1 and harness.own.counted() == 6
+    assert harness.own.false_suspicions == 1 and harness.own.member_count() == 6
 
 
 def test_one_that_has_left_counts_no_more_and_comes_back_by_a_new_life_alone() -> None:
     harness = Harness()
     harness.own.record_heartbeat(harness.now, "m2", 1, 4)
     harness.own.apply_update(harness.now, StateUpdate("m2", 1, 4, State.LEFT))
-    assert harness.own.counted() == 5 and harness.own.take_changes().forgotten == ["m2"]
+    assert harness.own.member_count() == 5 and harness.own.take_changes().forgotten == ["m2"]
     harness.own.record_heartbeat(harness.now, "m2", 1, 5)  # sent before the member left
-    assert harness.own.counted() == 5
+    assert harness.own.member_count() == 5
     harness.own.record_heartbeat(harness.now, "m2", 2, 1)
-    assert harness.own.counted() == 6 and harness.state("m2") is State.ALIVE
+    assert harness.own.member_count() == 6 and harness.state("m2") is State.ALIVE
 
 
 def test_a_silent_member_is_forgotten_in_time_and_one_that_joined_is_dropped() -> None:
     harness = Harness(forget_s=20.0)
     harness.own.record_heartbeat(harness.now, "new", 1, 1, "new")
-    assert harness.own.counted() == 7
+    assert harness.own.member_count() == 7
     harness.reachable -= {"m4"}
     harness.period(140)
-    assert "new" not in harness.own.members and harness.own.counted() == 5
+    assert "new" not in harness.own.members and harness.own.member_count() == 5
     harness.reachable |= {"m4"}
     harness.own.record_heartbeat(harness.now, "m4", 2, 1)
-    assert harness.own.counted() == 6
+    assert harness.own.member_count() == 6
 
 
 def test_joining_is_bounded_and_needs_an_address() -> None:
     harness = Harness(most=8)
     for number in range(9):
         harness.own.record_heartbeat(harness.now, f"x{number}", 1, 1, f"x{number}")
-    assert harness.own.counted() == 8 and harness.own.left_out == 7
+    assert harness.own.member_count() == 8 and harness.own.left_out == 7
     harness.own.record_heartbeat(harness.now, "y", 1, 1)
     assert "y" not in harness.own.members
 
