--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -221,7 +221,7 @@
             self.dropped_topics += 1
             del packed_values[max(packed_values, key=lambda name: len(packed_values[name]))]
         values = {name: msgspec.Raw(value) for name, value in packed_values.items()}
-        return Row(self.own, self.members.life, self.heartbeat, self.rows.heard(now), values)
+        return Row(self.own, self.members.incarnation, self.heartbeat, self.rows.heard(now), values)
 
     def _topic_requests(self, now: int) -> dict[str, msgspec.Raw]:
         requests = {name: exchange.wants(now) for name, exchange in self.exchanges.items()}
@@ -236,7 +236,9 @@
     ) -> SyncRequest:
         received = self.received.get(probe.name) or _Received()
         updates = self.members.take_updates() if updates is None else updates
-        incarnation, heartbeat = (0, 0) if self.muted_this_period else (self.members.life, self.heartbeat)
+        incarnation, heartbeat = (
+            (0, 0) if self.muted_this_period else (self.members.incarnation, self.heartbeat)
+        )
         about, since, serial_process = (
             probe.about,
             received.through_serial if with_rows else NO_ROWS,
@@ -404,7 +406,7 @@
 
     def _handle_own_row(self, now: int, row: Row, age: int) -> None:
         """Handle a row with this member's own name that another member has sent."""
-        incarnation, made_since_start = self.members.life, now - age > self.started_at
+        incarnation, made_since_start = self.members.incarnation, now - age > self.started_at
         if (row.life == incarnation and row.beat <= self.heartbeat) or self.is_muted(now):
             return
         if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
@@ -420,7 +422,7 @@
             )
             return
         self.own_past_incarnations.add(incarnation)
-        self.members.life = row.life + 1 + self.rng.randrange(MS)
+        self.members.incarnation = row.life + 1 + self.rng.randrange(MS)
         self.heartbeat = 0
         for topic in self.topics.values():
             topic.reset()
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -142,7 +142,7 @@
         now: int,
     ) -> None:
         self.own = own
-        self.life = incarnation
+        self.incarnation = incarnation
         self.rules = rules
         self.rng = rng
         self.members: dict[str, Member] = {}
@@ -389,7 +389,7 @@
     def apply_update(self, now: int, update: StateUpdate) -> None:
         """Apply another member's report; the larger version wins."""
         if update.name == self.own:
-            if update.state in (State.SUSPECT, State.GONE) and update.incarnation == self.life:
+            if update.state in (State.SUSPECT, State.GONE) and update.incarnation == self.incarnation:
                 self.false_suspicions += 1  # the next heartbeat refutes it
             return
         if not State.ALIVE <= update.state <= State.LEFT:
@@ -405,7 +405,7 @@
 
     def leave_update(self, heartbeat: int) -> StateUpdate:
         """The update that announces this member's planned shutdown."""
-        return StateUpdate(self.own, self.life, heartbeat, int(State.LEFT))
+        return StateUpdate(self.own, self.incarnation, heartbeat, int(State.LEFT))
 
     def take_updates(self) -> list[StateUpdate]:
         """State updates for one datagram: those sent least often first."""
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -110,7 +110,7 @@
             if (row.name, row.life) not in self.counts_by_life:
                 self._count(row, self._decode(row))
         self._drop_forgotten_lives()
-        own_life = self.peer.own, self.peer.members.life
+        own_life = self.peer.own, self.peer.members.incarnation
         requested_by_tenant: dict[int, int] = defaultdict(int)
         admitted_by_tenant: dict[int, int] = defaultdict(int)
         for life, counts in self.counts_by_life.items():
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -163,8 +163,8 @@
     resets: list[bool] = []
     network.peers["b"].topics["t"] = Topic(lambda now: [], lambda: resets.append(True))
     network.period(8)
-    assert network.peers["b"].members.life > 1000 and resets == [True]
-    assert network.peers["a"].rows.kept["b"].row.life == network.peers["b"].members.life
+    assert network.peers["b"].members.incarnation > 1000 and resets == [True]
+    assert network.peers["a"].rows.kept["b"].row.life == network.peers["b"].members.incarnation
     assert not network.peers["b"].mute(network.now)
 
 
