--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -152,7 +152,7 @@
         self.process = rng.getrandbits(62)
         self.rules = rules
         self.members = Membership(own, incarnation, rules, listed, rng, now)
-        self.rows = Rows(own, horizon, rules.most)
+        self.rows = Rows(own, horizon, rules.max_members)
         self.topics: dict[str, Topic] = {}
         self.exchanges: dict[str, Exchange] = {}
         self.extra_probes = 0  # additional members to query per period while a topic has a request
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -112,7 +112,7 @@
     period: int
     probes_per_period: int
     forget_after: int  # silence after which a member is no longer counted
-    most: int  # members, including this one
+    max_members: int  # members, including this one
 
 
 @dataclass(slots=True)
@@ -379,7 +379,7 @@
     def _add_joined(self, now: int, name: str, incarnation: int, heartbeat: int, at: str) -> None:
         if not at:
             return  # without an address it can't be probed
-        if len(self.members) + 1 >= self.rules.most:
+        if len(self.members) + 1 >= self.rules.max_members:
             self.left_out += 1
             return
         member = Member(name, at, False, incarnation, heartbeat, state_since=now, last_heard=now)
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -59,9 +59,9 @@
             for counters in self._decoded_row(row):
                 demands[counters.id].append(counters.demand)
         self.admission.sees(now, View(self.peer.members.member_count(), 1 + len(rows), demands))
-        if len(self.decoded_rows) > 2 * self.peer.rules.most:
+        if len(self.decoded_rows) > 2 * self.peer.rules.max_members:
             self.decoded_rows.clear()
-        if len(self.counts_by_life) > 4 * self.peer.rules.most:
+        if len(self.counts_by_life) > 4 * self.peer.rules.max_members:
             self._drop_forgotten_lives()
 
     def _decoded_row(self, row: Row) -> list[TenantCounters]:
