--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -20,7 +20,7 @@
 from garnethaven.budgets.lending import Budget, Lending
 from garnethaven.gossip.spread import horizon_s, period_of
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
-from garnethaven.peers.membership import Rules
+from garnethaven.peers.membership import PeerSettings
 from rigs.budgets import PER_S, SHARE, Stage, table
 from rigs.stage import keeping_book
 from standins.ledger import peak
@@ -79,7 +79,7 @@
     peers: dict[str, Peer] = {}
     lending: dict[str, Lending] = {}
     for name in names:
-        rules = Rules(period, 3, 600 * S, 2 * members + 8)
+        rules = PeerSettings(period, 3, 600 * S, 2 * members + 8)
         peers[name] = Peer(name, name, 1, listed, rules, horizon, Random(f"{name}"), now)
         lending[name] = Lending({1: Budget(rate, 0.0, lasts)}, members, True, now)
         lending[name].join(peers[name])
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -23,7 +23,7 @@
 from msgspec import Meta
 
 from garnethaven.gossip.rows import NAME_MOST, Freshness, Row, Rows
-from garnethaven.peers.membership import Membership, Probe, Rules, State, StateUpdate
+from garnethaven.peers.membership import Membership, PeerSettings, Probe, State, StateUpdate
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -141,7 +141,7 @@
         at: str,
         incarnation: int,
         listed: list[tuple[str, str]],
-        rules: Rules,
+        rules: PeerSettings,
         horizon: int,
         rng: Random,
         now: int,
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -24,7 +24,7 @@
 from garnethaven.gossip.spread import horizon_s, period_of
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.datagrams import MAX_BYTES, Dropped, DropReason, Seal
-from garnethaven.peers.membership import Rules
+from garnethaven.peers.membership import PeerSettings
 from garnethaven.peers.table import Peers
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         self.size = max(2, len({name for name, _ in listed} | {own}), self.parts.engine.settings.fleet_size)
         self.period_s = period_of(self.size, table.period_s)
         self.horizon_s = horizon_s(self.size, table.asks, self.period_s, table.loss_most, table.delay_most_s)
-        rules = Rules(int(self.period_s * S), table.asks, int(table.forget_s * S), table.members_most)
+        rules = PeerSettings(int(self.period_s * S), table.asks, int(table.forget_s * S), table.members_most)
         rng = Random(f"{config.seed} peers {own}")
         incarnation = time.time_ns() // MS
         self.peer = Peer(
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True)
-class Rules:
+class PeerSettings:
     """Settings of one member; times in nanoseconds."""
 
     period: int
@@ -136,7 +136,7 @@
         self,
         own: str,
         incarnation: int,
-        rules: Rules,
+        rules: PeerSettings,
         listed: Iterable[tuple[str, str]],
         rng: Random,
         now: int,
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
-from garnethaven.peers.membership import Rules
+from garnethaven.peers.membership import PeerSettings
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.bound import Estate, settle_s
 from garnethaven.tenants.sharing import Sharing
@@ -96,7 +96,7 @@
         """A process of this name; without `life`, one later than any before."""
         estate = self.estate
         before = self.members.get(name)
-        rules = Rules(self.period, estate.asks, int(FORGET_S * S), 2 * estate.members + 8)
+        rules = PeerSettings(self.period, estate.asks, int(FORGET_S * S), 2 * estate.members + 8)
         horizon = int(estate.horizon_s * S)
         listed = [(other, other) for other in self.names] if self.listed else [(self.names[0], self.names[0])]
         life = life if life is not None else 1000 + self.now // 1_000_000
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -29,7 +29,7 @@
     SyncAnswer,
     decode_message,
 )
-from garnethaven.peers.membership import Rules
+from garnethaven.peers.membership import PeerSettings
 
 S = 1_000_000_000
 PERIOD = S // 5
@@ -60,7 +60,7 @@
 
     def begin(self, name: str, origin_count: int = len(NAMES)) -> None:
         listed = [(other, other) for other in NAMES]
-        rules = Rules(PERIOD, 2, 60 * S, 20)
+        rules = PeerSettings(PERIOD, 2, 60 * S, 20)
         peer = Peer(name, name, self.now, listed, rules, 2 * S, Random(f"{name} {self.now}"), self.now)
         lending = Lending({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, origin_count, name in self.earns, self.now)
         lending.join(peer)
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -24,14 +24,14 @@
     Topic,
     decode_message,
 )
-from garnethaven.peers.membership import Rules, State
+from garnethaven.peers.membership import PeerSettings, State
 
 S = 1_000_000_000
 PERIOD = S // 5
 
 
 def peer(name: str, names: str = "abc", incarnation: int = 1, listed: bool = True, now: int = 0) -> Peer:
-    rules = Rules(PERIOD, 2, 60 * S, 600)
+    rules = PeerSettings(PERIOD, 2, 60 * S, 600)
     known = [(other, other) for other in names] if listed else [(names[0], names[0])]
     return Peer(name, name, incarnation, known, rules, 2 * S, Random(f"{name} {incarnation}"), now)
 
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from garnethaven.peers.conversation import OutgoingMessage, Peer, SyncRequest, decode_message
-from garnethaven.peers.membership import Rules, State
+from garnethaven.peers.membership import PeerSettings, State
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.sharing import Sharing
 from tests.exploring import explore
@@ -36,7 +36,7 @@
         self.in_transit: list[tuple[str, OutgoingMessage]] = []
         self.faults_left = {"crash": 1, "lose": 1, "repeat": 1}
         for name in NAMES:
-            rules = Rules(PERIOD, 1, 600 * S, 8)
+            rules = PeerSettings(PERIOD, 1, 600 * S, 8)
             listed = [(other, other) for other in NAMES]
             peer = Peer(name, name, 1, listed, rules, 2 * S, Random(name), self.now)
             admission = Admission({"t": Allowance(1.0, 1.0)}, None, 1, 2 * S, self.now, 3)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -11,8 +11,8 @@
     ISOLATION_THRESHOLD,
     MAX_PENDING_PROBES,
     Membership,
+    PeerSettings,
     Probe,
-    Rules,
     State,
     StateUpdate,
 )
@@ -26,7 +26,7 @@
     """A membership whose probes are answered by the members in `reachable`."""
 
     def __init__(self, forget_s: float = 60.0, most: int = 10, listed: list[str] = NAMES) -> None:
-        rules = Rules(PERIOD, 2, int(forget_s * S), most)
+        rules = PeerSettings(PERIOD, 2, int(forget_s * S), most)
         self.now = 10 * S
         self.own = Membership("m0", 1, rules, [(name, name) for name in listed], Random(3), self.now)
         self.reachable = set(listed)
