--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -237,7 +237,7 @@
             state = self._decoded_state(member, row_state.row.version, row_state.row.told.get(TOPIC))
             # Includes members not heard lately: they go on earning.
             origin_count = max(origin_count, min(state.origin_count, HOMES_MOST))
-            if self.peer.rows.hears(now, member):
+            if self.peer.rows.is_fresh(now, member):
                 for shortage in state.shortages:
                     key = shortage.kind, shortage.subject
                     self.remote_shortages[key] = self.remote_shortages.get(key, 0.0) + max(
--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -147,7 +147,7 @@
         kept = self.kept.get(name)
         return None if kept is None else now - kept.made_at
 
-    def hears(self, now: int, name: str) -> bool:
+    def is_fresh(self, now: int, name: str) -> bool:
         """Whether a member's row is not older than the horizon; always true for this member."""
         kept = self.kept.get(name)
         return name == self.own or (kept is not None and now - kept.made_at <= self.horizon)
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -44,7 +44,7 @@
     assert rows.age(13 * S, "a") == 4 * S
     rows.learn(13 * S, Row("a", 1, 4, 2), 3 * S)  # another path, with a tighter bound
     assert rows.age(13 * S, "a") == 3 * S
-    assert not rows.hears(13 * S, "a")
+    assert not rows.is_fresh(13 * S, "a")
 
 
 def test_members_that_hear_less_are_set_aside_and_the_silent_too() -> None:
