--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -231,7 +231,7 @@
         """Sums the shortages published by other members and takes over the largest number of origins."""
         assert self.peer is not None
         self.remote_shortages, origin_count = {}, self.origin_count
-        for member, row_state in self.peer.rows.kept.items():
+        for member, row_state in self.peer.rows.current.items():
             if member == self.peer.own:
                 continue
             state = self._decoded_state(member, row_state.row.version, row_state.row.told.get(TOPIC))
--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -78,7 +78,7 @@
         self.horizon = horizon
         self.most = most
         self.serial = 0
-        self.kept: dict[str, StoredRow] = {}  # rows of current incarnations
+        self.current: dict[str, StoredRow] = {}  # rows of current incarnations
         self.past: dict[str, dict[int, StoredRow]] = {}  # earlier incarnations, until forgotten
         self.left_out = 0
 
@@ -90,13 +90,13 @@
 
     def learn(self, now: int, row: Row, age: int) -> bool:
         """Merge a row; return whether it was new. Raises nothing, whatever the row holds."""
-        kept = self.kept.get(row.name)
+        kept = self.current.get(row.name)
         made_at = now - max(0, age)
         if kept is None:
-            if len(self.kept) >= self.most or len(row.name) > NAME_MOST:
+            if len(self.current) >= self.most or len(row.name) > NAME_MOST:
                 self.left_out += 1
                 return False
-            self.kept[row.name] = self._store(row, made_at)
+            self.current[row.name] = self._store(row, made_at)
             return True
         if row.life < kept.row.life:
             return self._learn_past_incarnation(row, made_at)
@@ -108,7 +108,7 @@
             self._learn_past_incarnation(kept.row, kept.made_at)
         else:
             made_at = max(made_at, kept.made_at)  # it was made after the previous row
-        self.kept[row.name] = self._store(row, made_at)
+        self.current[row.name] = self._store(row, made_at)
         return True
 
     def _store(self, row: Row, made_at: int) -> StoredRow:
@@ -127,7 +127,7 @@
 
     def forget(self, name: str) -> None:
         """Remove a member that is no longer counted."""
-        self.kept.pop(name, None)
+        self.current.pop(name, None)
         self.past.pop(name, None)
 
     def forget_past(self, before: int) -> None:
@@ -144,24 +144,24 @@
 
     def age(self, now: int, name: str) -> int | None:
         """The maximum age of a member's row; None without a row."""
-        kept = self.kept.get(name)
+        kept = self.current.get(name)
         return None if kept is None else now - kept.made_at
 
     def is_fresh(self, now: int, name: str) -> bool:
         """Whether a member's row is not older than the horizon; always true for this member."""
-        kept = self.kept.get(name)
+        kept = self.current.get(name)
         return name == self.own or (kept is not None and now - kept.made_at <= self.horizon)
 
     def heard(self, now: int) -> int:
         """The number of members heard, including this one."""
         oldest_fresh = now - self.horizon
-        others = sum(kept.made_at >= oldest_fresh for name, kept in self.kept.items() if name != self.own)
+        others = sum(kept.made_at >= oldest_fresh for name, kept in self.current.items() if name != self.own)
         return 1 + others
 
     def freshness(self, now: int, members: int) -> Freshness:
         """The freshness of the table, for a fleet of `members`."""
         oldest_fresh = now - self.horizon
-        ages = [now - kept.made_at for name, kept in self.kept.items() if kept.made_at >= oldest_fresh]
+        ages = [now - kept.made_at for name, kept in self.current.items() if kept.made_at >= oldest_fresh]
         return Freshness(self.heard(now), members, max(ages, default=0))
 
     def sharing_view(self, now: int) -> list[Row]:
@@ -169,13 +169,13 @@
         oldest_fresh, own_heard = now - self.horizon, self.heard(now)
         return [
             kept.row
-            for name, kept in self.kept.items()
+            for name, kept in self.current.items()
             if name != self.own and kept.made_at >= oldest_fresh and kept.row.heard >= own_heard
         ]
 
     def lives(self) -> Iterator[Row]:
         """The rows of all known incarnations, for their counts."""
-        for kept in self.kept.values():
+        for kept in self.current.values():
             yield kept.row
         for incarnations in self.past.values():
             for kept in incarnations.values():
@@ -183,7 +183,7 @@
 
     def since(self, serial: int) -> list[StoredRow]:
         """The rows changed after that serial, the latest change first."""
-        changed = [kept for kept in self.kept.values() if kept.serial > serial]
+        changed = [kept for kept in self.current.values() if kept.serial > serial]
         changed += [kept for past in self.past.values() for kept in past.values() if kept.serial > serial]
         changed.sort(key=lambda kept: kept.serial, reverse=True)
         return changed
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -51,7 +51,7 @@
 
     def look(self, now: int) -> None:
         """Updates the admission with the rows received so far."""
-        for row_state in self.peer.rows.kept.values():
+        for row_state in self.peer.rows.current.values():
             self._decoded_row(row_state.row)
         rows = self.peer.view(now)
         demands: dict[int, list[float]] = defaultdict(list)
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -32,8 +32,8 @@
     for row in repeated:
         other.learn(10 * S, row, S)
     assert known(one) == known(other)
-    assert {name: kept.row.version for name, kept in one.kept.items()} == {
-        name: kept.row.version for name, kept in other.kept.items()
+    assert {name: kept.row.version for name, kept in one.current.items()} == {
+        name: kept.row.version for name, kept in other.current.items()
     }
 
 
@@ -73,7 +73,7 @@
     rows = table(most=2)
     for name in ("a", "b", "c" * 65, "d"):
         rows.learn(S, Row(name, 1, 1, 1), 0)
-    assert len(rows.kept) == 2 and rows.left_out == 2
+    assert len(rows.current) == 2 and rows.left_out == 2
 
 
 def test_what_has_changed_comes_with_the_latest_change_first() -> None:
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -78,7 +78,7 @@
     member = peer("a")
     answer = SyncAnswer(4711, "b", 9, 0, 1, 1, [AgedRow(0, Row("b", 1, 5, 3))])
     assert member.receive(S, answer, "b") == []
-    assert "b" not in member.rows.kept
+    assert "b" not in member.rows.current
 
 
 def test_an_answer_that_comes_late_tells_of_old_rows() -> None:
@@ -133,7 +133,7 @@
     network.peers["b"] = peer("b", "ab", incarnation=2)  # another process, whose serials start again at zero
     network.peers["b"].process += 1
     network.period(3)
-    assert network.peers["a"].rows.kept["b"].row.life == 2
+    assert network.peers["a"].rows.current["b"].row.life == 2
 
 
 def test_one_that_is_in_no_file_joins_by_asking_one_that_is() -> None:
@@ -164,7 +164,7 @@
     network.peers["b"].topics["t"] = Topic(lambda now: [], lambda: resets.append(True))
     network.period(8)
     assert network.peers["b"].members.incarnation > 1000 and resets == [True]
-    assert network.peers["a"].rows.kept["b"].row.life == network.peers["b"].members.incarnation
+    assert network.peers["a"].rows.current["b"].row.life == network.peers["b"].members.incarnation
     assert not network.peers["b"].mute(network.now)
 
 
@@ -191,7 +191,7 @@
     member.topics["long"] = Topic(lambda now: "x" * MAX_ROW_BYTES, lambda: None)
     member.topics["short"] = Topic(lambda now: [1, 2], lambda: None)
     member.tick(S)
-    assert set(member.rows.kept["a"].row.told) == {"short"} and member.dropped_topics == 1
+    assert set(member.rows.current["a"].row.told) == {"short"} and member.dropped_topics == 1
 
 
 BAD = (
