--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -173,7 +173,7 @@
             if name != self.own and kept.made_at >= oldest_fresh and kept.row.heard >= own_heard
         ]
 
-    def lives(self) -> Iterator[Row]:
+    def all_incarnations(self) -> Iterator[Row]:
         """The rows of all known incarnations, for their counts."""
         for kept in self.current.values():
             yield kept.row
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -101,12 +101,12 @@
 
     def _drop_forgotten_lives(self) -> None:
         """Drops the counts of incarnations that the table of rows has dropped."""
-        lives = {(row.name, row.life) for row in self.peer.rows.lives()}
+        lives = {(row.name, row.life) for row in self.peer.rows.all_incarnations()}
         self.counts_by_life = {life: counts for life, counts in self.counts_by_life.items() if life in lives}
 
     def totals(self) -> Mapping[int, Totals]:
         """Returns totals by configured tenant over all known incarnations, including this member's."""
-        for row in self.peer.rows.lives():
+        for row in self.peer.rows.all_incarnations():
             if (row.name, row.life) not in self.counts_by_life:
                 self._count(row, self._decode(row))
         self._drop_forgotten_lives()
