--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -38,7 +38,7 @@
     """One member's published counters; `told`: by topic, encoded; forwarded undecoded."""
 
     name: str
-    life: int  # incarnation
+    incarnation: int  # incarnation
     beat: int  # heartbeat sequence number
     heard: int  # members that it hears, including itself
     told: dict[str, msgspec.Raw] = {}
@@ -46,7 +46,7 @@
     @property
     def version(self) -> tuple[int, int]:
         """The order of a member's rows: a larger version is later and refutes reports about earlier ones."""
-        return self.life, self.beat
+        return self.incarnation, self.beat
 
 
 @dataclass(slots=True)
@@ -98,13 +98,13 @@
                 return False
             self.current[row.name] = self._store(row, made_at)
             return True
-        if row.life < kept.row.life:
+        if row.incarnation < kept.row.life:
             return self._learn_past_incarnation(row, made_at)
         if row.version <= kept.row.version:
             if row.version == kept.row.version:
                 kept.made_at = max(kept.made_at, made_at)  # the tighter bound of the two
             return False
-        if row.life > kept.row.life:
+        if row.incarnation > kept.row.life:
             self._learn_past_incarnation(kept.row, kept.made_at)
         else:
             made_at = max(made_at, kept.made_at)  # it was made after the previous row
@@ -117,13 +117,13 @@
 
     def _learn_past_incarnation(self, row: Row, made_at: int) -> bool:
         incarnations = self.past.setdefault(row.name, {})
-        known = incarnations.get(row.life)
+        known = incarnations.get(row.incarnation)
         if known is not None and known.row.beat >= row.beat:
             return False
-        incarnations[row.life] = self._store(row, made_at)
+        incarnations[row.incarnation] = self._store(row, made_at)
         if len(incarnations) > MAX_PAST_INCARNATIONS:
             del incarnations[min(incarnations)]
-        return row.life in incarnations
+        return row.incarnation in incarnations
 
     def forget(self, name: str) -> None:
         """Remove a member that is no longer counted."""
