--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -41,7 +41,7 @@
     incarnation: int  # incarnation
     beat: int  # heartbeat sequence number
     heard: int  # members that it hears, including itself
-    told: dict[str, msgspec.Raw] = {}
+    topics: dict[str, msgspec.Raw] = {}
 
     @property
     def version(self) -> tuple[int, int]:
