--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,7 +18,7 @@
 from random import Random
 
 from garnethaven.budgets.lending import Budget, Lending
-from garnethaven.gossip.spread import horizon_s, period_of
+from garnethaven.gossip.spread import horizon_s, scaled_period
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import PeerSettings
 from rigs.budgets import PER_S, SHARE, Stage, table
@@ -71,7 +71,7 @@
 def followed(members: int) -> str:
     """Members in virtual time, one of which wants all; nothing is lost, everything takes 20 ms."""
     names = [f"m{number}" for number in range(members)]
-    period = int(period_of(members, 0.2) * S)
+    period = int(scaled_period(members, 0.2) * S)
     horizon = int(horizon_s(members, 3, period / S, 0.1, 0.05) * S)
     lasts, rate = 5 * S, 100.0
     now, rng = 10 * S, Random(3)
--- a/garnethaven/gossip/spread.py
+++ b/garnethaven/gossip/spread.py
@@ -44,7 +44,7 @@
     return (rounds(members, asks, loss) + 1) * (period_s + 2.0 * delay_s)
 
 
-def period_of(members: int, base_s: float) -> float:
+def scaled_period(members: int, base_s: float) -> float:
     """The time between two rounds of requests, which grows with the fleet beyond `FULL_ANSWER_MEMBERS`.
 
     It grows with the square root: the size of the answers and the length of a period both grow with the
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -21,7 +21,7 @@
 from garnethaven.engine.engine import MS, S
 from garnethaven.feature import Feature
 from garnethaven.gossip.rows import Row
-from garnethaven.gossip.spread import horizon_s, period_of
+from garnethaven.gossip.spread import horizon_s, scaled_period
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.datagrams import MAX_BYTES, Dropped, DropReason, Seal
 from garnethaven.peers.membership import PeerSettings
@@ -100,7 +100,7 @@
         listed = [(member.name, address_text(member.at)) for member in table.members]
         own = table.name or config.name
         self.size = max(2, len({name for name, _ in listed} | {own}), self.parts.engine.settings.fleet_size)
-        self.period_s = period_of(self.size, table.period_s)
+        self.period_s = scaled_period(self.size, table.period_s)
         self.horizon_s = horizon_s(self.size, table.asks, self.period_s, table.loss_most, table.delay_most_s)
         rules = PeerSettings(int(self.period_s * S), table.asks, int(table.forget_s * S), table.members_most)
         rng = Random(f"{config.seed} peers {own}")
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -25,7 +25,7 @@
 
 from dataclasses import dataclass
 
-from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, period_of, rounds
+from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, rounds, scaled_period
 from garnethaven.tenants.admission import DEMAND_WINDOW_S, FLOOR_RATIO, FLOOR_RETENTION_S
 
 CLOCK_DRIFT = 0.02  # relative, between two clocks: twice the tolerance of one clock
@@ -49,7 +49,7 @@
 
     @property
     def period_s(self) -> float:
-        return period_of(self.members, self.base_period_s)
+        return scaled_period(self.members, self.base_period_s)
 
     @property
     def horizon_s(self) -> float:
