--- a/garnethaven/gossip/spread.py
+++ b/garnethaven/gossip/spread.py
@@ -22,7 +22,7 @@
 
 # Expected number of members that an update may reach late; with more, chance would look like a partition.
 MAX_EXPECTED_MISSING = 1e-6
-ROUNDS_MOST = 200  # limit; as a result it means that the update does not reach all members
+MAX_ROUNDS = 200  # limit; as a result it means that the update does not reach all members
 FULL_ANSWER_MEMBERS = 32  # up to this size each answer has all rows, at the base period
 
 
@@ -32,11 +32,11 @@
         return 0
     delivered_share = (1.0 - loss) ** 2
     missing_share = 1.0 - 1.0 / members
-    for round_number in range(1, ROUNDS_MOST):
+    for round_number in range(1, MAX_ROUNDS):
         missing_share *= (1.0 - delivered_share * (1.0 - missing_share)) ** min(asks, members - 1)
         if members * missing_share < MAX_EXPECTED_MISSING:
             return round_number
-    return ROUNDS_MOST
+    return MAX_ROUNDS
 
 
 def horizon_s(members: int, asks: int, period_s: float, loss: float, delay_s: float) -> float:
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -25,7 +25,7 @@
 
 from dataclasses import dataclass
 
-from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, rounds, scaled_period
+from garnethaven.gossip.spread import MAX_ROUNDS, horizon_s, rounds, scaled_period
 from garnethaven.tenants.admission import DEMAND_WINDOW_S, FLOOR_RATIO, FLOOR_RETENTION_S
 
 CLOCK_DRIFT = 0.02  # relative, between two clocks: twice the tolerance of one clock
@@ -62,7 +62,7 @@
     @property
     def reaches(self) -> bool:
         """Whether updates reach all members with such losses."""
-        return rounds(self.members, self.asks, self.loss) < ROUNDS_MOST
+        return rounds(self.members, self.asks, self.loss) < MAX_ROUNDS
 
 
 def settle_s(horizon: float, period: float) -> float:
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from garnethaven.gossip.rows import MAX_PAST_INCARNATIONS, Row, Rows
-from garnethaven.gossip.spread import ROUNDS_MOST, horizon_s, rounds, scaled_period
+from garnethaven.gossip.spread import MAX_ROUNDS, horizon_s, rounds, scaled_period
 
 S = 1_000_000_000
 ROWS = st.builds(Row, st.sampled_from("abc"), st.integers(1, 3), st.integers(1, 5), st.just(3))
@@ -90,7 +90,7 @@
 def test_the_horizon_grows_with_loss_and_delay_and_hardly_with_members() -> None:
     assert rounds(1, 3, 0.0) == 0
     assert rounds(24, 3, 0.0) <= rounds(24, 3, 0.1) < rounds(24, 3, 0.3) < rounds(24, 1, 0.3)
-    assert rounds(24, 3, 0.9999) == ROUNDS_MOST
+    assert rounds(24, 3, 0.9999) == MAX_ROUNDS
     assert rounds(1200, 3, 0.1) <= 2 * rounds(16, 3, 0.1)
     assert horizon_s(24, 3, 0.2, 0.1, 1.0) > horizon_s(24, 3, 0.2, 0.1, 0.0)
     assert scaled_period(16, 0.2) == 0.2 < scaled_period(1200, 0.2) < 0.2 * 1200 / 32
