--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -31,7 +31,7 @@
 BAD_SHARE = 0.3  # share of bad outcomes from which an endpoint is bad
 
 
-class Told(NamedTuple):
+class EndpointReport(NamedTuple):
     """A member's report on one endpoint: the decayed outcome counts of one of its incarnations."""
 
     endpoint: int
@@ -45,7 +45,7 @@
 
     endpoints_met: int  # endpoints that it has used recently
     endpoints_bad: int  # how many of those it finds bad
-    told: list[Told]
+    told: list[EndpointReport]
 
 
 def decayed(count: float, age: int) -> float:
@@ -128,7 +128,7 @@
         chosen = _largest(ranked_recovered, MAX_REPORTS // 4)
         chosen += _largest(ranked_bad, MAX_REPORTS - len(chosen))
         reports = [
-            Told(number, counts.incarnation, round(counts.good, 2), round(counts.bad, 2))
+            EndpointReport(number, counts.incarnation, round(counts.good, 2), round(counts.bad, 2))
             for _, number, counts in chosen
         ]
         return Row(endpoints_met, endpoints_bad, reports)
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from garnethaven.judgements.combining import Heard, Known, Sums, factors
-from garnethaven.judgements.evidence import Evidence, Row, Told
+from garnethaven.judgements.evidence import EndpointReport, Evidence, Row
 
 S = 1_000_000_000
 STEP_S = 0.25
@@ -167,8 +167,8 @@
 
 def condemns_all(row: Row) -> Row:
     """A lie that hides behind a small share: it says that it has met a thousand."""
-    return Row(1000, 10, [Told(server, 0, 0.0, 50.0) for server in range(SERVERS)])
+    return Row(1000, 10, [EndpointReport(server, 0, 0.0, 50.0) for server in range(SERVERS)])
 
 
 def praises(server: int) -> Callable[[Row], Row]:
-    return lambda row: Row(16, 0, [Told(server, 0, 50.0, 0.0)])
+    return lambda row: Row(16, 0, [EndpointReport(server, 0, 50.0, 0.0)])
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -24,9 +24,9 @@
     HALF_LIFE,
     MAX_ENDPOINTS,
     MAX_REPORTS,
+    EndpointReport,
     Evidence,
     Row,
-    Told,
 )
 
 S = 1_000_000_000
@@ -37,7 +37,7 @@
 def row(
     endpoint: int, good: float, bad: float, endpoints_met: int = 8, endpoints_bad: int = 1, life: int = 0
 ) -> Row:
-    return Row(endpoints_met, endpoints_bad, [Told(endpoint, life, good, bad)])
+    return Row(endpoints_met, endpoints_bad, [EndpointReport(endpoint, life, good, bad)])
 
 
 def heard(*rows: Row, zone: int = 0, age: int = 0) -> list[Heard]:
@@ -133,7 +133,7 @@
 
 
 TOLD = st.builds(
-    Told,
+    EndpointReport,
     st.integers(0, 15),
     st.just(0),
     st.floats() | st.floats(0, 5),
