--- a/garnethaven/judgements/combining.py
+++ b/garnethaven/judgements/combining.py
@@ -31,7 +31,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from garnethaven.judgements.evidence import Evidence, Row, decayed
+from garnethaven.judgements.evidence import Evidence, EvidenceRow, decayed
 
 PRIOR_GOOD = 2.0
 MAX_COUNT_PER_MEMBER = 1.0
@@ -54,7 +54,7 @@
     name: str
     zone: int
     age: int
-    row: Row
+    row: EvidenceRow
 
 
 class Known(NamedTuple):
@@ -65,7 +65,7 @@
     weight: float  # before any factor
 
 
-def trust(row: Row) -> float:
+def trust(row: EvidenceRow) -> float:
     """The weight of a member's evidence, from 0 to 1, by its share of bad endpoints."""
     if row.endpoints_met < MIN_ENDPOINTS_MET:
         return 1.0 if row.endpoints_bad < row.endpoints_met or row.endpoints_met <= 1 else 0.5
--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -40,7 +40,7 @@
     bad: float
 
 
-class Row(NamedTuple):
+class EvidenceRow(NamedTuple):
     """All that a member publishes of its evidence."""
 
     endpoints_met: int  # endpoints that it has used recently
@@ -107,7 +107,7 @@
         """Drop the counts of an endpoint that has been removed."""
         self.by_endpoint.pop(endpoint, None)
 
-    def tells(self, now: int, avoided: Container[int] = ()) -> Row:
+    def tells(self, now: int, avoided: Container[int] = ()) -> EvidenceRow:
         """The row to publish now; `avoided`: endpoints that other members give fewer requests."""
         endpoints_met = endpoints_bad = 0
         ranked_bad: list[tuple[float, int, OutcomeCounts]] = []
@@ -131,7 +131,7 @@
             EndpointReport(number, counts.incarnation, round(counts.good, 2), round(counts.bad, 2))
             for _, number, counts in chosen
         ]
-        return Row(endpoints_met, endpoints_bad, reports)
+        return EvidenceRow(endpoints_met, endpoints_bad, reports)
 
 
 def _largest(
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from garnethaven.judgements.combining import Heard, Known, Sums, factors
-from garnethaven.judgements.evidence import EndpointReport, Evidence, Row
+from garnethaven.judgements.evidence import EndpointReport, Evidence, EvidenceRow
 
 S = 1_000_000_000
 STEP_S = 0.25
@@ -42,7 +42,7 @@
     evidence: Evidence = field(default_factory=Evidence)
     errors: dict[int, tuple[float, float]] = field(default_factory=dict)  # how many, and when
     factors: dict[int, float] = field(default_factory=dict)
-    lies: Callable[[Row], Row] | None = None
+    lies: Callable[[EvidenceRow], EvidenceRow] | None = None
 
 
 class Estate:
@@ -61,7 +61,7 @@
         self.members = [Member(f"m{number}") for number in range(members)]
         self.fault, self.on, self.rate, self.hears = fault, on, rate, hears
         self.figures = Figures()
-        self.rows: list[tuple[float, list[Row]]] = []
+        self.rows: list[tuple[float, list[EvidenceRow]]] = []
         self.due: list[tuple[float, int, int, bool]] = []  # acts that are not known yet
         self.known = [Known(number, 0, 1.0) for number in range(SERVERS)]
 
@@ -165,10 +165,10 @@
             self.figures.shunned_s = max(self.figures.shunned_s, held)
 
 
-def condemns_all(row: Row) -> Row:
+def condemns_all(row: EvidenceRow) -> EvidenceRow:
     """A lie that hides behind a small share: it says that it has met a thousand."""
-    return Row(1000, 10, [EndpointReport(server, 0, 0.0, 50.0) for server in range(SERVERS)])
+    return EvidenceRow(1000, 10, [EndpointReport(server, 0, 0.0, 50.0) for server in range(SERVERS)])
 
 
-def praises(server: int) -> Callable[[Row], Row]:
-    return lambda row: Row(16, 0, [EndpointReport(server, 0, 50.0, 0.0)])
+def praises(server: int) -> Callable[[EvidenceRow], EvidenceRow]:
+    return lambda row: EvidenceRow(16, 0, [EndpointReport(server, 0, 50.0, 0.0)])
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -26,7 +26,7 @@
     MAX_REPORTS,
     EndpointReport,
     Evidence,
-    Row,
+    EvidenceRow,
 )
 
 S = 1_000_000_000
@@ -36,11 +36,11 @@
 
 def row(
     endpoint: int, good: float, bad: float, endpoints_met: int = 8, endpoints_bad: int = 1, life: int = 0
-) -> Row:
-    return Row(endpoints_met, endpoints_bad, [EndpointReport(endpoint, life, good, bad)])
+) -> EvidenceRow:
+    return EvidenceRow(endpoints_met, endpoints_bad, [EndpointReport(endpoint, life, good, bad)])
 
 
-def heard(*rows: Row, zone: int = 0, age: int = 0) -> list[Heard]:
+def heard(*rows: EvidenceRow, zone: int = 0, age: int = 0) -> list[Heard]:
     return [Heard(f"m{number}", zone, age, one) for number, one in enumerate(rows)]
 
 
@@ -95,8 +95,8 @@
 
 
 def test_one_who_finds_all_bad_tells_of_itself() -> None:
-    assert trust(Row(16, 16, [])) == trust(Row(16, 8, [])) == 0.0
-    assert trust(Row(16, 2, [])) == 1.0
+    assert trust(EvidenceRow(16, 16, [])) == trust(EvidenceRow(16, 8, [])) == 0.0
+    assert trust(EvidenceRow(16, 2, [])) == 1.0
     assert factors_of(heard(*[row(3, 0.0, 9.0, endpoints_met=16, endpoints_bad=14) for _ in range(5)])) == {}
 
 
@@ -139,12 +139,12 @@
     st.floats() | st.floats(0, 5),
     st.floats() | st.floats(0, 5),
 )
-ROWS = st.builds(Row, st.integers(0, 16), st.integers(0, 16), st.lists(TOLD, max_size=16))
+ROWS = st.builds(EvidenceRow, st.integers(0, 16), st.integers(0, 16), st.lists(TOLD, max_size=16))
 
 
 @given(st.lists(ROWS, max_size=12), st.integers(0, 2))
 def test_whatever_is_heard_factors_stay_in_their_bounds_and_so_does_their_sum(
-    rows: list[Row], zone: int
+    rows: list[EvidenceRow], zone: int
 ) -> None:
     remaining = factors_of([Heard("m", zone, 0, one) for one in rows])
     assert all(MIN_FACTOR <= one < 1.0 for one in remaining.values())
