--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -79,7 +79,7 @@
     def __init__(self) -> None:
         self.by_endpoint: dict[int, OutcomeCounts] = {}
 
-    def saw(self, now: int, endpoint: int, incarnation: int, good: bool, weight: float = 1.0) -> None:
+    def record(self, now: int, endpoint: int, incarnation: int, good: bool, weight: float = 1.0) -> None:
         """Record an outcome; a smaller `weight` is for weaker evidence, such as a late answer."""
         counts = self.by_endpoint.pop(endpoint, None)
         if counts is None or counts.incarnation < incarnation:
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -124,7 +124,7 @@
         due, self.due = [one for one in self.due if one[0] <= now], [one for one in self.due if one[0] > now]
         for _, number, server, good in due:
             member = self.members[number]
-            member.evidence.saw(int(now * S), server, 0, good)
+            member.evidence.record(int(now * S), server, 0, good)
             count, at = member.errors.get(server, (0.0, 0.0))
             left = count * 0.5 ** ((now - at) / RAMP_S)
             member.errors[server] = (0.0, now) if good else (left + 1.0, now)
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -50,16 +50,16 @@
 
 def test_acts_fade_by_half_in_a_half_life() -> None:
     own = Evidence()
-    own.saw(0, 1, 0, good=False)
+    own.record(0, 1, 0, good=False)
     assert own.counts_of(HALF_LIFE, 1, 0) == (0.0, approx(0.5))
     assert own.tells(0 + 10 * HALF_LIFE).endpoints_met == 0 and not own.by_endpoint
 
 
 def test_a_restart_begins_anew_and_what_is_still_under_way_of_before_says_nothing() -> None:
     own = Evidence()
-    own.saw(0, 1, 5, good=False)
-    own.saw(S, 1, 9, good=True)
-    own.saw(S, 1, 5, good=False)
+    own.record(0, 1, 5, good=False)
+    own.record(S, 1, 9, good=True)
+    own.record(S, 1, 5, good=False)
     assert own.counts_of(S, 1, 9) == (1.0, 0.0) and own.counts_of(S, 1, 5) == (0.0, 0.0)
     # The endpoint list has another incarnation.
     assert factors_of(heard(row(1, 0.0, 5.0, life=5), row(1, 0.0, 5.0, life=5))) == {}
@@ -69,7 +69,7 @@
     own = Evidence()
     for endpoint in range(40):
         for attempt in range(10):
-            own.saw(S, endpoint, 0, good=attempt < 10 - endpoint // 4)
+            own.record(S, endpoint, 0, good=attempt < 10 - endpoint // 4)
     published = own.tells(S, avoided={0})
     assert (published.endpoints_met, len(published.told)) == (40, MAX_REPORTS)
     assert published.endpoints_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
@@ -80,10 +80,10 @@
 def test_memory_is_bounded() -> None:
     own = Evidence()
     for endpoint in range(MAX_ENDPOINTS + 10):
-        own.saw(S, endpoint, 0, good=True)
+        own.record(S, endpoint, 0, good=True)
     assert len(own.by_endpoint) == MAX_ENDPOINTS and 0 not in own.by_endpoint
     for _ in range(1000):
-        own.saw(S, 99, 0, good=False)
+        own.record(S, 99, 0, good=False)
     assert own.counts_of(S, 99, 0)[1] <= 50.0
 
 
@@ -105,7 +105,7 @@
     assert praised[3] < 0.6
     own = Evidence()
     for _ in range(20):
-        own.saw(S, 3, 0, good=True)
+        own.record(S, 3, 0, good=True)
     assert factors_of(heard(*[row(3, 0.0, 2.0) for _ in range(3)]), own).get(3, 1.0) > 0.8
 
 
