--- a/garnethaven/judgements/evidence.py
+++ b/garnethaven/judgements/evidence.py
@@ -107,7 +107,7 @@
         """Drop the counts of an endpoint that has been removed."""
         self.by_endpoint.pop(endpoint, None)
 
-    def tells(self, now: int, avoided: Container[int] = ()) -> EvidenceRow:
+    def make_row(self, now: int, avoided: Container[int] = ()) -> EvidenceRow:
         """The row to publish now; `avoided`: endpoints that other members give fewer requests."""
         endpoints_met = endpoints_bad = 0
         ranked_bad: list[tuple[float, int, OutcomeCounts]] = []
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -134,7 +134,7 @@
             return
         told = []
         for member in self.members:
-            row = member.evidence.tells(int(now * S), member.factors)
+            row = member.evidence.make_row(int(now * S), member.factors)
             told.append(member.lies(row) if member.lies else row)
         self.rows = [one for one in self.rows if one[0] >= now - 2 * LATE_S] + [(now, told)]
         at, rows = min(self.rows, key=lambda one: abs(one[0] - (now - LATE_S)))
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -52,7 +52,7 @@
     own = Evidence()
     own.record(0, 1, 0, good=False)
     assert own.counts_of(HALF_LIFE, 1, 0) == (0.0, approx(0.5))
-    assert own.tells(0 + 10 * HALF_LIFE).endpoints_met == 0 and not own.by_endpoint
+    assert own.make_row(0 + 10 * HALF_LIFE).endpoints_met == 0 and not own.by_endpoint
 
 
 def test_a_restart_begins_anew_and_what_is_still_under_way_of_before_says_nothing() -> None:
@@ -70,7 +70,7 @@
     for endpoint in range(40):
         for attempt in range(10):
             own.record(S, endpoint, 0, good=attempt < 10 - endpoint // 4)
-    published = own.tells(S, avoided={0})
+    published = own.make_row(S, avoided={0})
     assert (published.endpoints_met, len(published.told)) == (40, MAX_REPORTS)
     assert published.endpoints_bad == sum(endpoint // 4 >= 1 for endpoint in range(40))
     assert 39 in {one.endpoint for one in published.told} and 0 in {one.endpoint for one in published.told}
