--- a/garnethaven/judgements/combining.py
+++ b/garnethaven/judgements/combining.py
@@ -48,7 +48,7 @@
 RETRIAL_FACTOR = 0.3
 
 
-class Heard(NamedTuple):
+class ReceivedEvidence(NamedTuple):
     """Another member's row and its maximum age in nanoseconds."""
 
     name: str
@@ -81,7 +81,7 @@
 class Sums:
     """The weighted outcome counts of all other members, by endpoint and incarnation."""
 
-    def __init__(self, heard: Iterable[Heard], zone: int) -> None:
+    def __init__(self, heard: Iterable[ReceivedEvidence], zone: int) -> None:
         self.counts: dict[tuple[int, int], tuple[float, float]] = {}
         for received in heard:
             weight = trust(received.row) * (1.0 if received.zone == zone else OTHER_ZONE_WEIGHT)
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from garnethaven.judgements.combining import Heard, Known, Sums, factors
+from garnethaven.judgements.combining import Known, ReceivedEvidence, Sums, factors
 from garnethaven.judgements.evidence import EndpointReport, Evidence, EvidenceRow
 
 S = 1_000_000_000
@@ -146,10 +146,10 @@
             names = [other for other in range(len(self.members)) if other != number]
             heard = [other for other in names if self.hears(number, other, now)]
             if len(heard) == len(names) and len(names) > 100:  # one more or less of so many
-                everybody = everybody or Sums((Heard("", 0, age, row) for row in rows), 0)
+                everybody = everybody or Sums((ReceivedEvidence("", 0, age, row) for row in rows), 0)
                 sums = everybody
             else:
-                sums = Sums((Heard("", 0, age, rows[other]) for other in heard), 0)
+                sums = Sums((ReceivedEvidence("", 0, age, rows[other]) for other in heard), 0)
             found = factors(int(now * S), member.name, len(self.members), member.evidence, sums, self.known)
             member.factors = dict(found)
 
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -12,8 +12,8 @@
     MIN_FACTOR,
     RETRIAL_FACTOR,
     RETRIAL_MEMBERS,
-    Heard,
     Known,
+    ReceivedEvidence,
     Sums,
     factor,
     factors,
@@ -40,11 +40,13 @@
     return EvidenceRow(endpoints_met, endpoints_bad, [EndpointReport(endpoint, life, good, bad)])
 
 
-def heard(*rows: EvidenceRow, zone: int = 0, age: int = 0) -> list[Heard]:
-    return [Heard(f"m{number}", zone, age, one) for number, one in enumerate(rows)]
+def heard(*rows: EvidenceRow, zone: int = 0, age: int = 0) -> list[ReceivedEvidence]:
+    return [ReceivedEvidence(f"m{number}", zone, age, one) for number, one in enumerate(rows)]
 
 
-def factors_of(rows: list[Heard], own: Evidence = NO_EVIDENCE, name: str = "x") -> dict[int, float]:
+def factors_of(
+    rows: list[ReceivedEvidence], own: Evidence = NO_EVIDENCE, name: str = "x"
+) -> dict[int, float]:
     return dict(factors(S, name, 40, own, Sums(rows, 0), KNOWN))
 
 
@@ -146,7 +148,7 @@
 def test_whatever_is_heard_factors_stay_in_their_bounds_and_so_does_their_sum(
     rows: list[EvidenceRow], zone: int
 ) -> None:
-    remaining = factors_of([Heard("m", zone, 0, one) for one in rows])
+    remaining = factors_of([ReceivedEvidence("m", zone, 0, one) for one in rows])
     assert all(MIN_FACTOR <= one < 1.0 for one in remaining.values())
     assert sum(1.0 - one for one in remaining.values()) <= MAX_REMOVED_SHARE * len(KNOWN) + 1e-9
 
