--- a/garnethaven/judgements/combining.py
+++ b/garnethaven/judgements/combining.py
@@ -57,7 +57,7 @@
     row: EvidenceRow
 
 
-class Known(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """An endpoint of the current endpoint list."""
 
     endpoint: int
@@ -107,7 +107,7 @@
 
 
 def factors(
-    now: int, name: str, members: int, evidence: Evidence, sums: Sums, known: Iterable[Known]
+    now: int, name: str, members: int, evidence: Evidence, sums: Sums, known: Iterable[ListedEndpoint]
 ) -> Mapping[int, float]:
     """The factors below 1, by endpoint; empty if they would remove too much weight in total."""
     reduced: dict[int, float] = {}
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from garnethaven.judgements.combining import Known, ReceivedEvidence, Sums, factors
+from garnethaven.judgements.combining import ListedEndpoint, ReceivedEvidence, Sums, factors
 from garnethaven.judgements.evidence import EndpointReport, Evidence, EvidenceRow
 
 S = 1_000_000_000
@@ -63,7 +63,7 @@
         self.figures = Figures()
         self.rows: list[tuple[float, list[EvidenceRow]]] = []
         self.due: list[tuple[float, int, int, bool]] = []  # acts that are not known yet
-        self.known = [Known(number, 0, 1.0) for number in range(SERVERS)]
+        self.known = [ListedEndpoint(number, 0, 1.0) for number in range(SERVERS)]
 
     def run(self, seconds: float, since: float = 0.0) -> Figures:
         now = 0.0
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -12,7 +12,7 @@
     MIN_FACTOR,
     RETRIAL_FACTOR,
     RETRIAL_MEMBERS,
-    Known,
+    ListedEndpoint,
     ReceivedEvidence,
     Sums,
     factor,
@@ -31,7 +31,7 @@
 
 S = 1_000_000_000
 NO_EVIDENCE = Evidence()
-KNOWN = [Known(endpoint, 0, 1.0) for endpoint in range(16)]
+KNOWN = [ListedEndpoint(endpoint, 0, 1.0) for endpoint in range(16)]
 
 
 def row(
