--- a/garnethaven/judgements/combining.py
+++ b/garnethaven/judgements/combining.py
@@ -78,7 +78,7 @@
     return crc32(f"{name} {endpoint}".encode()) % max(1, members) < RETRIAL_MEMBERS
 
 
-class Sums:
+class CombinedEvidence:
     """The weighted outcome counts of all other members, by endpoint and incarnation."""
 
     def __init__(self, heard: Iterable[ReceivedEvidence], zone: int) -> None:
@@ -107,7 +107,12 @@
 
 
 def factors(
-    now: int, name: str, members: int, evidence: Evidence, sums: Sums, known: Iterable[ListedEndpoint]
+    now: int,
+    name: str,
+    members: int,
+    evidence: Evidence,
+    sums: CombinedEvidence,
+    known: Iterable[ListedEndpoint],
 ) -> Mapping[int, float]:
     """The factors below 1, by endpoint; empty if they would remove too much weight in total."""
     reduced: dict[int, float] = {}
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from garnethaven.judgements.combining import ListedEndpoint, ReceivedEvidence, Sums, factors
+from garnethaven.judgements.combining import CombinedEvidence, ListedEndpoint, ReceivedEvidence, factors
 from garnethaven.judgements.evidence import EndpointReport, Evidence, EvidenceRow
 
 S = 1_000_000_000
@@ -141,15 +141,17 @@
         if now < LATE_S:
             return
         age = int((now - at) * S)
-        everybody: Sums | None = None
+        everybody: CombinedEvidence | None = None
         for number, member in enumerate(self.members):
             names = [other for other in range(len(self.members)) if other != number]
             heard = [other for other in names if self.hears(number, other, now)]
             if len(heard) == len(names) and len(names) > 100:  # one more or less of so many
-                everybody = everybody or Sums((ReceivedEvidence("", 0, age, row) for row in rows), 0)
+                everybody = everybody or CombinedEvidence(
+                    (ReceivedEvidence("", 0, age, row) for row in rows), 0
+                )
                 sums = everybody
             else:
-                sums = Sums((ReceivedEvidence("", 0, age, rows[other]) for other in heard), 0)
+                sums = CombinedEvidence((ReceivedEvidence("", 0, age, rows[other]) for other in heard), 0)
             found = factors(int(now * S), member.name, len(self.members), member.evidence, sums, self.known)
             member.factors = dict(found)
 
--- a/tests/judgements/test_evidence.py
+++ b/tests/judgements/test_evidence.py
@@ -12,9 +12,9 @@
     MIN_FACTOR,
     RETRIAL_FACTOR,
     RETRIAL_MEMBERS,
+    CombinedEvidence,
     ListedEndpoint,
     ReceivedEvidence,
-    Sums,
     factor,
     factors,
     retries_endpoint,
@@ -47,7 +47,7 @@
 def factors_of(
     rows: list[ReceivedEvidence], own: Evidence = NO_EVIDENCE, name: str = "x"
 ) -> dict[int, float]:
-    return dict(factors(S, name, 40, own, Sums(rows, 0), KNOWN))
+    return dict(factors(S, name, 40, own, CombinedEvidence(rows, 0), KNOWN))
 
 
 def test_acts_fade_by_half_in_a_half_life() -> None:
@@ -130,7 +130,7 @@
     few = [name for name in members if retries_endpoint(name, 7, len(members))]
     assert 0 < len(few) <= 5 * RETRIAL_MEMBERS
     rows = heard(*[row(7, 0.0, 2.0) for _ in range(9)])
-    remaining = dict(factors(S, few[0], 400, NO_EVIDENCE, Sums(rows, 0), KNOWN))
+    remaining = dict(factors(S, few[0], 400, NO_EVIDENCE, CombinedEvidence(rows, 0), KNOWN))
     assert remaining[7] >= RETRIAL_FACTOR
 
 
