--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -17,7 +17,7 @@
 import time
 from random import Random
 
-from garnethaven.budgets.lending import Budget, Lending
+from garnethaven.budgets.lending import Budget, BudgetLedger
 from garnethaven.gossip.spread import horizon_s, scaled_period
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import PeerSettings
@@ -77,11 +77,11 @@
     now, rng = 10 * S, Random(3)
     listed = [(name, name) for name in names]
     peers: dict[str, Peer] = {}
-    lending: dict[str, Lending] = {}
+    lending: dict[str, BudgetLedger] = {}
     for name in names:
         rules = PeerSettings(period, 3, 600 * S, 2 * members + 8)
         peers[name] = Peer(name, name, 1, listed, rules, horizon, Random(f"{name}"), now)
-        lending[name] = Lending({1: Budget(rate, 0.0, lasts)}, members, True, now)
+        lending[name] = BudgetLedger({1: Budget(rate, 0.0, lasts)}, members, True, now)
         lending[name].join(peers[name])
     sent = 0
 
@@ -124,7 +124,7 @@
 
 
 def cost() -> None:
-    own, now, count = Lending({1: Budget(1e6, 0.0, 2 * S)}, 1, True, 0), 10 * S, 300_000
+    own, now, count = BudgetLedger({1: Budget(1e6, 0.0, 2 * S)}, 1, True, 0), 10 * S, 300_000
     for label, rate in (("spent", 1e6), ("refused", 0.0)):
         own.set_budgets(now, {1: Budget(rate, 0.0, 2 * S)})
         now += S
--- a/garnethaven/budgets/feature.py
+++ b/garnethaven/budgets/feature.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from garnethaven.budgets.lending import Budget, Lending
+from garnethaven.budgets.lending import Budget, BudgetLedger
 from garnethaven.budgets.table import Budgets
 from garnethaven.engine.engine import S
 from garnethaven.engine.spending import Spend
@@ -43,7 +43,7 @@
 
     def __init__(self, table: Budgets, parts: Parts) -> None:
         super().__init__(table, parts)
-        self.lending: Lending | None = None
+        self.lending: BudgetLedger | None = None
         self.peers: PeerGroup | None = None
 
     def prepare(self) -> None:
@@ -59,7 +59,7 @@
             # A name conflict is detected within the horizon; until then nothing is earned under the name.
             since += int(self.peers.horizon_s * S)
             origin_count = table.homes or self.peers.listed()
-        self.lending = Lending(budgets_of(table), max(1, origin_count), table.earns, since)
+        self.lending = BudgetLedger(budgets_of(table), max(1, origin_count), table.earns, since)
         if self.peers is not None and self.peers.peer is not None:
             self.lending.join(self.peers.peer)
             self.peers.after.append(self._check_name_conflict)
--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -107,7 +107,7 @@
         self.refused_cost = [self.refused_cost[1], 0.0]
 
 
-class Lending:
+class BudgetLedger:
     """One member's accounts. `origin_count` is the configured number of members that earn."""
 
     def __init__(self, budgets: Mapping[int, Budget], origin_count: int, earns: bool, since: int) -> None:
--- a/tests/budgets/test_exploring.py
+++ b/tests/budgets/test_exploring.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from garnethaven.budgets.lending import TOPIC, Budget, Lending, Shortage
+from garnethaven.budgets.lending import TOPIC, Budget, BudgetLedger, Shortage
 from garnethaven.peers.conversation import PACK
 from tests.exploring import explore
 
@@ -37,10 +37,10 @@
     transfers: bytes
 
 
-def member(process: int, now: int) -> tuple[Any, Lending]:
+def member(process: int, now: int) -> tuple[Any, BudgetLedger]:
     rows = SimpleNamespace(kept={})
     peer: Any = SimpleNamespace(topics={}, exchanges={}, rows=rows, process=process, own="")
-    lending = Lending({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, len(NAMES), True, now)
+    lending = BudgetLedger({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, len(NAMES), True, now)
     lending.join(peer)
     return peer, lending
 
@@ -48,7 +48,7 @@
 @dataclass
 class World:
     now: int = S
-    members: dict[str, tuple[Any, Lending]] = field(default_factory=dict)
+    members: dict[str, tuple[Any, BudgetLedger]] = field(default_factory=dict)
     in_transit: list[InTransit] = field(default_factory=list)
     faults_left: dict[str, int] = field(default_factory=lambda: {"lose": 1, "repeat": 1, "crash": 1})
     processes: int = 0
@@ -115,7 +115,7 @@
             ),
         )
 
-    def _account_state(self, lending: Lending) -> object:
+    def _account_state(self, lending: BudgetLedger) -> object:
         account = lending.accounts.get((1, 0))
         refused_cost = tuple(account.refused_cost) if account is not None else ()
         return (
@@ -134,7 +134,7 @@
             )
         return total
 
-    def _without_account(self, lending: Lending) -> float:
+    def _without_account(self, lending: BudgetLedger) -> float:
         return RATE_PER_S / len(NAMES) * min(self.now - lending.earns_since, LIFETIME) / S
 
     def check_invariant(self) -> None:
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -16,7 +16,7 @@
     SUBJECTS_MOST,
     TOPIC,
     Budget,
-    Lending,
+    BudgetLedger,
     Shortage,
 )
 from garnethaven.budgets.table import Budgets
@@ -49,7 +49,7 @@
     now: int = S
     rng: Random = field(default_factory=lambda: Random(7))
     peers: dict[str, Peer] = field(default_factory=dict)
-    lending: dict[str, Lending] = field(default_factory=dict)
+    lending: dict[str, BudgetLedger] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)
     in_transit: list[tuple[int, str, OutgoingMessage]] = field(default_factory=list)
     spent: list[int] = field(default_factory=list)
@@ -62,7 +62,9 @@
         listed = [(other, other) for other in NAMES]
         rules = PeerSettings(PERIOD, 2, 60 * S, 20)
         peer = Peer(name, name, self.now, listed, rules, 2 * S, Random(f"{name} {self.now}"), self.now)
-        lending = Lending({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, origin_count, name in self.earns, self.now)
+        lending = BudgetLedger(
+            {1: Budget(RATE_PER_S, 0.0, LIFETIME)}, origin_count, name in self.earns, self.now
+        )
         lending.join(peer)
         self.peers[name], self.lending[name] = peer, lending
 
@@ -233,7 +235,7 @@
 
 
 def test_purses_are_bounded_and_a_dropped_one_earns_nothing_twice() -> None:
-    lending = Lending({3: Budget(1000.0, 0.0, LIFETIME)}, 1, True, 0)
+    lending = BudgetLedger({3: Budget(1000.0, 0.0, LIFETIME)}, 1, True, 0)
     now = LIFETIME
     for subject in range(SUBJECTS_MOST + 5):
         assert lending.may_spend(now, 3, subject, 1.0) is (subject <= SUBJECTS_MOST)
@@ -242,7 +244,7 @@
 
 
 def test_a_share_is_of_first_tries_alone() -> None:
-    lending = Lending(budgets_of(Budgets(retries_share=0.1)), 5, True, 0)
+    lending = BudgetLedger(budgets_of(Budgets(retries_share=0.1)), 5, True, 0)
     assert not lending.may_spend(S, Spend.RETRY, 0, 1.0)
     for _ in range(20):
         lending.earn(S, Spend.RETRY)
