--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -103,7 +103,7 @@
         for name in asked:
             number = own.id_of(name)
             if number is not None:
-                own.asks(now, number)
+                own.admit(now, number)
         each = (time.perf_counter_ns() - began) / count
         print(f"{label}: {each:.0f} ns a decision")
     began = time.perf_counter_ns()
--- a/garnethaven/tenants/admission.py
+++ b/garnethaven/tenants/admission.py
@@ -223,7 +223,7 @@
             return self._hash(name) % self.slot_count
         return tenant_id
 
-    def asks(self, now: int, tenant_id: int) -> int | None:
+    def admit(self, now: int, tenant_id: int) -> int | None:
         """Decides on one request: None if admitted, else the nanoseconds until a token may be available."""
         tenant = self.tenants.get(tenant_id)
         if tenant is None:
--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -130,7 +130,7 @@
         tenant_id = admission.id_of(call.tenant)
         if tenant_id is None:
             return None
-        wait = admission.asks(clock(), tenant_id)
+        wait = admission.admit(clock(), tenant_id)
         if wait is None:
             return None
         self.refused += 1
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -42,7 +42,7 @@
             admission = Admission({"t": Allowance(1.0, 1.0)}, None, 1, 2 * S, self.now, 3)
             number = admission.id_of("t")
             assert number is not None
-            admission.asks(self.now, number)
+            admission.admit(self.now, number)
             self.peers[name], self.sharing[name] = peer, Sharing(peer, admission)
 
     def steps(self) -> list[tuple[str, int | str]]:
--- a/tests/tenants/test_admission.py
+++ b/tests/tenants/test_admission.py
@@ -50,7 +50,7 @@
                 pending += rate * step / S
                 while pending >= 1.0:
                     pending -= 1.0
-                    admitted += self.admission.asks(self.now, tenant_id) is None
+                    admitted += self.admission.admit(self.now, tenant_id) is None
             self.admission.publish(self.now)
             self.admission.sees(self.now, View(MEMBERS, self.same_view_count, self.demands))
         return admitted
@@ -105,12 +105,12 @@
 def test_a_refusal_tells_when_to_come_again() -> None:
     member = Member()
     member.run_for(6.0, 500.0)
-    wait = member.admission.asks(member.now, member.big)
+    wait = member.admission.admit(member.now, member.big)
     while wait is None:
-        wait = member.admission.asks(member.now, member.big)
+        wait = member.admission.admit(member.now, member.big)
     assert 0 < wait <= SETTLE
     member.now += wait
-    assert member.admission.asks(member.now + PERIOD // 100, member.big) is None
+    assert member.admission.admit(member.now + PERIOD // 100, member.big) is None
 
 
 def test_a_member_that_stood_still_hears_nobody_until_it_looks_again() -> None:
@@ -118,7 +118,7 @@
     member.run_for(6.0, 500.0)
     assert member.admission.tenants[member.big].share > 90.0
     member.now += 10 * S
-    admitted = sum(member.admission.asks(member.now + i * S // 100, member.big) is None for i in range(100))
+    admitted = sum(member.admission.admit(member.now + i * S // 100, member.big) is None for i in range(100))
     assert admitted <= 2 + 10 + 1  # its bucket, and its even share
 
 
@@ -127,7 +127,7 @@
     for number in range(10_000):
         tenant_id = member.admission.id_of(f"x{number}")
         assert tenant_id is not None and tenant_id < 16
-        member.admission.asks(member.now, tenant_id)
+        member.admission.admit(member.now, tenant_id)
     assert len(member.admission.tenants) == 16 + 1
     assert member.big >= FIRST_CONFIGURED_ID  # an invented name can't collide with a configured one
     member.run_for(60.0)
@@ -152,7 +152,7 @@
         now = period * PERIOD
         for number in range(MAX_PUBLISHED_TENANTS + 5):
             for _ in range(20 if number < MAX_PUBLISHED_TENANTS else 1):
-                admission.asks(now, admission.ids[f"t{number}"])
+                admission.admit(now, admission.ids[f"t{number}"])
         published = admission.publish(now)
         assert len(published) <= MAX_PUBLISHED_TENANTS
         admission.sees(now, View(MEMBERS, MEMBERS, {}))
@@ -183,8 +183,8 @@
 
 def test_a_life_begins_with_empty_buckets() -> None:
     member = Member()
-    assert member.admission.asks(member.now, member.big) is not None
-    assert member.admission.asks(member.now + S, member.big) is None
+    assert member.admission.admit(member.now, member.big) is not None
+    assert member.admission.admit(member.now + S, member.big) is None
 
 
 def test_what_a_member_can_not_ask_for_is_named() -> None:
