--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -94,7 +94,7 @@
     now, count = time.monotonic_ns(), 200_000
     named = {f"t{number}": Allowance(1e6, 1e6) for number in range(100)}
     own = Admission(named, Allowance(5.0, 5.0), 1024, S, now, 24)
-    own.sees(now, View(24, 24, {}))
+    own.update_view(now, View(24, 24, {}))
     names = [f"t{number % 100}" for number in range(count)]
     strange = [f"x{number % 10_000}" for number in range(count)]
     plain = dict.fromkeys(names, 1)
--- a/garnethaven/tenants/admission.py
+++ b/garnethaven/tenants/admission.py
@@ -243,7 +243,7 @@
 
     def _reset_view(self, now: int) -> None:
         """Falls back to the even share: the process was suspended for longer than the view is valid."""
-        self.sees(now, View(self.members, 1, {}))
+        self.update_view(now, View(self.members, 1, {}))
 
     def _add_tenant(self, now: int, tenant_id: int) -> Tenant:
         """Adds a tenant; its bucket was empty at the start of the process and is refilled since then."""
@@ -278,7 +278,7 @@
                 tenant.published.append((now, published_demand))
         return chosen
 
-    def sees(self, now: int, view: View) -> None:
+    def update_view(self, now: int, view: View) -> None:
         """Applies a new view of the fleet and recomputes all shares."""
         self.view, self.view_updated_at = view, now
         if (view.members, view.same_view_count) != (self.members, self.same_view_count):
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -58,7 +58,7 @@
         for row in rows:
             for counters in self._decoded_row(row):
                 demands[counters.id].append(counters.demand)
-        self.admission.sees(now, View(self.peer.members.member_count(), 1 + len(rows), demands))
+        self.admission.update_view(now, View(self.peer.members.member_count(), 1 + len(rows), demands))
         if len(self.decoded_rows) > 2 * self.peer.rules.max_members:
             self.decoded_rows.clear()
         if len(self.counts_by_life) > 4 * self.peer.rules.max_members:
--- a/tests/tenants/test_admission.py
+++ b/tests/tenants/test_admission.py
@@ -52,7 +52,7 @@
                     pending -= 1.0
                     admitted += self.admission.admit(self.now, tenant_id) is None
             self.admission.publish(self.now)
-            self.admission.sees(self.now, View(MEMBERS, self.same_view_count, self.demands))
+            self.admission.update_view(self.now, View(MEMBERS, self.same_view_count, self.demands))
         return admitted
 
 
@@ -155,7 +155,7 @@
                 admission.admit(now, admission.ids[f"t{number}"])
         published = admission.publish(now)
         assert len(published) <= MAX_PUBLISHED_TENANTS
-        admission.sees(now, View(MEMBERS, MEMBERS, {}))
+        admission.update_view(now, View(MEMBERS, MEMBERS, {}))
     unpublished = admission.tenants[admission.ids[f"t{MAX_PUBLISHED_TENANTS}"]]
     assert unpublished.min_published(now, SETTLE) == 0.0
     assert unpublished.share <= 10.0
