--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -20,7 +20,7 @@
 from statistics import quantiles
 
 from garnethaven.tenants.admission import Admission, Allowance, View
-from garnethaven.tenants.bound import Estate, over, under
+from garnethaven.tenants.bound import FleetParameters, over, under
 from rigs.fleet import Plan
 from rigs.members import Links, S, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
@@ -48,7 +48,7 @@
 def played(members: int, loss: float, cut: bool, seed: int = 1) -> str:
     """One world as a row of the table."""
     seconds = SIZES[members]
-    estate = Estate(
+    estate = FleetParameters(
         members, 100.0, 100.0, loss=max(loss, 0.1), cut=0.5 * cut, cut_s=seconds / 4 * cut, changes=1
     )
     world = World(seed, estate, Links(loss, estate.delay_s / 2))
--- a/garnethaven/peers/command.py
+++ b/garnethaven/peers/command.py
@@ -5,7 +5,7 @@
 import argparse
 import sys
 
-from garnethaven.tenants.bound import Estate, over, under
+from garnethaven.tenants.bound import FleetParameters, over, under
 
 
 def main(arguments: list[str]) -> int:
@@ -53,8 +53,8 @@
     return ""
 
 
-def estate_of(options: argparse.Namespace) -> Estate:
-    return Estate(
+def estate_of(options: argparse.Namespace) -> FleetParameters:
+    return FleetParameters(
         members=options.members,
         per_s=options.per_s,
         burst=options.burst,
@@ -68,7 +68,7 @@
     )
 
 
-def report_lines(estate: Estate) -> list[str]:
+def report_lines(estate: FleetParameters) -> list[str]:
     """The bounds as lines of text."""
     even_share = estate.per_s / estate.members
     lines = [
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Estate:
+class FleetParameters:
     """The parameters of the bounds."""
 
     members: int
@@ -70,13 +70,13 @@
     return horizon * (1.0 + CLOCK_DRIFT) + 2.0 * period
 
 
-def over(estate: Estate) -> float:
+def over(estate: FleetParameters) -> float:
     """Returns the bound on requests admitted beyond the allowance times the span, in any span."""
     even_share = estate.per_s / estate.members
     return estate.burst + estate.members + estate.beginners * even_share * estate.settle_s
 
 
-def under(estate: Estate) -> float:
+def under(estate: FleetParameters) -> float:
     """Returns the bound on requests refused although within the allowance, over a whole episode."""
     adaptation_s = (
         estate.period_s
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -15,7 +15,7 @@
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import PeerSettings
 from garnethaven.tenants.admission import Admission, Allowance
-from garnethaven.tenants.bound import Estate, settle_s
+from garnethaven.tenants.bound import FleetParameters, settle_s
 from garnethaven.tenants.sharing import Sharing
 
 S = 1_000_000_000
@@ -54,7 +54,9 @@
 class World:
     """N members with one tenant, `t`, whose requests come as `arrive` says."""
 
-    def __init__(self, seed: int, estate: Estate, links: Links | None = None, listed: bool = True) -> None:
+    def __init__(
+        self, seed: int, estate: FleetParameters, links: Links | None = None, listed: bool = True
+    ) -> None:
         self.rng = Random(seed)
         self.estate = estate
         self.links = links or Links(estate.loss, estate.delay_s / 2)
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnethaven.tenants.bound import Estate, over, under
+from garnethaven.tenants.bound import FleetParameters, over, under
 from rigs.fleet import Plan
 from rigs.members import worst_over, worst_under
 from rigs.peers_fleet import PeerFleet
@@ -155,8 +155,8 @@
     figures: dict[str, Any]
 
 
-def estate_of(act: Act, programs: int) -> Estate:
-    return Estate(
+def estate_of(act: Act, programs: int) -> FleetParameters:
+    return FleetParameters(
         programs, PER_S, BURST, cut=act.cut, cut_s=act.cut_s, beginners=act.beginners, changes=act.changes
     )
 
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -12,7 +12,7 @@
 
 from garnethaven.peers.conversation import Topic
 from garnethaven.tenants.admission import TenantCounters
-from garnethaven.tenants.bound import Estate, over, under
+from garnethaven.tenants.bound import FleetParameters, over, under
 from garnethaven.tenants.sharing import TOPIC
 from rigs.members import Links, S, World, worst_over, worst_under
 
@@ -23,7 +23,7 @@
 
 def make_world(seed: int, loss: float = 0.1, delay_s: float = 0.025, **parameters: float) -> World:
     print("seed", seed)
-    estate = Estate(MEMBERS, 60.0, 60.0, loss=0.1, delay_s=0.05, **parameters)  # type: ignore[arg-type]
+    estate = FleetParameters(MEMBERS, 60.0, 60.0, loss=0.1, delay_s=0.05, **parameters)  # type: ignore[arg-type]
     world = World(seed, estate, Links(loss, delay_s))
     return world
 
