--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -20,7 +20,7 @@
 from statistics import quantiles
 
 from garnethaven.tenants.admission import Admission, Allowance, View
-from garnethaven.tenants.bound import FleetParameters, over, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, under
 from rigs.fleet import Plan
 from rigs.members import Links, S, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
@@ -70,7 +70,7 @@
     asked = sorted(taken + [at / S for at in world.refused])
     sent = sum(one.bytes_sent for one in world.members.values()) / members / seconds
     figures = (
-        f"{worst_over(taken, estate.per_s):.0f} / {over(estate):.0f}",
+        f"{worst_over(taken, estate.per_s):.0f} / {max_excess(estate):.0f}",
         f"{worst_under(taken, asked, estate.per_s):.0f} / {under(estate):.0f}",
         f"{estate.horizon_s:.1f} s",
         f"{sent / 1000:.1f} kB/s",
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -70,7 +70,7 @@
     return horizon * (1.0 + CLOCK_DRIFT) + 2.0 * period
 
 
-def over(estate: FleetParameters) -> float:
+def max_excess(estate: FleetParameters) -> float:
     """Returns the bound on requests admitted beyond the allowance times the span, in any span."""
     even_share = estate.per_s / estate.members
     return estate.burst + estate.members + estate.beginners * even_share * estate.settle_s
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -12,7 +12,7 @@
 
 from garnethaven.peers.conversation import Topic
 from garnethaven.tenants.admission import TenantCounters
-from garnethaven.tenants.bound import FleetParameters, over, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, under
 from garnethaven.tenants.sharing import TOPIC
 from rigs.members import Links, S, World, worst_over, worst_under
 
@@ -42,7 +42,7 @@
     admitted = [at / S for at in world.taken]
     requested = sorted(admitted + [at / S for at in world.refused])
     worst = worst_over(admitted, world.estate.per_s), worst_under(admitted, requested, world.estate.per_s)
-    assert worst[0] <= over(world.estate), (worst, over(world.estate))
+    assert worst[0] <= max_excess(world.estate), (worst, max_excess(world.estate))
     assert not below or worst[1] <= under(world.estate), (worst, under(world.estate))
     return worst
 
@@ -67,7 +67,7 @@
     add_overload(world, world.names, 14.0, since=8.0)
     world.run(14.0)
     worst, _ = check_bounds(world)
-    assert 4 * worst >= over(world.estate)
+    assert 4 * worst >= max_excess(world.estate)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
