--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -20,7 +20,7 @@
 from statistics import quantiles
 
 from garnethaven.tenants.admission import Admission, Allowance, View
-from garnethaven.tenants.bound import FleetParameters, max_excess, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 from rigs.fleet import Plan
 from rigs.members import Links, S, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
@@ -71,7 +71,7 @@
     sent = sum(one.bytes_sent for one in world.members.values()) / members / seconds
     figures = (
         f"{worst_over(taken, estate.per_s):.0f} / {max_excess(estate):.0f}",
-        f"{worst_under(taken, asked, estate.per_s):.0f} / {under(estate):.0f}",
+        f"{worst_under(taken, asked, estate.per_s):.0f} / {max_shortfall(estate):.0f}",
         f"{estate.horizon_s:.1f} s",
         f"{sent / 1000:.1f} kB/s",
         f"{1000 * cpu / members / seconds:.1f} ms/s",
--- a/garnethaven/peers/command.py
+++ b/garnethaven/peers/command.py
@@ -5,7 +5,7 @@
 import argparse
 import sys
 
-from garnethaven.tenants.bound import FleetParameters, max_excess, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 
 
 def main(arguments: list[str]) -> int:
@@ -76,7 +76,7 @@
         f"horizon               {estate.horizon_s:8.2f} s   a member with an older row counts as silent",
         f"settle                {estate.settle_s:8.2f} s   wait before a member raises its share",
         f"over the allowance    {max_excess(estate):8.1f} requests at the most, in any span",
-        f"held below it         {under(estate):8.1f} requests at the most, over one change of demand"
+        f"held below it         {max_shortfall(estate):8.1f} requests at the most, over one change of demand"
         + (" and the partition" if estate.cut_s else ""),
         f"one member's part     {even_share:8.2f} requests a second, if it receives from no other member",
     ]
--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -76,7 +76,7 @@
     return estate.burst + estate.members + estate.beginners * even_share * estate.settle_s
 
 
-def under(estate: FleetParameters) -> float:
+def max_shortfall(estate: FleetParameters) -> float:
     """Returns the bound on requests refused although within the allowance, over a whole episode."""
     adaptation_s = (
         estate.period_s
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnethaven.tenants.bound import FleetParameters, max_excess, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 from rigs.fleet import Plan
 from rigs.members import worst_over, worst_under
 from rigs.peers_fleet import PeerFleet
@@ -169,7 +169,7 @@
     return {
         "bound_over": round(max_excess(estate) + SKEW, 1),
         "worst_over": round(worst_over(taken, PER_S), 1),
-        "bound_under": round(under(estate) + SKEW, 1),
+        "bound_under": round(max_shortfall(estate) + SKEW, 1),
         "worst_under": round(worst_under(taken, asked, PER_S), 1),
         "asked": len(asked),
         "taken": len(taken),
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -12,7 +12,7 @@
 
 from garnethaven.peers.conversation import Topic
 from garnethaven.tenants.admission import TenantCounters
-from garnethaven.tenants.bound import FleetParameters, max_excess, under
+from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 from garnethaven.tenants.sharing import TOPIC
 from rigs.members import Links, S, World, worst_over, worst_under
 
@@ -43,7 +43,7 @@
     requested = sorted(admitted + [at / S for at in world.refused])
     worst = worst_over(admitted, world.estate.per_s), worst_under(admitted, requested, world.estate.per_s)
     assert worst[0] <= max_excess(world.estate), (worst, max_excess(world.estate))
-    assert not below or worst[1] <= under(world.estate), (worst, under(world.estate))
+    assert not below or worst[1] <= max_shortfall(world.estate), (worst, max_shortfall(world.estate))
     return worst
 
 
