--- a/garnethaven/tenants/bound.py
+++ b/garnethaven/tenants/bound.py
@@ -60,7 +60,7 @@
         return settle_s(self.horizon_s, self.period_s)
 
     @property
-    def reaches(self) -> bool:
+    def updates_reach_all(self) -> bool:
         """Whether updates reach all members with such losses."""
         return rounds(self.members, self.asks, self.loss) < MAX_ROUNDS
 
@@ -86,5 +86,5 @@
         + FLOOR_RATIO * FLOOR_RETENTION_S
     )
     recovery_s = estate.horizon_s + estate.settle_s if estate.cut_s else 0.0
-    cut_fraction = 1.0 - 1.0 / estate.members if not estate.reaches else estate.cut
+    cut_fraction = 1.0 - 1.0 / estate.members if not estate.updates_reach_all else estate.cut
     return estate.per_s * (estate.changes * adaptation_s + cut_fraction * estate.cut_s + recovery_s)
