--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -26,7 +26,7 @@
 class Totals(NamedTuple):
     """The fleet's counters of one tenant, as far as this member has received them."""
 
-    asked: int
+    requested: int
     taken: int
 
 
