--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -27,7 +27,7 @@
     """The fleet's counters of one tenant, as far as this member has received them."""
 
     requested: int
-    taken: int
+    admitted: int
 
 
 class Sharing:
