--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -17,7 +17,7 @@
 from garnethaven.peers.feature import clock
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.bound import settle_s
-from garnethaven.tenants.sharing import Sharing, Totals
+from garnethaven.tenants.sharing import CounterExchange, Totals
 from garnethaven.tenants.table import Tenants
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
     def __init__(self, table: Tenants, parts: Parts) -> None:
         super().__init__(table, parts)
         self.admission: Admission | None = None
-        self.sharing: Sharing | None = None
+        self.sharing: CounterExchange | None = None
         self.refused = 0
         self.reported_members: set[str] = set()  # members already logged for implausible counters
 
@@ -90,7 +90,7 @@
             salt,
         )
         if peers is not None and peer is not None:
-            self.sharing = Sharing(peer, self.admission)
+            self.sharing = CounterExchange(peer, self.admission)
             peers.after.append(self._update)
         parts.state_sections["tenants"] = KeptTokens(self.admission)
         parts.engine.admission = self
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -30,7 +30,7 @@
     admitted: int
 
 
-class Sharing:
+class CounterExchange:
     """Publishes one member's counters in its rows and feeds the others' rows to its admission."""
 
     def __init__(self, peer: Peer, admission: Admission) -> None:
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -16,7 +16,7 @@
 from garnethaven.peers.membership import PeerSettings
 from garnethaven.tenants.admission import Admission, Allowance
 from garnethaven.tenants.bound import FleetParameters, settle_s
-from garnethaven.tenants.sharing import Sharing
+from garnethaven.tenants.sharing import CounterExchange
 
 S = 1_000_000_000
 FORGET_S = 600.0
@@ -40,7 +40,7 @@
     name: str
     peer: Peer
     admission: Admission
-    sharing: Sharing
+    sharing: CounterExchange
     offset: int = 0  # of its clock
     rate: float = 1.0  # of its clock
     up: bool = True
@@ -108,7 +108,7 @@
         settle = int(settle_s(estate.horizon_s, estate.period_s) * S)
         members, allowances = one.peer.members.member_count(), {"t": Allowance(estate.per_s, estate.burst)}
         one.admission = Admission(allowances, None, 1, settle, now, members)
-        one.sharing = Sharing(one.peer, one.admission)
+        one.sharing = CounterExchange(one.peer, one.admission)
         one.turn = before.turn + 1 if before is not None else 0
         self.members[name] = one
         self.after(self.rng.randrange(self.period), lambda: self._tick(one))
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -13,7 +13,7 @@
 from garnethaven.peers.conversation import OutgoingMessage, Peer, SyncRequest, decode_message
 from garnethaven.peers.membership import PeerSettings, State
 from garnethaven.tenants.admission import Admission, Allowance
-from garnethaven.tenants.sharing import Sharing
+from garnethaven.tenants.sharing import CounterExchange
 from tests.exploring import explore
 
 S = 1_000_000_000
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.now = S
         self.peers: dict[str, Peer] = {}
-        self.sharing: dict[str, Sharing] = {}
+        self.sharing: dict[str, CounterExchange] = {}
         self.in_transit: list[tuple[str, OutgoingMessage]] = []
         self.faults_left = {"crash": 1, "lose": 1, "repeat": 1}
         for name in NAMES:
@@ -43,7 +43,7 @@
             number = admission.id_of("t")
             assert number is not None
             admission.admit(self.now, number)
-            self.peers[name], self.sharing[name] = peer, Sharing(peer, admission)
+            self.peers[name], self.sharing[name] = peer, CounterExchange(peer, admission)
 
     def steps(self) -> list[tuple[str, int | str]]:
         steps: list[tuple[str, int | str]] = [("period", name) for name in self.peers]
