--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -113,7 +113,7 @@
 
     def _update(self, now: int) -> None:
         assert self.sharing is not None
-        self.sharing.look(now)
+        self.sharing.update(now)
         for member, counters in self.sharing.implausible.items():
             if member not in self.reported_members:
                 text = f"tenants: {member} publishes an implausible demand: {counters.demand:g} requests/s"
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -49,7 +49,7 @@
             tenant.requested = tenant.admitted = 0
             tenant.request_counts.clear()
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         """Updates the admission with the rows received so far."""
         for row_state in self.peer.rows.current.values():
             self._decoded_row(row_state.row)
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -137,7 +137,7 @@
         if not one.stalled:
             now = self.clock(one)
             self._send(one, one.peer.tick(now))
-            one.sharing.look(now)
+            one.sharing.update(now)
         self.after(self.period, lambda: self._tick(one))
 
     # Datagrams
