--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class ConnectionCounts:
     """Counts of connections and waiting requests of one server."""
 
     busy: int = 0
@@ -115,7 +115,9 @@
 
     # A request
 
-    def way(self, now: float, counts: Held, usable: bool, server: Server, is_retry: bool = False) -> Decision:
+    def way(
+        self, now: float, counts: ConnectionCounts, usable: bool, server: Server, is_retry: bool = False
+    ) -> Decision:
         """Decides where one request goes; `usable`: an idle connection is usable for it.
 
         A retry of a lost attempt usually can't go to another server, so its dial is urgent.
@@ -165,7 +167,7 @@
 
     # Opening and closing
 
-    def prewarm_count(self, now: float, counts: Held, server: Server) -> int:
+    def prewarm_count(self, now: float, counts: ConnectionCounts, server: Server) -> int:
         """Returns how many connections to open now, ahead of need (0 or 1)."""
         if not self.rules.ahead or server.penalised or not self.prewarm_gate.allows(now):
             return 0
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -20,7 +20,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import Decision, Held, Plan, Rules, Server
+from garnethaven.connections.planner import ConnectionCounts, Decision, Plan, Rules, Server
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.connection import Connection
 from garnethaven.net.exchange import Exchange
@@ -149,11 +149,13 @@
     def _new_plan(self) -> Plan:
         return Plan(self.address or ("", 0), self.pool.rules, self.pool.limits, self.pool.rng)
 
-    def counts(self) -> Held:
+    def counts(self) -> ConnectionCounts:
         waiting = sum(not exchange.over for exchange in self.queue) if self.queue else 0
         dialing = len(self.dials)
         unclaimed_dials = max(0, dialing - waiting)
-        return Held(self.busy, len(self.idle), dialing, unclaimed_dials, max(0, waiting - dialing))
+        return ConnectionCounts(
+            self.busy, len(self.idle), dialing, unclaimed_dials, max(0, waiting - dialing)
+        )
 
     # Requests
 
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -19,7 +19,14 @@
     IdleLimits,
 )
 from garnethaven.connections.pacing import MAX_BACKOFF_S, DialPacer
-from garnethaven.connections.planner import MAX_SILENCE_CHECKS, Decision, Held, Plan, Rules, Server
+from garnethaven.connections.planner import (
+    MAX_SILENCE_CHECKS,
+    ConnectionCounts,
+    Decision,
+    Plan,
+    Rules,
+    Server,
+)
 from garnethaven.connections.pool import keep_alive_timeout_s
 
 A, B, C = ("10.0.0.1", 80), ("10.0.0.2", 80), ("10.0.0.3", 80)
@@ -233,17 +240,17 @@
 def test_the_way_of_a_request() -> None:
     plan = make_plan(accepts=10, fleet_size=2)  # this instance may open three
     warm = Server()
-    assert plan.way(0.0, Held(idle=1), True, warm) is Decision.USE
-    assert plan.way(0.0, Held(), False, warm) is Decision.DIAL
-    assert plan.way(0.0, Held(dialing=1, unclaimed_dials=1), False, warm) is Decision.WAIT
+    assert plan.way(0.0, ConnectionCounts(idle=1), True, warm) is Decision.USE
+    assert plan.way(0.0, ConnectionCounts(), False, warm) is Decision.DIAL
+    assert plan.way(0.0, ConnectionCounts(dialing=1, unclaimed_dials=1), False, warm) is Decision.WAIT
     # At the cap; one may become free.
-    assert plan.way(0.0, Held(busy=2, dialing=1), False, warm) is Decision.WAIT
-    assert plan.way(0.0, Held(busy=2, dialing=1, queued=3), False, warm) is Decision.RETURN
+    assert plan.way(0.0, ConnectionCounts(busy=2, dialing=1), False, warm) is Decision.WAIT
+    assert plan.way(0.0, ConnectionCounts(busy=2, dialing=1, queued=3), False, warm) is Decision.RETURN
 
 
 def test_fifty_requests_at_an_empty_pool_dial_no_more_than_the_bounds() -> None:
     plan = make_plan(opens_per_s=40.0, fleet_size=4, accepts=370)
-    counts, decisions = Held(), []
+    counts, decisions = ConnectionCounts(), []
     for _ in range(50):
         decision = plan.way(1.0, counts, False, Server())
         decisions.append(decision)
@@ -281,10 +288,10 @@
 def test_nothing_is_opened_ahead_to_penalised_servers_and_little_to_cold_ones() -> None:
     plan = make_plan()
     plan.demand.changes(0.0, 6)
-    assert plan.prewarm_count(0.1, Held(), Server()) == 1
-    assert plan.prewarm_count(0.1, Held(), Server(penalised=True)) == 0
-    assert plan.prewarm_count(0.1, Held(idle=2), Server(warmth=0.4)) == 0
-    assert plan.prewarm_count(0.1, Held(idle=6), Server()) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(), Server()) == 1
+    assert plan.prewarm_count(0.1, ConnectionCounts(), Server(penalised=True)) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(idle=2), Server(warmth=0.4)) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(idle=6), Server()) == 0
 
 
 def test_connections_retire_by_idle_time_age_and_requests() -> None:
