--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import ConnectionCounts, Plan, Rules, Server
+from garnethaven.connections.planner import ConnectionCounts, Plan, Rules, ServerState
 from garnethaven.connections.pool import PlannedPool, PlannedTarget
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.exchange import Answer, Exchange
@@ -36,7 +36,7 @@
 
 def planned(servers: int) -> Callable[[], object]:
     """One request's part of the planner, at one of so many servers in turn."""
-    limits, rng, warm = IdleLimits(15.0, Random(1)), Random(2), Server()
+    limits, rng, warm = IdleLimits(15.0, Random(1)), Random(2), ServerState()
     rules = Rules(opens_per_s=1e6, accepts=10**6)
     plans = [Plan((f"10.{n >> 8}.{n & 255}.1", 80), rules, limits, rng) for n in range(servers)]
     numbers = count()
@@ -108,7 +108,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     rules = Rules(opens_per_s=1000.0, idle_s=LULL_S / 2, ahead=ahead)
     loop = asyncio.get_running_loop()
-    pool = PlannedPool(loop, lambda: 100, 0.5, AnswerMemory(64), rules, lambda endpoint: Server(), 1)
+    pool = PlannedPool(loop, lambda: 100, 0.5, AnswerMemory(64), rules, lambda endpoint: ServerState(), 1)
     target = pool.target(1, server.sockets[0].getsockname()[:2])
     assert isinstance(target, PlannedTarget)
     pool.targets = lambda: (target,)
--- a/garnethaven/connections/feature.py
+++ b/garnethaven/connections/feature.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from garnethaven.connections.planner import Rules, Server
+from garnethaven.connections.planner import Rules, ServerState
 from garnethaven.connections.pool import PlannedPool
 from garnethaven.connections.table import Connections
 from garnethaven.engine.engine import S
@@ -67,9 +67,9 @@
         if self.pool is not None:
             self.parts.state_sections["idle_limits"] = KeptLimits(self.pool)
 
-    def _server(self, endpoint: int) -> Server:
+    def _server(self, endpoint: int) -> ServerState:
         """Returns the balancer's state of a server."""
-        return Server(*self.parts.engine.balancer.warmth_and_penalty(endpoint))
+        return ServerState(*self.parts.engine.balancer.warmth_and_penalty(endpoint))
 
     def renewed(self) -> None:
         if self.pool is not None:
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Server:
+class ServerState:
     """A server's state in the balancer: its warmth from 0 to 1, and whether it is penalised."""
 
     warmth: float = 1.0
@@ -116,7 +116,7 @@
     # A request
 
     def way(
-        self, now: float, counts: ConnectionCounts, usable: bool, server: Server, is_retry: bool = False
+        self, now: float, counts: ConnectionCounts, usable: bool, server: ServerState, is_retry: bool = False
     ) -> Decision:
         """Decides where one request goes; `usable`: an idle connection is usable for it.
 
@@ -167,7 +167,7 @@
 
     # Opening and closing
 
-    def prewarm_count(self, now: float, counts: ConnectionCounts, server: Server) -> int:
+    def prewarm_count(self, now: float, counts: ConnectionCounts, server: ServerState) -> int:
         """Returns how many connections to open now, ahead of need (0 or 1)."""
         if not self.rules.ahead or server.penalised or not self.prewarm_gate.allows(now):
             return 0
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -20,7 +20,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import ConnectionCounts, Decision, Plan, Rules, Server
+from garnethaven.connections.planner import ConnectionCounts, Decision, Plan, Rules, ServerState
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.connection import Connection
 from garnethaven.net.exchange import Exchange
@@ -406,7 +406,7 @@
         idle_s: float,
         memory: AnswerMemory,
         rules: Rules,
-        server: Callable[[int], Server],
+        server: Callable[[int], ServerState],
         seed: int,
     ) -> None:
         super().__init__(loop, limit, idle_s, memory)
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -25,7 +25,7 @@
     Decision,
     Plan,
     Rules,
-    Server,
+    ServerState,
 )
 from garnethaven.connections.pool import keep_alive_timeout_s
 
@@ -239,7 +239,7 @@
 
 def test_the_way_of_a_request() -> None:
     plan = make_plan(accepts=10, fleet_size=2)  # this instance may open three
-    warm = Server()
+    warm = ServerState()
     assert plan.way(0.0, ConnectionCounts(idle=1), True, warm) is Decision.USE
     assert plan.way(0.0, ConnectionCounts(), False, warm) is Decision.DIAL
     assert plan.way(0.0, ConnectionCounts(dialing=1, unclaimed_dials=1), False, warm) is Decision.WAIT
@@ -252,7 +252,7 @@
     plan = make_plan(opens_per_s=40.0, fleet_size=4, accepts=370)
     counts, decisions = ConnectionCounts(), []
     for _ in range(50):
-        decision = plan.way(1.0, counts, False, Server())
+        decision = plan.way(1.0, counts, False, ServerState())
         decisions.append(decision)
         if decision is Decision.DIAL:
             plan.pacer.record_dial(1.0, 1.0)
@@ -288,10 +288,10 @@
 def test_nothing_is_opened_ahead_to_penalised_servers_and_little_to_cold_ones() -> None:
     plan = make_plan()
     plan.demand.changes(0.0, 6)
-    assert plan.prewarm_count(0.1, ConnectionCounts(), Server()) == 1
-    assert plan.prewarm_count(0.1, ConnectionCounts(), Server(penalised=True)) == 0
-    assert plan.prewarm_count(0.1, ConnectionCounts(idle=2), Server(warmth=0.4)) == 0
-    assert plan.prewarm_count(0.1, ConnectionCounts(idle=6), Server()) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(), ServerState()) == 1
+    assert plan.prewarm_count(0.1, ConnectionCounts(), ServerState(penalised=True)) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(idle=2), ServerState(warmth=0.4)) == 0
+    assert plan.prewarm_count(0.1, ConnectionCounts(idle=6), ServerState()) == 0
 
 
 def test_connections_retire_by_idle_time_age_and_requests() -> None:
