--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import ConnectionCounts, Plan, Rules, ServerState
+from garnethaven.connections.planner import ConnectionCounts, ConnectionPlan, Rules, ServerState
 from garnethaven.connections.pool import PlannedPool, PlannedTarget
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.exchange import Answer, Exchange
@@ -38,7 +38,7 @@
     """One request's part of the planner, at one of so many servers in turn."""
     limits, rng, warm = IdleLimits(15.0, Random(1)), Random(2), ServerState()
     rules = Rules(opens_per_s=1e6, accepts=10**6)
-    plans = [Plan((f"10.{n >> 8}.{n & 255}.1", 80), rules, limits, rng) for n in range(servers)]
+    plans = [ConnectionPlan((f"10.{n >> 8}.{n & 255}.1", 80), rules, limits, rng) for n in range(servers)]
     numbers = count()
 
     def once() -> None:
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -83,7 +83,7 @@
         return self.busy + self.idle + self.dialing
 
 
-class Plan:
+class ConnectionPlan:
     """The state and the decisions for one server process; a restarted server gets a new plan."""
 
     __slots__ = (
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -20,7 +20,7 @@
 
 from garnethaven.addresses import Address
 from garnethaven.connections.idle_limits import IdleLimits
-from garnethaven.connections.planner import ConnectionCounts, Decision, Plan, Rules, ServerState
+from garnethaven.connections.planner import ConnectionCounts, ConnectionPlan, Decision, Rules, ServerState
 from garnethaven.limits.budgets import AnswerMemory
 from garnethaven.net.connection import Connection
 from garnethaven.net.exchange import Exchange
@@ -146,8 +146,8 @@
         self.stopped = False  # no new request may be sent
         self.plan = self._new_plan()
 
-    def _new_plan(self) -> Plan:
-        return Plan(self.address or ("", 0), self.pool.rules, self.pool.limits, self.pool.rng)
+    def _new_plan(self) -> ConnectionPlan:
+        return ConnectionPlan(self.address or ("", 0), self.pool.rules, self.pool.limits, self.pool.rng)
 
     def counts(self) -> ConnectionCounts:
         waiting = sum(not exchange.over for exchange in self.queue) if self.queue else 0
@@ -262,7 +262,7 @@
 
         task.add_done_callback(dial_ended)
 
-    async def _dial_planned(self, address: Address, plan: Plan) -> None:
+    async def _dial_planned(self, address: Address, plan: ConnectionPlan) -> None:
         loop, started_at = self.pool.loop, self.pool.loop.time()
         connection: Connection | None = None
         with contextlib.suppress(OSError, TimeoutError):
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -22,8 +22,8 @@
 from garnethaven.connections.planner import (
     MAX_SILENCE_CHECKS,
     ConnectionCounts,
+    ConnectionPlan,
     Decision,
-    Plan,
     Rules,
     ServerState,
 )
@@ -230,9 +230,9 @@
 # The planner
 
 
-def make_plan(**rules: float) -> Plan:
+def make_plan(**rules: float) -> ConnectionPlan:
     rules_with_defaults = Rules(**({"opens_per_s": 1000.0, "idle_s": 15.0, "dial_timeout_s": 0.25} | rules))  # type: ignore[arg-type]
-    plan = Plan(A, rules_with_defaults, IdleLimits(15.0, Random(1)), Random(2))
+    plan = ConnectionPlan(A, rules_with_defaults, IdleLimits(15.0, Random(1)), Random(2))
     plan.pacer.tokens = plan.pacer.burst
     return plan
 
