--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -115,7 +115,7 @@
 
     # A request
 
-    def way(
+    def decide(
         self, now: float, counts: ConnectionCounts, usable: bool, server: ServerState, is_retry: bool = False
     ) -> Decision:
         """Decides where one request goes; `usable`: an idle connection is usable for it.
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -171,7 +171,7 @@
         connection = self._take_usable(now, exchange.careful or exchange.again)
         counts = self.counts()
         server, usable = self.pool.server(self.endpoint), connection is not None
-        decision = self.plan.way(now, counts, usable, server, exchange.again)
+        decision = self.plan.decide(now, counts, usable, server, exchange.again)
         if decision is Decision.DIAL and not self.pool.has_room():
             decision = Decision.WAIT if counts.queued < counts.busy + counts.dialing else Decision.RETURN
         if decision in (Decision.WAIT, Decision.RETURN) and exchange.again and not exchange.careful:
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -240,19 +240,19 @@
 def test_the_way_of_a_request() -> None:
     plan = make_plan(accepts=10, fleet_size=2)  # this instance may open three
     warm = ServerState()
-    assert plan.way(0.0, ConnectionCounts(idle=1), True, warm) is Decision.USE
-    assert plan.way(0.0, ConnectionCounts(), False, warm) is Decision.DIAL
-    assert plan.way(0.0, ConnectionCounts(dialing=1, unclaimed_dials=1), False, warm) is Decision.WAIT
+    assert plan.decide(0.0, ConnectionCounts(idle=1), True, warm) is Decision.USE
+    assert plan.decide(0.0, ConnectionCounts(), False, warm) is Decision.DIAL
+    assert plan.decide(0.0, ConnectionCounts(dialing=1, unclaimed_dials=1), False, warm) is Decision.WAIT
     # At the cap; one may become free.
-    assert plan.way(0.0, ConnectionCounts(busy=2, dialing=1), False, warm) is Decision.WAIT
-    assert plan.way(0.0, ConnectionCounts(busy=2, dialing=1, queued=3), False, warm) is Decision.RETURN
+    assert plan.decide(0.0, ConnectionCounts(busy=2, dialing=1), False, warm) is Decision.WAIT
+    assert plan.decide(0.0, ConnectionCounts(busy=2, dialing=1, queued=3), False, warm) is Decision.RETURN
 
 
 def test_fifty_requests_at_an_empty_pool_dial_no_more_than_the_bounds() -> None:
     plan = make_plan(opens_per_s=40.0, fleet_size=4, accepts=370)
     counts, decisions = ConnectionCounts(), []
     for _ in range(50):
-        decision = plan.way(1.0, counts, False, ServerState())
+        decision = plan.decide(1.0, counts, False, ServerState())
         decisions.append(decision)
         if decision is Decision.DIAL:
             plan.pacer.record_dial(1.0, 1.0)
