--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -44,7 +44,7 @@
     def once() -> None:
         number = next(numbers)
         plan, now = plans[number % servers], number * 1e-4
-        usable = plan.will_do(now, 0.1, 0.9, False)
+        usable = plan.is_usable(now, 0.1, 0.9, False)
         plan.decide(now, ConnectionCounts(2, 1, 0, 0, 0), usable, warm)
         plan.demand.changes(now, 3)
         plan.answered(now, 0.02)
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -134,7 +134,7 @@
             return Decision.WAIT
         return Decision.RETURN
 
-    def will_do(self, now: float, idle_s: float, fraction: float, trusted_only: bool) -> bool:
+    def is_usable(self, now: float, idle_s: float, fraction: float, trusted_only: bool) -> bool:
         """Returns whether a connection may take a request; `fraction`: its jitter on the idle limit."""
         limit = self.limits.limit_s(self.address, now) * fraction
         if trusted_only:
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -235,9 +235,9 @@
             elif not connection.is_usable():
                 self.plan.record_end(now, idle_s)
                 connection.drop_unusable()
-            elif self.plan.will_do(now, idle_s, connection.retire_fraction, trusted_only):
+            elif self.plan.is_usable(now, idle_s, connection.retire_fraction, trusted_only):
                 found = connection
-            elif self.plan.will_do(now, idle_s, connection.retire_fraction, trusted_only=False):
+            elif self.plan.is_usable(now, idle_s, connection.retire_fraction, trusted_only=False):
                 set_aside.append(connection)  # in doubt: usable for other requests
             else:
                 connection.drop()
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -267,10 +267,10 @@
 
 def test_a_request_that_must_not_be_lost_gets_no_connection_in_doubt() -> None:
     plan = make_plan()
-    assert plan.will_do(0.0, 5.0, 1.0, trusted_only=False)
-    assert not plan.will_do(0.0, 5.0, 1.0, trusted_only=True)
-    assert plan.will_do(0.0, 0.5, 1.0, trusted_only=True)
-    assert not plan.will_do(0.0, 13.0, 1.0, trusted_only=False)
+    assert plan.is_usable(0.0, 5.0, 1.0, trusted_only=False)
+    assert not plan.is_usable(0.0, 5.0, 1.0, trusted_only=True)
+    assert plan.is_usable(0.0, 0.5, 1.0, trusted_only=True)
+    assert not plan.is_usable(0.0, 13.0, 1.0, trusted_only=False)
 
 
 def test_silence_is_the_connections_where_the_server_answers_others_and_the_servers_where_not() -> None:
