--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -48,7 +48,7 @@
         plan.decide(now, ConnectionCounts(2, 1, 0, 0, 0), usable, warm)
         plan.demand.changes(now, 3)
         plan.answered(now, 0.02)
-        plan.retires(now, 0.0, 0.0, 10, 0.9)
+        plan.should_close(now, 0.0, 0.0, 10, 0.9)
 
     return once
 
--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -177,7 +177,9 @@
             return 0
         return 1  # one per update: the pacer is asked again for the next
 
-    def retires(self, now: float, opened_at: float, idle_s: float, requests: int, fraction: float) -> bool:
+    def should_close(
+        self, now: float, opened_at: float, idle_s: float, requests: int, fraction: float
+    ) -> bool:
         """Returns whether an idle connection is to be closed now."""
         return (
             idle_s > self.limits.limit_s(self.address, now) * fraction
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -314,7 +314,7 @@
         if connection.address != self.address or self.stopped:
             connection.drop()
             return
-        if self.plan.retires(
+        if self.plan.should_close(
             now, connection.connected_at, 0.0, connection.request_count, connection.retire_fraction
         ):
             connection.drop()
@@ -355,7 +355,7 @@
         for connection in list(self.idle):
             assert isinstance(connection, PlannedConnection)
             idle_s = now - connection.idle_since
-            retired = plan.retires(
+            retired = plan.should_close(
                 now, connection.connected_at, idle_s, connection.request_count, connection.retire_fraction
             )
             if retired or counts.total() > plan.cap.max_connections(now):
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -296,7 +296,7 @@
 
 def test_connections_retire_by_idle_time_age_and_requests() -> None:
     plan = make_plan(age_s=100.0, max_requests=50)
-    assert not plan.retires(10.0, 0.0, 1.0, 5, 0.9)
-    assert plan.retires(10.0, 0.0, 12.0, 5, 0.9)
-    assert plan.retires(91.0, 0.0, 0.0, 5, 0.9)
-    assert plan.retires(10.0, 0.0, 0.0, 45, 0.9)
+    assert not plan.should_close(10.0, 0.0, 1.0, 5, 0.9)
+    assert plan.should_close(10.0, 0.0, 12.0, 5, 0.9)
+    assert plan.should_close(91.0, 0.0, 0.0, 5, 0.9)
+    assert plan.should_close(10.0, 0.0, 0.0, 45, 0.9)
