--- a/garnethaven/connections/planner.py
+++ b/garnethaven/connections/planner.py
@@ -200,7 +200,7 @@
         if open_connections:
             self.cap.record_full(now, open_connections)
 
-    def answered(self, sent_at: float, took_s: float) -> None:
+    def record_answer(self, sent_at: float, took_s: float) -> None:
         """Records the answer to a request that was sent at `sent_at`."""
         self.latest_answered_at = max(self.latest_answered_at, sent_at)
         self.mean_answer_s += (took_s - self.mean_answer_s) / (ANSWER_SMOOTHING if self.mean_answer_s else 1)
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -275,13 +275,13 @@
 
 def test_silence_is_the_connections_where_the_server_answers_others_and_the_servers_where_not() -> None:
     plan = make_plan()
-    plan.answered(1.0, 0.02)
+    plan.record_answer(1.0, 0.02)
     assert plan.silence_timeout_s() == 0.25
     assert not plan.is_dead(10.3, 0.5, sent_at=10.0, checks=1)
     # The connection is trusted: the server may be slow.
     assert not plan.is_dead(11.0, 0.5, sent_at=10.0, checks=MAX_SILENCE_CHECKS)
     assert plan.is_dead(11.0, 5.0, sent_at=10.0, checks=MAX_SILENCE_CHECKS)
-    plan.answered(10.2, 0.02)
+    plan.record_answer(10.2, 0.02)
     assert plan.is_dead(10.3, 0.5, sent_at=10.0, checks=1)
 
 
