--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -46,7 +46,7 @@
         plan, now = plans[number % servers], number * 1e-4
         usable = plan.is_usable(now, 0.1, 0.9, False)
         plan.decide(now, ConnectionCounts(2, 1, 0, 0, 0), usable, warm)
-        plan.demand.changes(now, 3)
+        plan.demand.set_busy(now, 3)
         plan.record_answer(now, 0.02)
         plan.should_close(now, 0.0, 0.0, 10, 0.9)
 
--- a/garnethaven/connections/demand.py
+++ b/garnethaven/connections/demand.py
@@ -22,7 +22,7 @@
         self.peak = self.busy = 0
         self.slot_started_at: float | None = None
 
-    def changes(self, now: float, busy: int) -> None:
+    def set_busy(self, now: float, busy: int) -> None:
         """Sets the number of connections that are in use or requested from now on."""
         self._advance(now)
         self.busy = busy
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -178,7 +178,7 @@
             connection = self._take_usable(
                 now, trusted_only=False
             )  # a connection in doubt is better than none
-        self.plan.demand.changes(
+        self.plan.demand.set_busy(
             now, self.busy + counts.queued + len(self.dials) - counts.unclaimed_dials + 1
         )
         self.pool.schedule_update(self)
@@ -351,7 +351,7 @@
         """Closes expired connections and opens needed ones; returns whether another update is needed."""
         plan, server = self.plan, self.pool.server(self.endpoint)
         counts = self.counts()
-        plan.demand.changes(now, self.busy + counts.queued + counts.dialing - counts.unclaimed_dials)
+        plan.demand.set_busy(now, self.busy + counts.queued + counts.dialing - counts.unclaimed_dials)
         for connection in list(self.idle):
             assert isinstance(connection, PlannedConnection)
             idle_s = now - connection.idle_since
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -196,8 +196,8 @@
     demand = DemandForecast()
     assert demand.forecast(0.0) == 0
     for slot in range(SLOT_COUNT):
-        demand.changes(slot * SLOT_S, 4)
-        demand.changes(slot * SLOT_S + 1.0, 0)
+        demand.set_busy(slot * SLOT_S, 4)
+        demand.set_busy(slot * SLOT_S + 1.0, 0)
     assert 4 <= demand.forecast(SLOT_COUNT * SLOT_S) <= 6
     assert demand.forecast(SLOT_COUNT * SLOT_S * 4) == 0
     assert demand.forecast(1e9) == 0
@@ -287,7 +287,7 @@
 
 def test_nothing_is_opened_ahead_to_penalised_servers_and_little_to_cold_ones() -> None:
     plan = make_plan()
-    plan.demand.changes(0.0, 6)
+    plan.demand.set_busy(0.0, 6)
     assert plan.prewarm_count(0.1, ConnectionCounts(), ServerState()) == 1
     assert plan.prewarm_count(0.1, ConnectionCounts(), ServerState(penalised=True)) == 0
     assert plan.prewarm_count(0.1, ConnectionCounts(idle=2), ServerState(warmth=0.4)) == 0
