--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -28,7 +28,7 @@
 from garnethaven.__main__ import tune_garbage_collector
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine
-from garnethaven.extproc.answers import go_on
+from garnethaven.extproc.answers import encode_unchanged
 from garnethaven.extproc.front import SERVICE, Front
 from garnethaven.extproc.table import ExternalProcessor
 from garnethaven.interface import Endpoint, ListKind
@@ -67,7 +67,7 @@
 async def serve_floor(ended: asyncio.Future[None]) -> None:
     async def process(messages: AsyncIterable[pb.ProcessingRequest], context: Any) -> None:
         async for message in messages:
-            await context.write(go_on(message.WhichOneof("request")))
+            await context.write(encode_unchanged(message.WhichOneof("request")))
 
     handler = grpc.stream_stream_rpc_method_handler(
         process,
--- a/garnethaven/extproc/answers.py
+++ b/garnethaven/extproc/answers.py
@@ -85,7 +85,7 @@
 
 
 @lru_cache(maxsize=8)
-def go_on(part: str) -> bytes:
+def encode_unchanged(part: str) -> bytes:
     """Encode an answer that leaves this part of the exchange unchanged; `part` is its field name."""
     answer = pb.ProcessingResponse()
     getattr(answer, part).SetInParent()
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -32,7 +32,7 @@
     VALID_MS_HEADER,
     encode_decision,
     encode_immediate_response,
-    go_on,
+    encode_unchanged,
     parse_headers,
 )
 from garnethaven.extproc.mapping import (
@@ -80,7 +80,7 @@
         if part == "response_headers" and self.attempt is not None:
             return self._handle_response_headers(parse_headers(message.response_headers))
         if part in UNMODIFIED_PARTS and self.call is not None:
-            return go_on(part)
+            return encode_unchanged(part)
         self.finished = True
         return encode_immediate_response(400, f"ext_proc: {part or 'an empty message'} out of turn")
 
@@ -123,7 +123,7 @@
             outcome = Outcome.CANCELLED  # another server answered: no evidence about this one
         self._end_attempt(outcome)
         self.finished = True  # no further message is needed, and ending the stream here saves a read
-        return go_on("response_headers")
+        return encode_unchanged("response_headers")
 
     # Calls from the engine
 
