--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -60,7 +60,7 @@
     def _look(self) -> None:
         assert self.keyring is not None
         self.looking = self.parts.loop.call_later(LOOK_S, self._look)
-        self.keyring.look()
+        self.keyring.reload_if_changed()
 
     def _address_of(self, endpoint: int) -> Address | None:
         target = self.parts.transport.targets.get(endpoint)
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -88,7 +88,7 @@
             self.log(f"certificate files not loaded, the previous ones stay in use: {error}")
         self.loaded_stamps = self._file_stamps()
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Reload the files if one has changed, and log a certificate that expires soon or has expired."""
         if self._file_stamps() != self.loaded_stamps:
             self.renew(self.paths)
