--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -50,7 +50,7 @@
         if self.table.cert:
             self.keyring = keyring_of(self.table, self._say)
             self._look()
-        secured = (self.keyring.context, self.keyring.admits) if self.keyring is not None else ()
+        secured = (self.keyring.context, self.keyring.is_allowed_client) if self.keyring is not None else ()
         self.front = Front(self.table, parts.engine, carrier, parts.listener.classes, *secured)
         await self.front.start(self.table.listen)
 
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -109,7 +109,7 @@
 
     # Peers
 
-    def admits(self, peer: dict[str, object] | None) -> bool:
+    def is_allowed_client(self, peer: dict[str, object] | None) -> bool:
         """Return whether the client is one of the peers, by its certificate as `getpeercert` returns it."""
         if not self.paths.peers:
             return True
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -94,7 +94,7 @@
             context.set_alpn_protocols(["h2"])
             keyring = keyring_of(operator, lambda text: None)
             parts = engine, made.front.transport, made.sidecar.listener.classes
-            inner = Front(operator, *parts, keyring.context, keyring.admits)
+            inner = Front(operator, *parts, keyring.context, keyring.is_allowed_client)
             await inner.start(("127.0.0.1", 0))
             # A second front asks the first over TLS, as a server that wants it.
             outer_transport = GrpcTransport(
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -66,7 +66,7 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.keyring.admits(writer.get_extra_info("peercert")):
+        if self.keyring.is_allowed_client(writer.get_extra_info("peercert")):
             with contextlib.suppress(ConnectionError):
                 while line := await reader.readline():
                     writer.write(line)
@@ -230,7 +230,7 @@
         keyring = Keyring(keys.paths(), ["h2"], lambda text: None)
         async with stage(ok) as harness:
             parts = harness.sidecar.engine, harness.front.transport, harness.sidecar.listener.classes
-            front = Front(Grpc(routes=ROUTES), *parts, keyring.context, keyring.admits)
+            front = Front(Grpc(routes=ROUTES), *parts, keyring.context, keyring.is_allowed_client)
             await front.start(("127.0.0.1", 0))
             authorities = (tmp_path / "authorities.pem").read_bytes()
             pair = [(tmp_path / name).read_bytes() for name in ("client.key", "client.pem")]
