--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -79,7 +79,7 @@
         if self.front is not None:
             self.front.renew(self.table)
         if self.keyring is not None and self.table.cert:
-            self.keyring.renew(paths_of(self.table))
+            self.keyring.reload(paths_of(self.table))
 
     async def close(self) -> None:
         if self.looking is not None:
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -79,7 +79,7 @@
 
     # Rotation
 
-    def renew(self, paths: Paths) -> None:
+    def reload(self, paths: Paths) -> None:
         """Load all files from these paths; on an error the previous context and paths are kept."""
         try:
             self.current_context, self.certificate = self._load(paths)
@@ -91,7 +91,7 @@
     def reload_if_changed(self) -> None:
         """Reload the files if one has changed, and log a certificate that expires soon or has expired."""
         if self._file_stamps() != self.loaded_stamps:
-            self.renew(self.paths)
+            self.reload(self.paths)
         line = self.expiry_log.next_line(self.certificate, time.time())
         if line:
             self.log(line)
