--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -92,7 +92,7 @@
     def figures(self) -> dict[str, int]:
         if self.front is None:
             return {}
-        refused = {"clients_refused": self.keyring.refused} if self.keyring is not None else {}
+        refused = {"clients_refused": self.keyring.refused_clients} if self.keyring is not None else {}
         return refused | {
             "connections": len(self.front.lines),
             "streams": sum(len(line.streams) for line in self.front.lines),
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -40,7 +40,7 @@
         self.log = log
         self.expiry_log = ExpiryLog()
         # handshakes refused because the certificate isn't valid, and clients that are not peers
-        self.refused = 0
+        self.refused_clients = 0
         self.current_context, self.certificate = self._load(paths)
         self.loaded_stamps = self._file_stamps()
         self.context = self.current_context
@@ -72,7 +72,7 @@
     ) -> int | None:
         """SNI callback: switch to the current context; refuses handshakes if the certificate isn't valid."""
         if not usable(self.certificate, time.time()):
-            self.refused += 1
+            self.refused_clients += 1
             return ssl.ALERT_DESCRIPTION_CERTIFICATE_EXPIRED
         handshake.context = self.current_context
         return None
@@ -117,6 +117,6 @@
         names = [str(pair[1]) for pair in entries] if isinstance(entries, tuple) else []
         if is_peer(names, self.paths.peers):
             return True
-        self.refused += 1
+        self.refused_clients += 1
         self.log(f"client refused, not a peer: certificate names {', '.join(names)[:100] or 'nobody'}")
         return False
