--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -14,15 +14,15 @@
 from garnethaven.parts import Parts
 
 if TYPE_CHECKING:
-    from garnethaven.keys.keyring import Keyring, Paths
+    from garnethaven.keys.keyring import KeyPaths, Keyring
 
 LOOK_S = 2.0  # between two looks at the files of certificates
 
 
-def paths_of(table: Grpc) -> Paths:
-    from garnethaven.keys.keyring import Paths
+def paths_of(table: Grpc) -> KeyPaths:
+    from garnethaven.keys.keyring import KeyPaths
 
-    return Paths(table.cert, table.key, table.client_ca, table.revoked, table.peers)
+    return KeyPaths(table.cert, table.key, table.client_ca, table.revoked, table.peers)
 
 
 def keyring_of(table: Grpc, log: Callable[[str], None]) -> Keyring:
--- a/garnethaven/keys/keyring.py
+++ b/garnethaven/keys/keyring.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Paths:
+class KeyPaths:
     """PEM files. `client_ca`: clients need a certificate; `peers`: it has to name one of the peers."""
 
     cert: str
@@ -34,7 +34,7 @@
     OSError if a file can't be used.
     """
 
-    def __init__(self, paths: Paths, protocols: list[str], log: Callable[[str], None]) -> None:
+    def __init__(self, paths: KeyPaths, protocols: list[str], log: Callable[[str], None]) -> None:
         self.paths = paths
         self.protocols = protocols
         self.log = log
@@ -46,7 +46,7 @@
         self.context = self.current_context
         self.context.sni_callback = self._select_context
 
-    def _load(self, paths: Paths) -> tuple[ssl.SSLContext, CertificateFacts]:
+    def _load(self, paths: KeyPaths) -> tuple[ssl.SSLContext, CertificateFacts]:
         facts = certificate_facts(load_certificates(paths.cert)[0])
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         context.minimum_version = ssl.TLSVersion.TLSv1_3 if paths.client_ca else ssl.TLSVersion.TLSv1_2
@@ -79,7 +79,7 @@
 
     # Rotation
 
-    def reload(self, paths: Paths) -> None:
+    def reload(self, paths: KeyPaths) -> None:
         """Load all files from these paths; on an error the previous context and paths are kept."""
         try:
             self.current_context, self.certificate = self._load(paths)
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -18,7 +18,7 @@
 from garnethaven.keys import keyring as keyrings
 from garnethaven.keys.authority import Authority
 from garnethaven.keys.files import KeysError, certificate_facts, load_certificates
-from garnethaven.keys.keyring import Keyring, Paths
+from garnethaven.keys.keyring import KeyPaths, Keyring
 from garnethaven.keys.validity import DAY_S
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, ok, stage
 from tests.loopback import run
@@ -40,9 +40,9 @@
     def path(self, name: str) -> str:
         return str(self.folder / name)
 
-    def paths(self, **changes: Any) -> Paths:
+    def paths(self, **changes: Any) -> KeyPaths:
         options = {"client_ca": self.path("authorities.pem"), "peers": ("gate.a.example",)} | changes
-        return Paths(self.path("server.pem"), self.path("server.key"), **options)
+        return KeyPaths(self.path("server.pem"), self.path("server.key"), **options)
 
     def client(self, name: str | None = "client", folder: Path | None = None) -> ssl.SSLContext:
         context = ssl.create_default_context(cafile=self.path("authorities.pem"))
@@ -55,7 +55,7 @@
 class Echo:
     """A TLS server with a keyring: echoes lines and closes connections of clients that are no peers."""
 
-    def __init__(self, paths: Paths) -> None:
+    def __init__(self, paths: KeyPaths) -> None:
         self.log: list[str] = []
         self.keyring = Keyring(paths, ["h2"], self.log.append)
 
@@ -74,7 +74,7 @@
 
 
 @contextlib.asynccontextmanager
-async def echo(paths: Paths) -> AsyncIterator[Echo]:
+async def echo(paths: KeyPaths) -> AsyncIterator[Echo]:
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)  # refused handshakes
     echo_server = await Echo(paths).start()
     try:
@@ -215,8 +215,8 @@
 def test_a_start_with_files_that_cannot_be_used_is_an_error(tmp_path: Path) -> None:
     keys = Keys(tmp_path)
     for paths in (
-        Paths(keys.path("none.pem")),
-        Paths(keys.path("server.pem"), keys.path("client.key")),
+        KeyPaths(keys.path("none.pem")),
+        KeyPaths(keys.path("server.pem"), keys.path("client.key")),
         keys.paths(client_ca=keys.path("server.key")),
         keys.paths(revoked=keys.path("none")),
     ):
