--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -61,7 +61,7 @@
 
 
 @contextlib.asynccontextmanager
-async def stage(servers: int = 4, **settings: Any) -> AsyncIterator[Harness]:
+async def processor_harness(servers: int = 4, **settings: Any) -> AsyncIterator[Harness]:
     async with running_sidecar(*[answers_with(ANSWER)] * servers) as (sidecar, peers):
         table = ExternalProcessor(listen=("127.0.0.1", 0), **({"keys": (KEY,)} | settings))
         front = Front(table, sidecar.engine, sidecar.transport, sidecar.listener.classes)
@@ -76,7 +76,7 @@
 
 def test_a_request_gets_one_decision_and_its_outcome_is_learned() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             exchange = harness.proxy.ask()
             decision = await harness.decide(exchange)
             assert parse_address(decision.address) in [("127.0.0.1", peer.port) for peer in harness.peers]
@@ -93,7 +93,7 @@
 
 def test_an_error_blames_the_server_and_leads_to_no_second_attempt_of_our_own() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             exchange = harness.proxy.ask()
             await harness.decide(exchange)
             await exchange.report({":status": "500"}, 10.0)
@@ -106,7 +106,7 @@
 
 def test_nothing_is_kept_of_a_request_that_has_ended() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             front, references = harness.front, []
 
             def record_attempt(attempt: ReportAttempt) -> None:
@@ -132,7 +132,7 @@
 
 def test_with_no_server_a_request_is_refused_at_once() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             harness.sidecar.transport.apply_list(ListKind.FULL, [])
             decision = await harness.decide(harness.proxy.ask())
             assert (decision.status, decision.address) == (503, "")
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_proxy_that_goes_away_leaves_nothing_under_way_and_blames_nobody(when: str) -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             exchange = harness.proxy.ask()
             if when == "after":
                 await harness.decide(exchange)
@@ -163,7 +163,7 @@
 
 def test_the_same_id_at_once_is_decided_once_and_again_when_the_first_has_ended() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             first, second = harness.proxy.ask(), harness.proxy.ask()
             assert (await harness.decide(first)).address
             assert (await harness.decide(second)).status == 409
@@ -176,7 +176,7 @@
 
 def test_the_id_of_a_request_on_the_other_front_is_taken_too() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             release = asyncio.Event()
             for peer in harness.peers:
                 peer.script = answers_with(ANSWER, release)
@@ -191,12 +191,12 @@
 
 def test_after_a_restart_a_token_keeps_the_rack_and_without_it_nothing_is_sent_or_refused() -> None:
     async def case() -> None:
-        async with stage() as before:
+        async with processor_harness() as before:
             exchange = before.proxy.ask()
             decision = await before.decide(exchange)
             exchange.cancel()
         async with (
-            stage() as after
+            processor_harness() as after
         ):  # a restarted process with the same key; its servers are in the same cell
             retried = await after.decide(
                 after.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2", "x-call-id": "c1"}
@@ -211,7 +211,7 @@
                 retried = await after.decide(after.proxy.ask(), x_call_id="c2", **changes)
                 assert (retried.address, retried.status) == ("", 502), changes
             assert (after.front.tokens_checked, after.front.tokens_rejected) == (3, 2)
-        async with stage(keys=()) as keyless:
+        async with processor_harness(keys=()) as keyless:
             retried = await keyless.decide(keyless.proxy.ask())
             assert retried.address and not retried.token
             retried = await keyless.decide(keyless.proxy.ask(), x_call_id="c3", **{TOKEN: decision.token})
@@ -222,7 +222,7 @@
 
 def test_a_decision_that_was_not_acted_on_may_be_asked_for_again() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             first = harness.proxy.ask()
             decision = await harness.decide(first)
             first.cancel()
@@ -235,7 +235,7 @@
 
 def test_messages_out_of_turn_get_an_error_and_bodies_go_on() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             early = harness.proxy.ask()
             await early.call.write(pb.ProcessingRequest(response_headers=headers_message({":status": "200"})))
             assert (await early.call.read()).immediate_response.status.code == 400
@@ -256,7 +256,7 @@
 
 def test_the_answer_asks_for_headers_only() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             exchange = harness.proxy.ask()
             await exchange.call.write(
                 pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
@@ -277,7 +277,7 @@
 
 def test_a_bad_request_is_told_what_it_lacks() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             decision = await harness.decide(harness.proxy.ask(), x_budget_ms="soon")
             assert decision.status == 400
             assert "x-budget-ms" in decision.details
@@ -288,7 +288,7 @@
 
 def test_more_streams_than_the_bound_are_refused_at_once() -> None:
     async def case() -> None:
-        async with stage(streams_most=2) as harness:
+        async with processor_harness(streams_most=2) as harness:
             open_streams = [harness.proxy.ask() for _ in range(2)]
             for number, exchange in enumerate(open_streams):
                 assert (await harness.decide(exchange, x_call_id=f"h{number}")).address
@@ -306,7 +306,7 @@
 
 def test_a_process_that_is_later_than_the_proxy_waits_refuses_at_once() -> None:
     async def case() -> None:
-        async with stage(message_timeout_ms=50) as harness:
+        async with processor_harness(message_timeout_ms=50) as harness:
             harness.front.lag_s = 0.2
             assert (await harness.decide(harness.proxy.ask())).status == 503
             await wait_until(lambda: not harness.front.overloaded())
@@ -317,7 +317,7 @@
 
 def test_a_planned_end_lets_open_streams_report() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             exchange = harness.proxy.ask()
             assert (await harness.decide(exchange)).address
             ending = asyncio.create_task(harness.front.close(10.0))
@@ -332,7 +332,7 @@
 
 def test_too_large_and_meaningless_messages_end_their_stream_only() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             raw = harness.proxy.channel.stream_stream("/envoy.service.ext_proc.v3.ExternalProcessor/Process")
             for payload in (b"\xff" * 50, b"\x0a" + b"x" * (MAX_MESSAGE_BYTES + 1)):
                 call = raw()
@@ -352,7 +352,7 @@
 
 def test_many_streams_at_once_all_get_their_decision() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             # With default limits grpcio itself drops streams beyond 3,000 pending ones.
             exchanges = [harness.proxy.ask() for _ in range(4000)]
             decisions = await asyncio.gather(
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -19,13 +19,13 @@
 from standins.ledger import Ledger
 from standins.ports import PORTS
 from standins.proxy import ATTEMPTS, CHECKED, Proxy, Ways, headers_message
-from tests.extproc.test_front import KEY, stage
+from tests.extproc.test_front import KEY, processor_harness
 from tests.loopback import run, wait_until, write_config_file
 
 
 def test_a_tenant_over_its_share_is_told_so_and_others_are_refused() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             engine = harness.sidecar.engine
             for over_share, status, reason in ((True, 429, "share"), (False, 503, "harmless")):
                 engine.balancer.handle = lambda now, event, over_share=over_share: (  # type: ignore[method-assign]
@@ -48,7 +48,7 @@
 
 def test_the_answer_says_what_came_of_a_token() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             first = harness.proxy.ask()
             decision = await harness.decide(first)
             first.cancel()
@@ -71,7 +71,7 @@
 
 def test_a_new_table_is_taken_over_and_a_new_address_is_said_to_wait() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             front = harness.front
             decision = await harness.decide(harness.proxy.ask())
             await wait_until(lambda: front.streams <= 1)
@@ -136,7 +136,7 @@
 
 def test_a_proxy_that_never_reads_holds_up_nobody_and_no_more_than_its_window() -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             unread = harness.proxy.ask()
             await unread.call.write(pb.ProcessingRequest(request_headers=headers_message(harness.headers())))
             body = pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 4000))
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("opens", [True, False])
 def test_a_proxy_without_a_processor_fails_as_it_is_set(opens: bool) -> None:
     async def case() -> None:
-        async with stage() as harness:
+        async with processor_harness() as harness:
             peer = harness.peers[0]
             ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
             open_addresses = (f"127.0.0.1:{peer.port}",) if opens else ()
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -23,7 +23,7 @@
 )
 from garnethaven.engine.engine import Engine
 from garnethaven.net import listener as listening
-from tests.extproc.test_front import stage as processor_stage
+from tests.extproc.test_front import processor_harness as processor_stage
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ok
 from tests.grpcs.test_on_sockets import stage as grpc_stage
