--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -40,7 +40,7 @@
 MIN_EXTRA_PEERS, MAX_EXTRA_PEERS = 5, 64
 # How often all other members are asked within a token lifetime, as far as `MAX_EXTRA_PEERS` allows.
 ROUNDS_PER_LIFETIME = 2.0
-GIVERS_MOST = 4096  # lending processes whose latest transfer number is kept
+MAX_LENDERS = 4096  # lending processes whose latest transfer number is kept
 MAX_DECODED_ROWS = 8192
 HOMES_MOST = 4096  # accepted from a peer: a larger number would reduce everybody's rate to almost nothing
 NS_PER_MS = 1_000_000
@@ -309,7 +309,7 @@
             return
         self.last_serials.pop(process, None)
         self.last_serials[process] = transfers.serial
-        if len(self.last_serials) > GIVERS_MOST:
+        if len(self.last_serials) > MAX_LENDERS:
             del self.last_serials[next(iter(self.last_serials))]
         for transfer in transfers.entries:
             if transfer.kind not in self.budgets:
