--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -42,7 +42,9 @@
 ROUNDS_PER_LIFETIME = 2.0
 MAX_LENDERS = 4096  # lending processes whose latest transfer number is kept
 MAX_DECODED_ROWS = 8192
-HOMES_MOST = 4096  # accepted from a peer: a larger number would reduce everybody's rate to almost nothing
+MAX_ORIGIN_COUNT = (
+    4096  # accepted from a peer: a larger number would reduce everybody's rate to almost nothing
+)
 NS_PER_MS = 1_000_000
 
 Key = tuple[int, int]  # kind, subject
@@ -236,7 +238,7 @@
                 continue
             state = self._decoded_state(member, row_state.row.version, row_state.row.told.get(TOPIC))
             # Includes members not heard lately: they go on earning.
-            origin_count = max(origin_count, min(state.origin_count, HOMES_MOST))
+            origin_count = max(origin_count, min(state.origin_count, MAX_ORIGIN_COUNT))
             if self.peer.rows.is_fresh(now, member):
                 for shortage in state.shortages:
                     key = shortage.kind, shortage.subject
