--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -32,7 +32,7 @@
 TOPIC = "budgets"
 RESERVE_RATIO = 0.25  # of what a member earns in a token lifetime; never lent
 USAGE_WINDOW = SECOND  # over which spending and shortages are counted
-SUBJECTS_MOST = 4096  # accounts of one member; the least recently used is dropped with its tokens
+MAX_ACCOUNTS = 4096  # accounts of one member; the least recently used is dropped with its tokens
 MAX_SHORTAGES = 16  # in one question, largest first
 MAX_BATCHES_PER_TRANSFER = 32
 MAX_BATCHES_PER_ANSWER = 32  # no further account is added after that: an answer is one datagram
@@ -168,7 +168,7 @@
         if account is None:
             budget = self.budgets[key[0]]
             account = Account(TokenBalance(self._rate(budget), budget.lifetime, self.earns_since))
-            if len(self.accounts) >= SUBJECTS_MOST:
+            if len(self.accounts) >= MAX_ACCOUNTS:
                 del self.accounts[
                     min(self.accounts, key=lambda candidate: self.accounts[candidate].last_used_at)
                 ]
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -11,9 +11,9 @@
 
 from garnethaven.budgets.feature import budgets_of
 from garnethaven.budgets.lending import (
+    MAX_ACCOUNTS,
     MAX_BATCHES_PER_ANSWER,
     RESERVE_RATIO,
-    SUBJECTS_MOST,
     TOPIC,
     Budget,
     BudgetLedger,
@@ -237,9 +237,9 @@
 def test_purses_are_bounded_and_a_dropped_one_earns_nothing_twice() -> None:
     lending = BudgetLedger({3: Budget(1000.0, 0.0, LIFETIME)}, 1, True, 0)
     now = LIFETIME
-    for subject in range(SUBJECTS_MOST + 5):
-        assert lending.may_spend(now, 3, subject, 1.0) is (subject <= SUBJECTS_MOST)
-    assert len(lending.accounts) == SUBJECTS_MOST
+    for subject in range(MAX_ACCOUNTS + 5):
+        assert lending.may_spend(now, 3, subject, 1.0) is (subject <= MAX_ACCOUNTS)
+    assert len(lending.accounts) == MAX_ACCOUNTS
     assert not lending.may_spend(now, 3, 0, 1.0)  # its account was dropped, and the new one is empty
 
 
