--- a/garnethaven/connections/idle_limits.py
+++ b/garnethaven/connections/idle_limits.py
@@ -41,7 +41,7 @@
 MAX_PAIR_GAP_S = 60.0
 COMMON_WINDOW_S = 60.0
 MIN_SIMILAR_SERVERS = 2
-REMEMBERED_MOST = 4096  # addresses
+MAX_ADDRESSES = 4096  # addresses
 
 
 def are_similar(first_s: float, second_s: float) -> bool:
@@ -108,7 +108,7 @@
         limit = self.limits.get(address)
         if limit is None:
             limit = self.limits[address] = IdleLimit(self.configured_s)
-            if len(self.limits) > REMEMBERED_MOST:
+            if len(self.limits) > MAX_ADDRESSES:
                 self.limits.popitem(last=False)
         else:
             self.limits.move_to_end(address)
@@ -157,7 +157,7 @@
 
     def restore(self, now: float, snapshot: list[tuple[str, int, float]], away_s: float) -> None:
         """Restores limits learned by a previous process, grown by the time since; not the common limit."""
-        for host, port, limit_s in snapshot[-REMEMBERED_MOST:]:
+        for host, port, limit_s in snapshot[-MAX_ADDRESSES:]:
             limit = self.limit_of((host, port))
             limit.learned_s, limit.learned_at = max(MIN_LIMIT_S, limit_s), now - max(0.0, away_s)
 
--- a/tests/connections/test_planner.py
+++ b/tests/connections/test_planner.py
@@ -12,9 +12,9 @@
 from garnethaven.connections.idle_limits import (
     ANNOUNCED_FRACTION,
     COMMON_WINDOW_S,
+    MAX_ADDRESSES,
     MAX_TRUSTED_S,
     OBSERVED_FRACTION,
-    REMEMBERED_MOST,
     IdleLimit,
     IdleLimits,
 )
@@ -94,9 +94,9 @@
 def test_addresses_are_remembered_up_to_a_bound() -> None:
     limits = IdleLimits(15.0, Random(1))
     limits.record_silence(A, 0.0, 1.0)
-    for number in range(REMEMBERED_MOST + 10):
+    for number in range(MAX_ADDRESSES + 10):
         limits.limit_of((f"10.1.{number // 250}.{number % 250}", 80))
-    assert len(limits.limits) == REMEMBERED_MOST
+    assert len(limits.limits) == MAX_ADDRESSES
     assert limits.limit_s(A, 0.0) == pytest.approx(15.0 * ANNOUNCED_FRACTION)
 
 
