--- a/garnethaven/extproc/answers.py
+++ b/garnethaven/extproc/answers.py
@@ -18,7 +18,7 @@
 SERVED_BY_HEADER = "x-gateway-destination-endpoint-served"
 VALID_MS_HEADER = "x-gateway-decision-valid-ms"
 METADATA_NAMESPACE = "envoy.lb"
-ADDRESSES_MOST = 4096  # size of the cache of decision templates
+MAX_CACHED_ADDRESSES = 4096  # size of the cache of decision templates
 ENCODED_OVERWRITE_ACTION = bytes((3 << 3, HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD))
 
 # Request and response headers only: unsent bodies and trailers save work on both sides.
@@ -39,7 +39,7 @@
     )
 
 
-@lru_cache(maxsize=ADDRESSES_MOST)
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def decision_template(address: str) -> bytes:
     """Return the encoded part that all decisions for an address share; cached to keep decisions cheap."""
     answer = pb.ProcessingResponse(mode_override=PROCESSING_MODE)
