--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -62,7 +62,9 @@
 from typing import Generic, TypeVar
 
 ENTRIES_MOST = 20_000
-ENDED_MOST = 20_000  # removals of names that are remembered; a name whose removal is forgotten may reappear
+MAX_REMEMBERED_REMOVALS = (
+    20_000  # removals of names that are remembered; a name whose removal is forgotten may reappear
+)
 
 
 class SyncState(Enum):
@@ -317,7 +319,7 @@
             return
         self.removed.pop(name, None)
         self.removed[name] = created
-        if len(self.removed) > ENDED_MOST:
+        if len(self.removed) > MAX_REMEMBERED_REMOVALS:
             del self.removed[next(iter(self.removed))]
 
     def remove_absent(self, listed: set[str]) -> list[str]:
