--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -61,7 +61,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-ENTRIES_MOST = 20_000
+MAX_ENTRIES = 20_000
 MAX_REMEMBERED_REMOVALS = (
     20_000  # removals of names that are remembered; a name whose removal is forgotten may reappear
 )
@@ -167,8 +167,8 @@
             self.outdated_answers += 1
             self.history_restarts += 1
         retained = dict(entries)
-        if len(retained) > ENTRIES_MOST:
-            retained = {key: retained[key] for key in sorted(retained)[:ENTRIES_MOST]}
+        if len(retained) > MAX_ENTRIES:
+            retained = {key: retained[key] for key in sorted(retained)[:MAX_ENTRIES]}
         self.excess_entries = len(entries) - len(retained)
         changed: dict[str, Entry | None] = {key: None for key in self.entries if key not in retained}
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
@@ -194,7 +194,7 @@
             if entry is None:
                 if self.entries.pop(key, None) is not None or key in reported:
                     reported[key] = None
-            elif entry.modified > self.revision and (key in self.entries or len(self.entries) < ENTRIES_MOST):
+            elif entry.modified > self.revision and (key in self.entries or len(self.entries) < MAX_ENTRIES):
                 self.entries[key] = reported[key] = entry
         self.revision = revision
         return [ReportChanges(reported), *self._check_caught_up()] if reported else self._check_caught_up()
