--- a/garnethaven/membership/entries.py
+++ b/garnethaven/membership/entries.py
@@ -12,7 +12,7 @@
 from garnethaven.membership.model import Fact
 from garnethaven.membership.payloads import Payload, PayloadError
 
-FLAWS_MOST = 4_096  # remembered versions of logged entries; a forgotten version may be logged again
+MAX_REMEMBERED_FLAWS = 4_096  # remembered versions of logged entries; a forgotten version may be logged again
 
 
 class EntryConverter:
@@ -43,7 +43,7 @@
         if version in self.logged_versions:
             return
         self.logged_versions[version] = None
-        if len(self.logged_versions) > FLAWS_MOST:
+        if len(self.logged_versions) > MAX_REMEMBERED_FLAWS:
             del self.logged_versions[next(iter(self.logged_versions))]
         self.flaws[reason] += 1
         self.unlogged.append(f"{key[:100]!r}: {reason}")
