--- a/garnethaven/membership/cache.py
+++ b/garnethaven/membership/cache.py
@@ -18,7 +18,7 @@
 from garnethaven.membership.payloads import MS
 
 FORMAT = 1
-EVERY_S = 1.0
+WRITE_INTERVAL_S = 1.0
 MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
@@ -59,7 +59,7 @@
         """Write `facts` after at most `EVERY_S`, in their state at that time."""
         self.facts = facts
         if self.timer is None:
-            self.timer = self.loop.call_later(EVERY_S, self._write)
+            self.timer = self.loop.call_later(WRITE_INTERVAL_S, self._write)
 
     def close(self) -> None:
         self.closed = True
