--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -95,7 +95,7 @@
         loop, plan = self.planned_target.pool.loop, self.planned_target.plan
         if plan.is_dead(loop.time(), self.idle_before_s, self.sent_at, checks):
             self.silent = True
-            self._break()
+            self._fail()
         else:
             self.silence_timer = loop.call_later(plan.silence_timeout_s(), self._check_silence, checks + 1)
 
@@ -114,7 +114,7 @@
                 plan.limits.limit_of(self.address).set_announced(seconds)
         super()._finish()
 
-    def _break(self) -> None:
+    def _fail(self) -> None:
         exchange, reused = self.exchange, self.request_count > 1
         now, plan = self.planned_target.pool.loop.time(), self.planned_target.plan
         if reused and not self.received_bytes:
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -153,14 +153,14 @@
         self.last_received_at = self.target.pool.loop.time()
         if unsolicited:
             self.report_unsolicited()
-            self._break()
+            self._fail()
             return
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade):
             self.reusable = False
             if not self.complete:
-                self._break()
+                self._fail()
                 return
             self.has_surplus = True
         if not self.complete:
@@ -169,7 +169,7 @@
             if self._is_too_large():
                 if self.exchange is not None:
                     self.exchange.oversized = True
-                self._break()
+                self._fail()
         if self.complete:
             self._finish()
         if self.exchange is not None and self.stall_timer is None:
@@ -190,7 +190,7 @@
             self.reusable = False
             self._finish()
         else:
-            self._break()
+            self._fail()
 
     def _ends_with_connection(self) -> bool:
         """Whether the end of the connection ends the body; the answer must state `Connection: close`.
@@ -353,7 +353,7 @@
         if left_s > 0.0:  # also if this process lags behind the kernel, not the endpoint
             self.stall_timer = loop.call_later(left_s, self._check_stall)
         else:
-            self._break()
+            self._fail()
 
     def _cancel_stall_timer(self) -> None:
         if self.stall_timer is not None:
@@ -396,7 +396,7 @@
         self.buffered_bytes = 0
         self.answer = Answer()
 
-    def _break(self) -> None:
+    def _fail(self) -> None:
         exchange, written = self.exchange, self.flushed
         self.drop()
         if exchange is not None:
