--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -51,7 +51,7 @@
         self.prewarmed = False  # opened ahead of need and not used yet
         self.silence_timer: asyncio.TimerHandle | None = None
 
-    def carry(self, exchange: Exchange) -> None:
+    def start_exchange(self, exchange: Exchange) -> None:
         self.in_use = True
         self.planned_target.busy += 1
         if self.prewarmed:
--- a/garnethaven/net/connection.py
+++ b/garnethaven/net/connection.py
@@ -276,7 +276,7 @@
 
     # Called by the exchange and the pool
 
-    def carry(self, exchange: Exchange) -> None:
+    def start_exchange(self, exchange: Exchange) -> None:
         """Write the request of `exchange`, and report its answer or failure to it."""
         self.exchange = exchange
         exchange.connection = self
