--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -100,7 +100,7 @@
                 502 if mapped.may_have_been_sent else 503, "ext_proc: the processor is overloaded"
             )
         self.call = call = Call(self, mapped.call_id, ReportTransport(self))
-        call.class_index, call.caller, call.key = mapped.grade, mapped.tenant_index, mapped.key
+        call.class_index, call.caller, call.key = mapped.class_index, mapped.tenant_index, mapped.key
         call.tenant = mapped.tenant_name
         call.budget, call.is_retry = mapped.budget, mapped.repeat
         call.prior, self.token_result = front.prior_attempt(mapped)
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -32,7 +32,7 @@
     """The properties of a request, as its call needs them."""
 
     call_id: bytes
-    grade: int  # index of the class
+    class_index: int  # index of the class
     tenant_index: int
     tenant_name: str  # as sent by the client
     key: str  # affinity key, from the query of the path
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -27,13 +27,13 @@
 
 def test_our_own_headers_name_a_request() -> None:
     mapped = map_request(GOOD | {"x-budget-ms": "700", "x-again": "1"}, CLASSES, ())
-    assert (mapped.call_id, mapped.grade, mapped.key) == (b"c1", 0, "u1")
+    assert (mapped.call_id, mapped.class_index, mapped.key) == (b"c1", 0, "u1")
     assert (mapped.budget, mapped.repeat, mapped.may_have_been_sent) == (700 * MS, True, False)
 
 
 def test_without_its_key_a_request_is_of_the_unsafe_twin() -> None:
     headers = {name: value for name, value in GOOD.items() if name != "idempotency-key"}
-    assert map_request(headers, CLASSES, ()).grade == len(CLASSES.class_indexes)
+    assert map_request(headers, CLASSES, ()).class_index == len(CLASSES.class_indexes)
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 def test_routes_give_a_class_to_those_that_name_none() -> None:
     headers = {name: value for name, value in GOOD.items() if name != "x-call-class"}
     routes = (Route("check", "/other"), Route("none", "/api", "GET"), Route("check", "/api", "POST"))
-    assert map_request(headers, CLASSES, routes).grade == 0
+    assert map_request(headers, CLASSES, routes).class_index == 0
     with pytest.raises(MappingError, match="no route fits"):
         map_request(headers | {":path": "/else"}, CLASSES, routes)
 
