--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -102,7 +102,7 @@
         self.call = call = Call(self, mapped.call_id, ReportTransport(self))
         call.class_index, call.caller, call.key = mapped.class_index, mapped.tenant_index, mapped.key
         call.tenant = mapped.tenant_name
-        call.budget, call.is_retry = mapped.budget, mapped.repeat
+        call.budget, call.is_retry = mapped.budget, mapped.is_retry
         call.prior, self.token_result = front.prior_attempt(mapped)
         if not front.engine.take(call):
             self.call, self.finished = None, True
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -37,7 +37,7 @@
     tenant_name: str  # as sent by the client
     key: str  # affinity key, from the query of the path
     budget: int  # nanoseconds
-    repeat: bool  # the client marks it as a retry
+    is_retry: bool  # the client marks it as a retry
     token: str
     may_have_been_sent: bool  # the proxy repeats the request: an earlier attempt may have been sent
     decision_unused: bool
--- a/tests/extproc/test_mapping.py
+++ b/tests/extproc/test_mapping.py
@@ -28,7 +28,7 @@
 def test_our_own_headers_name_a_request() -> None:
     mapped = map_request(GOOD | {"x-budget-ms": "700", "x-again": "1"}, CLASSES, ())
     assert (mapped.call_id, mapped.class_index, mapped.key) == (b"c1", 0, "u1")
-    assert (mapped.budget, mapped.repeat, mapped.may_have_been_sent) == (700 * MS, True, False)
+    assert (mapped.budget, mapped.is_retry, mapped.may_have_been_sent) == (700 * MS, True, False)
 
 
 def test_without_its_key_a_request_is_of_the_unsafe_twin() -> None:
