--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -89,7 +89,7 @@
         nonlocal sent
         for out in outs:
             sent += len(out.body)
-            carry(out.at, peers[out.at].came(now + 20_000_000, decode_message(out.body), source))
+            carry(out.at, peers[out.at].receive(now + 20_000_000, decode_message(out.body), source))
 
     began, spent, periods, found = now, [0.0], 0, -1.0
     quiet = max(3, 4 * S // period)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -180,8 +180,8 @@
     connects = registry.client.connects
     lag = asyncio.create_task(_longest_pause())
     before = spent()
-    assert registry.client.wire is not None
-    registry.client.wire.abort()
+    assert registry.client.connection is not None
+    registry.client.connection.abort()
     await until(lambda: registry.client.connects > connects and registry.age_s() == 0.0)
     used = spent() - before
     lag.cancel()
--- a/benchmarks/registries.py
+++ b/benchmarks/registries.py
@@ -59,7 +59,7 @@
         self.handed_over.append(len(entries))
 
     async def caught_up(self, revision: int) -> None:
-        while self.source.core.revision < revision or self.source.telling.age_s():
+        while self.source.catch_up.revision < revision or self.source.output.age_s():
             await asyncio.sleep(0.001)
 
 
--- a/garnethaven/budgets/feature.py
+++ b/garnethaven/budgets/feature.py
@@ -83,7 +83,7 @@
 
     def _check_name_conflict(self, now: int) -> None:
         assert self.lending is not None and self.peers is not None and self.peers.peer is not None
-        if self.peers.peer.mute(now):
+        if self.peers.peer.is_muted(now):
             self.lending.forfeit_all(now + NAME_CONFLICT_PAUSE)
 
     # Spending, called by the engine
--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -216,7 +216,7 @@
             for account in self.accounts.values():
                 account.rotate()
         shortages = self._local_shortages()
-        self.peer.eager = self._extra_peers() if shortages else 0
+        self.peer.extra_probes = self._extra_peers() if shortages else 0
         self._update_remote_state(now)
         return PublishedState(self.origin_count if self.earns else 0, shortages)
 
@@ -225,7 +225,7 @@
         assert self.peer is not None
         lifetime = min(budget.lifetime for budget in self.budgets.values())
         peers_per_period = (
-            ROUNDS_PER_LIFETIME * self.peer.members.counted() * self.peer.rules.period / lifetime
+            ROUNDS_PER_LIFETIME * self.peer.members.member_count() * self.peer.rules.period / lifetime
         )
         return max(MIN_EXTRA_PEERS, min(MAX_EXTRA_PEERS, math.ceil(peers_per_period)))
 
@@ -236,7 +236,7 @@
         for member, row_state in self.peer.rows.current.items():
             if member == self.peer.own:
                 continue
-            state = self._decoded_state(member, row_state.row.version, row_state.row.told.get(TOPIC))
+            state = self._decoded_state(member, row_state.row.version, row_state.row.topics.get(TOPIC))
             # Includes members not heard lately: they go on earning.
             origin_count = max(origin_count, min(state.origin_count, MAX_ORIGIN_COUNT))
             if self.peer.rows.is_fresh(now, member):
--- a/garnethaven/connections/pool.py
+++ b/garnethaven/connections/pool.py
@@ -57,7 +57,7 @@
         if self.prewarmed:
             self.prewarmed = False
             self.planned_target.plan.prewarm_gate.record_used(self.planned_target.pool.loop.time())
-        super().carry(exchange)
+        super().start_exchange(exchange)
         self.request_count += 1
         loop, plan = self.planned_target.pool.loop, self.planned_target.plan
         self.sent_at = loop.time()
@@ -106,7 +106,7 @@
 
     def _finish(self) -> None:
         plan, answer = self.planned_target.plan, self.answer
-        plan.answered(self.sent_at, self.planned_target.pool.loop.time() - self.sent_at)
+        plan.record_answer(self.sent_at, self.planned_target.pool.loop.time() - self.sent_at)
         header = answer.header(b"keep-alive")
         if header is not None:
             seconds = keep_alive_timeout_s(header)
@@ -124,7 +124,7 @@
             plan.record_refusal(now, self.planned_target.busy + len(self.planned_target.idle) - 1)
         lost = exchange is not None and exchange.body is not None and exchange.body.replay_lost
         if exchange is None or self.flushed or not reused or exchange.was_moved or lost:
-            super()._break()
+            super()._fail()
             return
         self.drop()
         exchange.connection, exchange.was_moved = None, True
@@ -183,7 +183,7 @@
         )
         self.pool.schedule_update(self)
         if connection is not None:
-            connection.carry(exchange)
+            connection.start_exchange(exchange)
         elif decision is Decision.RETURN:
             self._return_to_engine(exchange)
         else:
@@ -301,7 +301,7 @@
         """Sends the next waiting exchange on the connection, or keeps it idle."""
         exchange = self._next_waiting()
         if exchange is not None:
-            connection.carry(exchange)
+            connection.start_exchange(exchange)
             return
         connection.idle_since = self.pool.loop.time()
         self.idle.append(connection)
@@ -335,7 +335,7 @@
             if exchange is None:
                 self.idle.append(connection)
                 return
-            connection.carry(exchange)
+            connection.start_exchange(exchange)
 
     def record_idle_end(self, connection: PlannedConnection) -> None:
         """Records that the server has closed an idle connection."""
--- a/garnethaven/extproc/front.py
+++ b/garnethaven/extproc/front.py
@@ -325,7 +325,7 @@
         if not mapped.token:
             return PriorAttempt(), ""
         now_ms = time.time_ns() // MS
-        checked = self.token_signer.check(mapped.token, mapped.call_id, mapped.grade, now_ms)
+        checked = self.token_signer.check(mapped.token, mapped.call_id, mapped.class_index, now_ms)
         self.tokens_checked += 1
         if isinstance(checked, Rejection):
             self.tokens_rejected += 1
--- a/garnethaven/extproc/mapping.py
+++ b/garnethaven/extproc/mapping.py
@@ -56,12 +56,12 @@
     token = headers.get(TOKEN_HEADER, "")
     return MappedRequest(
         call_id=call_id.encode("latin-1", "replace"),
-        grade=class_index,
+        class_index=class_index,
         tenant_index=classes.tenant_index(headers.get("x-caller", "")),
         tenant_name=headers.get("x-caller", ""),
         key=affinity_key(headers.get(":path", "").partition("?")[2].encode("latin-1", "replace")),
         budget=budget_of(headers, classes.settings.request_classes[class_index].deadline),
-        repeat=headers.get("x-again") == "1",
+        is_retry=headers.get("x-again") == "1",
         token=token,
         may_have_been_sent=bool(token) or headers.get("x-envoy-attempt-count", "1") != "1",
         decision_unused=headers.get(UNUSED_HEADER) == "1",
--- a/garnethaven/gossip/rows.py
+++ b/garnethaven/gossip/rows.py
@@ -35,7 +35,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One member's published counters; `told`: by topic, encoded; forwarded undecoded."""
+    """One member's published counters; `topics`: by topic, encoded; forwarded undecoded."""
 
     name: str
     incarnation: int  # incarnation
@@ -98,13 +98,13 @@
                 return False
             self.current[row.name] = self._store(row, made_at)
             return True
-        if row.incarnation < kept.row.life:
+        if row.incarnation < kept.row.incarnation:
             return self._learn_past_incarnation(row, made_at)
         if row.version <= kept.row.version:
             if row.version == kept.row.version:
                 kept.made_at = max(kept.made_at, made_at)  # the tighter bound of the two
             return False
-        if row.incarnation > kept.row.life:
+        if row.incarnation > kept.row.incarnation:
             self._learn_past_incarnation(kept.row, kept.made_at)
         else:
             made_at = max(made_at, kept.made_at)  # it was made after the previous row
--- a/garnethaven/limits/feature.py
+++ b/garnethaven/limits/feature.py
@@ -16,7 +16,7 @@
 
 
 class Discovery(Protocol):
-    fresh: ListFreshness
+    freshness: ListFreshness
 
 
 class LimitedParts(Protocol):
@@ -44,7 +44,7 @@
 
     def renewed(self) -> None:
         self.parts.listener.set_limits(self.table.client_places, self.table.calm_idle_s)
-        self.parts.discovery.fresh.set_max_watch_wait(self.table.watch_most_s)
+        self.parts.discovery.freshness.set_max_watch_wait(self.table.watch_most_s)
 
     async def close(self) -> None:
         if self.view is not None:
--- a/garnethaven/membership/cache.py
+++ b/garnethaven/membership/cache.py
@@ -56,7 +56,7 @@
             return {}
 
     def keep(self, facts: Mapping[str, Fact]) -> None:
-        """Write `facts` after at most `EVERY_S`, in their state at that time."""
+        """Write `facts` after at most `WRITE_INTERVAL_S`, in their state at that time."""
         self.facts = facts
         if self.timer is None:
             self.timer = self.loop.call_later(WRITE_INTERVAL_S, self._write)
@@ -99,7 +99,7 @@
             state,
             entry.relative_capacity,
         ]
-        return [*fields, started_ms, fact.born, fact.proof]
+        return [*fields, started_ms, fact.creation, fact.process_start]
 
     def _decode(self, fields: list[object]) -> Fact:
         host, port, zone, kind, cell, state, units, started_ms, born, proof = fields
--- a/garnethaven/membership/catchup.py
+++ b/garnethaven/membership/catchup.py
@@ -46,11 +46,11 @@
 A removed key never reappears: every answer that could still contain it is older than R.
 
 A registry that answers for one name at a time (ephemeral nodes: the names as a list, each node separately)
-has no single revision for the whole copy. `Names` ensures the same for each name: a name that is absent from
-a list requested after the name was recorded has been removed, and a node created no later than the known
+has no single revision for the whole copy. `NameTracker` ensures the same for each name: a name that is absent
+from a list requested after the name was recorded has been removed, and a node created no later than the known
 removal of its name comes from a lagging host. Its standings are the same.
 
-Bounds: at most `ENTRIES_MOST` entries. Further ones, in the order of the keys, are left out and counted, so
+Bounds: at most `MAX_ENTRIES` entries. Further ones, in the order of the keys, are left out and counted, so
 that a registry that is also used for other purposes can't exhaust this program's memory.
 """
 
@@ -174,7 +174,7 @@
         changed |= {key: entry for key, entry in retained.items() if self.entries.get(key) != entry}
         self.entries, self.revision = retained, revision
         self.sync_state = SyncState.FOLLOWING
-        return [ReportChanges(changed, whole=True), ReportContact(True), WatchChanges(revision)]
+        return [ReportChanges(changed, from_snapshot=True), ReportContact(True), WatchChanges(revision)]
 
     def watching(self, current_revision: int) -> list[SyncAction]:
         """A watch was opened when the registry was at `current_revision`."""
@@ -267,7 +267,7 @@
             if known is None or known[0] != entry.created:
                 known = self.creations[key] = entry.created, wall_ms if self.has_snapshot else 0
             parsed[key] = self.parse(key, entry, known[1])
-        self.has_snapshot = self.has_snapshot or changes.whole
+        self.has_snapshot = self.has_snapshot or changes.from_snapshot
         return parsed
 
 
--- a/garnethaven/membership/consul/source.py
+++ b/garnethaven/membership/consul/source.py
@@ -56,7 +56,7 @@
 
     def _accept(self, catch_up: CatchUp, answer: AgentAnswer) -> list[SyncAction]:
         if answer.trust is Trust.DOUBTFUL:
-            return catch_up.doubted()
+            return catch_up.leader_lost()
         return catch_up.snapshot(answer.index, answer.entries, proven=answer.trust is Trust.PROVEN)
 
 
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -286,7 +286,8 @@
         self.list_is_empty = not entries and (verdict is AnswerAction.APPLY_AND_REFETCH or self.list_is_empty)
         if verdict is AnswerAction.IGNORE_STALE:
             self._log(
-                f"revision {revision} is older than {self.freshness.revision}: ignored, the full list is fetched"
+                f"revision {revision} is older than {self.freshness.revision}: ignored, "
+                "the full list is fetched"
             )
             self._failed(call, Failure.BEHIND)
             return
--- a/garnethaven/membership/etcd/answers.py
+++ b/garnethaven/membership/etcd/answers.py
@@ -43,7 +43,7 @@
                 raise WatchEnded("one revision has too many changes")
             return []
         if not self.fragments:
-            return self.catch_up.quiet(answer.header.revision)
+            return self.catch_up.progress(answer.header.revision)
         events, self.fragments = self.fragments, []
         last_revision = max(event.kv.mod_revision for event in events)
         return self.catch_up.changes(last_revision, [self._change(event) for event in events])
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -158,7 +158,7 @@
             "connects": self.connects,
         }
         if self.announcement is not None:
-            figures["registered"] = self.announcement.there
+            figures["registered"] = self.announcement.is_registered
         return figures | self.extra_figures()
 
     # Following endpoints
@@ -199,7 +199,7 @@
 
     def _publish(self, update: ReportChanges) -> None:
         facts = self.entries.convert(update, self.output.wall_ms())
-        if update.whole:
+        if update.from_snapshot:
             facts = self.output.initial_removals(facts) | facts
         if facts:
             self.output.merger.change(self.name, facts)
--- a/garnethaven/membership/model.py
+++ b/garnethaven/membership/model.py
@@ -99,7 +99,7 @@
         keys = self.keys.get(address)
         if not keys:
             return None
-        return max((self.facts[key] for key in keys), key=lambda fact: fact.born)
+        return max((self.facts[key] for key in keys), key=lambda fact: fact.creation)
 
 
 @dataclass(slots=True)
@@ -116,7 +116,8 @@
 class Model:
     """The merged list of servers. `precedence` names all sources, in descending precedence.
 
-    Input comes by `snapshot`, `change`, `lost` and `regained`; `take_changes` returns the resulting changes.
+    Input comes by `snapshot`, `change`, `contact_lost` and `contact_regained`; `take_changes` returns the
+    resulting changes.
     """
 
     MAX_REMOVED_RECORDS = 20_000  # bounds memory under endless churn
@@ -202,7 +203,9 @@
                 self.moved += 1
                 fact = facts[successor]
                 same_process = (
-                    not fact.proof or not record.fact.process_start or fact.proof == record.fact.process_start
+                    not fact.process_start
+                    or not record.fact.process_start
+                    or fact.process_start == record.fact.process_start
                 )
                 started = record.started if same_process else max(fact.entry.started, record.started)
                 # From here on the successor's fact identifies the process.
@@ -247,15 +250,15 @@
         others = [
             other.entry.started
             for name, other in facts.items()
-            if other is not fact and (other.proof or (owner, name) not in self.moves)
+            if other is not fact and (other.process_start or (owner, name) not in self.moves)
         ]
         if record is None:
             return max(fact.entry.started, *others, 0)
         before = record.fact
-        if fact.proof and fact.proof == before.proof:
+        if fact.process_start and fact.process_start == before.process_start:
             return record.started  # the process proves that it never stopped
-        same_creation = fact.born != 0 or fact.entry.started == before.entry.started
-        if same_creation and (fact.born, fact.proof) == (before.born, before.proof):
+        same_creation = fact.creation != 0 or fact.entry.started == before.entry.started
+        if same_creation and (fact.creation, fact.process_start) == (before.creation, before.process_start):
             return max(record.started, *others, 0)
         return max(fact.entry.started, *others, 0)
 
--- a/garnethaven/membership/telling.py
+++ b/garnethaven/membership/telling.py
@@ -15,7 +15,7 @@
 
 
 class SourceOutput:
-    """The output of one registry source. Until it is `settled`, an earlier list stays in use.
+    """The output of one registry source. Until it is `fully_read`, an earlier list stays in use.
 
     That list comes from the cache file or, after a reload, from the registry followed before.
     """
@@ -45,7 +45,7 @@
             known = self.cache.read()
             if known:
                 self.merger.change(self.name, known)
-            self.merger.changed.append(self._save)
+            self.merger.flush_callbacks.append(self._save)
 
     def payload(self, rules: Rules) -> Payload:
         return Payload(rules, *self.names, self._to_local_ns)
@@ -72,9 +72,9 @@
     def set_contact(self, good: bool) -> None:
         """Record whether the list is known to be up to date."""
         if good:
-            self.merger.model.regained(self.name)
+            self.merger.model.contact_regained(self.name)
         else:
-            self.merger.model.lost(self.name, self.loop.time())
+            self.merger.model.contact_lost(self.name, self.loop.time())
 
     def age_s(self) -> float:
         """Seconds since the list was last known to be up to date; 0 while it is."""
--- a/garnethaven/membership/zookeeper/client.py
+++ b/garnethaven/membership/zookeeper/client.py
@@ -57,16 +57,16 @@
         self.client.connected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.client.wire is self:
+        if self.client.connection is self:
             self.client.received(data)
 
     def pause_writing(self) -> None:
         """The host does not read: `MAX_UNWRITTEN_BYTES` bytes are waiting to be sent."""
-        if self.client.wire is self:
+        if self.client.connection is self:
             self.client.drop_connection("the host does not read requests")
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.client.wire is self:
+        if self.client.connection is self:
             self.client.drop_connection(f"the connection ended{f': {error}' if error else ''}")
 
     def abort(self) -> None:
--- a/garnethaven/net/upstream.py
+++ b/garnethaven/net/upstream.py
@@ -40,7 +40,7 @@
         """Start the exchange on an idle connection, or else on a new one."""
         connection = self._take_idle(exchange)
         if connection is not None:
-            connection.carry(exchange)
+            connection.start_exchange(exchange)
             return
         if self.address is None or not self.pool.has_room():
             exchange.over = True
@@ -106,7 +106,7 @@
             exchange.over = exchange.skipped = True
             exchange.broken(written=False)
         else:
-            connection.carry(exchange)
+            connection.start_exchange(exchange)
 
     async def _connect_with_retries(
         self, exchange: Exchange, address: Address, dial_timeout: float
--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -27,7 +27,7 @@
 class Discovery(Protocol):
     """The client of the platform's discovery service, which provides the endpoint list."""
 
-    fresh: ListFreshness
+    freshness: ListFreshness
     clock_offset: int
 
 
--- a/garnethaven/peers/command.py
+++ b/garnethaven/peers/command.py
@@ -80,6 +80,6 @@
         + (" and the partition" if estate.cut_s else ""),
         f"one member's part     {even_share:8.2f} requests a second, if it receives from no other member",
     ]
-    if not estate.reaches:
+    if not estate.updates_reach_all:
         lines.append("At this loss an update does not reach all: members count one another as silent.")
     return lines
--- a/garnethaven/peers/conversation.py
+++ b/garnethaven/peers/conversation.py
@@ -9,8 +9,8 @@
 later one if the machine's clock was set back (the incarnation is the start time), or from another process.
 Rows of earlier incarnations were made before this process started. A younger one proves that the name is in
 use; this process then goes *mute*: it publishes nothing under the name, counts only itself, logs the
-conflict, and tries again after `CLASH`. Against a later incarnation it first takes a still later one; if that
-happens again within `CLASH`, it goes mute too.
+conflict, and tries again after `NAME_CONFLICT_PAUSE`. Against a later incarnation it first takes a still
+later one; if that happens again within `NAME_CONFLICT_PAUSE`, it goes mute too.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
 
 
 class _PackedAnswer(msgspec.Struct, array_like=True, tag=2):
-    """An `Answer` whose rows are already encoded; to be sent only."""
+    """A `SyncAnswer` whose rows are already encoded; to be sent only."""
 
     nonce: int
     name: str
@@ -113,7 +113,8 @@
 class Exchange(NamedTuple):
     """A subsystem's request to one other member, and its answer to such a request.
 
-    `gives` raises msgspec.MsgspecError if it can't decode the request, `takes` if it can't decode the answer.
+    `answer` raises msgspec.MsgspecError if it can't decode the request, `accept_answer` if it can't decode
+    the answer.
     """
 
     wants: Callable[[int], Any]  # now -> request, None for no request
@@ -301,7 +302,7 @@
             if exchange is None or request.name not in self.members.members:
                 continue
             try:
-                answer = exchange.gives(now, request.name, topic_request)
+                answer = exchange.answer(now, request.name, topic_request)
             except msgspec.MsgspecError:
                 self.decode_failures += 1
                 continue
@@ -378,7 +379,7 @@
             if exchange is None:
                 continue
             try:
-                exchange.takes(now, asked_at, answer.process, value)
+                exchange.accept_answer(now, asked_at, answer.process, value)
             except msgspec.MsgspecError:
                 self.decode_failures += 1
 
@@ -387,7 +388,7 @@
         if row.name == self.own:
             self._handle_own_row(now, row, age)
             return
-        self.members.record_heartbeat(now, row.name, row.life, row.beat, aged_row.at)
+        self.members.record_heartbeat(now, row.name, row.incarnation, row.beat, aged_row.at)
         if row.name in self.members.members and self.rows.learn(now, row, age):
             self.members.reset_silence_timer(now, row.name)
 
@@ -407,22 +408,24 @@
     def _handle_own_row(self, now: int, row: Row, age: int) -> None:
         """Handle a row with this member's own name that another member has sent."""
         incarnation, made_since_start = self.members.incarnation, now - age > self.started_at
-        if (row.life == incarnation and row.beat <= self.heartbeat) or self.is_muted(now):
+        if (row.incarnation == incarnation and row.beat <= self.heartbeat) or self.is_muted(now):
             return
-        if row.life < incarnation and (row.life in self.own_past_incarnations or not made_since_start):
+        if row.incarnation < incarnation and (
+            row.incarnation in self.own_past_incarnations or not made_since_start
+        ):
             self.rows.learn(now, row, age)  # an earlier incarnation, whose counts remain valid
             return
         self.name_conflicts += 1
         repeated = self.last_conflict_at is not None and now - self.last_conflict_at < NAME_CONFLICT_PAUSE
         self.last_conflict_at = now
-        if row.life < incarnation or repeated:
+        if row.incarnation < incarnation or repeated:
             self.mute_until = now + NAME_CONFLICT_PAUSE
             self.lines.append(
                 f"another process has the name {self.own!r}: this one does not publish under it for now"
             )
             return
         self.own_past_incarnations.add(incarnation)
-        self.members.incarnation = row.life + 1 + self.rng.randrange(MS)
+        self.members.incarnation = row.incarnation + 1 + self.rng.randrange(MS)
         self.heartbeat = 0
         for topic in self.topics.values():
             topic.reset()
--- a/garnethaven/peers/feature.py
+++ b/garnethaven/peers/feature.py
@@ -58,9 +58,9 @@
         self.peer = peer
 
     def keep(self) -> bytes:
-        kept = self.peer.rows.kept.get(self.peer.own)
+        kept = self.peer.rows.current.get(self.peer.own)
         return msgspec.msgpack.encode(
-            PersistedState(self.peer.members.life, kept.row if kept is not None else None)
+            PersistedState(self.peer.members.incarnation, kept.row if kept is not None else None)
         )
 
     def take_back(self, kept: bytes, away_s: float) -> None:
@@ -69,7 +69,7 @@
         except msgspec.MsgspecError as problem:
             raise ValueError(str(problem)) from None
         peer = self.peer
-        peer.members.life = max(peer.members.life, restored.life + 1)
+        peer.members.incarnation = max(peer.members.incarnation, restored.life + 1)
         if restored.row is not None and restored.row.name == peer.own:
             peer.rows.learn(clock() - int(away_s * S), restored.row, 0)
 
--- a/garnethaven/peers/membership.py
+++ b/garnethaven/peers/membership.py
@@ -26,7 +26,8 @@
 
 Probe order: all others in random order, reshuffled after each round, so that between two probes of the same
 member there are at most two rounds; one in `GONE_PROBE_PERIODS` periods also probes a GONE member.
-Bounds: `most` members, `MAX_PENDING_PROBES` probes, `MAX_UPDATES_PER_DATAGRAM` state updates in a datagram.
+Bounds: `max_members` members, `MAX_PENDING_PROBES` probes, `MAX_UPDATES_PER_DATAGRAM` state updates in a
+datagram.
 
 Times are integer nanoseconds of the caller's monotonic clock.
 """
--- a/garnethaven/state/feature.py
+++ b/garnethaven/state/feature.py
@@ -204,7 +204,7 @@
         """Make a snapshot and start its write; the balancer and the list may change between two steps."""
         parts = self.parts
         balancer, discovery = parts.engine.balancer, parts.discovery
-        offset, fresh_list = discovery.clock_offset, discovery.fresh
+        offset, fresh_list = discovery.clock_offset, discovery.freshness
         revision, age_s = fresh_list.revision, fresh_list.age_s(parts.loop.time())
         servers = list(balancer.servers.values())
         stored: list[StoredServer] = []
--- a/garnethaven/tenants/feature.py
+++ b/garnethaven/tenants/feature.py
@@ -79,7 +79,7 @@
         settle_seconds = settle_s(peers.horizon_s, peers.period_s) if peers is not None else 1.0
         now = clock()
         peer = peers.peer if peers is not None else None
-        member_count = peer.members.counted() if peer is not None else parts.engine.settings.fleet_size
+        member_count = peer.members.member_count() if peer is not None else parts.engine.settings.fleet_size
         self.admission = Admission(
             named_allowances,
             default_allowance,
@@ -148,12 +148,12 @@
             entry.id: Totals(entry.requested, entry.admitted) for entry in admission.tenants.values()
         }
         tenants = {}
-        for tenant_id, fleet_totals in sorted(totals.items(), key=lambda entry: -entry[1].asked)[
+        for tenant_id, fleet_totals in sorted(totals.items(), key=lambda entry: -entry[1].requested)[
             :MAX_SHOWN_TENANTS
         ]:
             tenant_figures: dict[str, float] = {
-                "fleet_asked": fleet_totals.asked,
-                "fleet_taken": fleet_totals.taken,
+                "fleet_asked": fleet_totals.requested,
+                "fleet_taken": fleet_totals.admitted,
             }
             tenant = admission.tenants.get(tenant_id)
             if tenant is not None:
--- a/garnethaven/tenants/sharing.py
+++ b/garnethaven/tenants/sharing.py
@@ -76,7 +76,7 @@
         return counters_list
 
     def _decode(self, row: Row) -> list[TenantCounters]:
-        raw = row.told.get(TOPIC)
+        raw = row.topics.get(TOPIC)
         if raw is None:
             return []
         try:
@@ -91,23 +91,23 @@
 
     def _count(self, row: Row, counters_list: list[TenantCounters]) -> None:
         """Stores an incarnation's counts of tenants with an allowance of their own; the larger count wins."""
-        totals_by_tenant = self.counts_by_life.setdefault((row.name, row.life), {})
+        totals_by_tenant = self.counts_by_life.setdefault((row.name, row.incarnation), {})
         for counters in counters_list:
             previous = totals_by_tenant.get(counters.id, Totals(0, 0))
-            if counters.id >= FIRST_CONFIGURED_ID and counters.requested >= previous.asked:
+            if counters.id >= FIRST_CONFIGURED_ID and counters.requested >= previous.requested:
                 totals_by_tenant[counters.id] = Totals(
-                    counters.requested, max(counters.admitted, previous.taken)
+                    counters.requested, max(counters.admitted, previous.admitted)
                 )
 
     def _drop_forgotten_lives(self) -> None:
         """Drops the counts of incarnations that the table of rows has dropped."""
-        lives = {(row.name, row.life) for row in self.peer.rows.all_incarnations()}
+        lives = {(row.name, row.incarnation) for row in self.peer.rows.all_incarnations()}
         self.counts_by_life = {life: counts for life, counts in self.counts_by_life.items() if life in lives}
 
     def totals(self) -> Mapping[int, Totals]:
         """Returns totals by configured tenant over all known incarnations, including this member's."""
         for row in self.peer.rows.all_incarnations():
-            if (row.name, row.life) not in self.counts_by_life:
+            if (row.name, row.incarnation) not in self.counts_by_life:
                 self._count(row, self._decode(row))
         self._drop_forgotten_lives()
         own_life = self.peer.own, self.peer.members.incarnation
@@ -115,8 +115,8 @@
         admitted_by_tenant: dict[int, int] = defaultdict(int)
         for life, counts in self.counts_by_life.items():
             for tenant_id, totals in counts.items() if life != own_life else ():
-                requested_by_tenant[tenant_id] += totals.asked
-                admitted_by_tenant[tenant_id] += totals.taken
+                requested_by_tenant[tenant_id] += totals.requested
+                admitted_by_tenant[tenant_id] += totals.admitted
         for tenant_id, tenant in self.admission.tenants.items():
             requested_by_tenant[tenant_id] += tenant.requested
             admitted_by_tenant[tenant_id] += tenant.admitted
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -165,7 +165,7 @@
             self._comes(one, out.body, source)
 
     def _comes(self, one: One, body: bytes, source: str) -> None:
-        self._send(one, one.peer.came(self.clock(one), decode_message(body), source))
+        self._send(one, one.peer.receive(self.clock(one), decode_message(body), source))
 
     # The tenant
 
@@ -184,7 +184,7 @@
             return
         number = one.admission.id_of("t")
         assert number is not None
-        if one.admission.asks(self.clock(one), number) is None:
+        if one.admission.admit(self.clock(one), number) is None:
             self.taken.append(self.now)
             self.by_member[name] = self.by_member.get(name, 0) + 1
         else:
--- a/tests/budgets/test_lending.py
+++ b/tests/budgets/test_lending.py
@@ -99,7 +99,7 @@
                 if datagram.at in self.peers:
                     self._send(
                         datagram.at,
-                        self.peers[datagram.at].came(self.now, decode_message(datagram.body), source),
+                        self.peers[datagram.at].receive(self.now, decode_message(datagram.body), source),
                     )
 
     def check_invariant(self) -> None:
@@ -174,7 +174,7 @@
     transfers = (
         fleet.peers[lender]
         .exchanges[TOPIC]
-        .gives(fleet.now, borrower, msgspec.Raw(PACK([Shortage(1, 0, amount)])))
+        .answer(fleet.now, borrower, msgspec.Raw(PACK([Shortage(1, 0, amount)])))
     )
     assert transfers is not None
     return fleet.peers[lender].process, msgspec.Raw(PACK(transfers))
@@ -185,7 +185,7 @@
     fleet.now += S
     process, first = transfer(fleet, "m1", "m0", 0.5)
     _, second = transfer(fleet, "m1", "m0", 0.5)
-    transfer_in = fleet.peers["m0"].exchanges[TOPIC].takes
+    transfer_in = fleet.peers["m0"].exchanges[TOPIC].accept_answer
     lending = fleet.lending["m0"]
     transfer_in(fleet.now, fleet.now, process, second)
     assert lending.transferred_in == pytest.approx(0.5, abs=1e-5)
@@ -199,7 +199,7 @@
     fleet.now += S
     process, transfers = transfer(fleet, "m1", "m0")
     lending = fleet.lending["m0"]
-    fleet.peers["m0"].exchanges[TOPIC].takes(fleet.now + 3 * S, fleet.now, process, transfers)
+    fleet.peers["m0"].exchanges[TOPIC].accept_answer(fleet.now + 3 * S, fleet.now, process, transfers)
     assert lending.transferred_in == 0.0
 
 
@@ -207,7 +207,7 @@
     fleet = Fleet(earns=tuple(NAMES[1:]))
     fleet.now += S
     process, transfers = transfer(fleet, "m1", "m0")
-    fleet.peers["m0"].exchanges[TOPIC].takes(fleet.now, fleet.now, process, transfers)
+    fleet.peers["m0"].exchanges[TOPIC].accept_answer(fleet.now, fleet.now, process, transfers)
     assert fleet.lending["m0"].transferred_in > 0.9
     fleet.now += 5 * S
     assert not fleet.lending["m0"].may_spend(fleet.now, 1, 0, 0.5)
@@ -262,13 +262,13 @@
         (out, *_) = peer.tick(fleet.now)
         question = decode_message(out.body)
         if name == "wants":
-            peer.came(
+            peer.receive(
                 fleet.now, msgspec.structs.replace(question, name="m1", wants=unreadable_body, about=""), "m1"
             )
         else:
             answer: Any = SyncAnswer(question.nonce, out.at, 1, 0, 1, 1, [], [], unreadable_body)
-            peer.came(fleet.now, answer, out.at)
-    assert peer.unreadable == 2
+            peer.receive(fleet.now, answer, out.at)
+    assert peer.decode_failures == 2
 
 
 def test_what_is_given_at_once_fits_into_one_datagram() -> None:
@@ -281,7 +281,7 @@
         lending.may_spend(fleet.now, 1, subject, 0.0)
         shortages.append(Shortage(1, subject, 200.0))
     fleet.now += 2 * S
-    transfers = fleet.peers["m1"].exchanges[TOPIC].gives(fleet.now, "m0", msgspec.Raw(PACK(shortages)))
+    transfers = fleet.peers["m1"].exchanges[TOPIC].answer(fleet.now, "m0", msgspec.Raw(PACK(shortages)))
     assert transfers is not None and len(transfers.entries) >= 2
     assert len(PACK(transfers)) < MAX_MESSAGE_BYTES - 200
     assert sum(len(transfer.batches) for transfer in transfers.entries) <= MAX_BATCHES_PER_ANSWER + 32
--- a/tests/gossip/test_rows.py
+++ b/tests/gossip/test_rows.py
@@ -19,7 +19,7 @@
 
 
 def known(rows: Rows) -> set[tuple[str, int, int]]:
-    return {(row.name, row.life, row.beat) for row in rows.lives()}
+    return {(row.name, row.incarnation, row.beat) for row in rows.all_incarnations()}
 
 
 @given(st.lists(ROWS, max_size=20), st.randoms(use_true_random=False))
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -119,7 +119,7 @@
             before = await EchoClient().open(echo_server.port, keys.client())
             assert await before.echoes()
             keys.issue()
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             after = await EchoClient().open(echo_server.port, keys.client())
             assert await after.echoes() and await before.echoes()
             assert before.serial() != after.serial()
@@ -134,13 +134,13 @@
         async with echo(keys.paths()) as echo_server:
             old = keys.client()
             keys.authority.rotate("petrel 2")
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert await echoes(echo_server.port, old)
             keys.issue()
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert await echoes(echo_server.port, keys.client())
             (tmp_path / "authorities.pem").write_bytes((tmp_path / "authority.pem").read_bytes())
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert await echoes(echo_server.port, keys.client())
             old.load_verify_locations(cafile=keys.path("authority.pem"))
             assert not await echoes(echo_server.port, old)
@@ -158,7 +158,7 @@
             assert not await echoes(echo_server.port, keys.client(None))
             assert not await echoes(echo_server.port, keys.client(folder=other.folder))
             assert not await echoes(echo_server.port, keys.client("stranger"))
-            assert echo_server.keyring.refused == 1
+            assert echo_server.keyring.refused_clients == 1
             assert any("not a peer: certificate names gate.z.example" in line for line in echo_server.log)
 
     run(case())
@@ -173,7 +173,7 @@
             keys.authority.revoke(
                 [certificate_facts(load_certificates(keys.path("client.pem"))[0]).serial], 90
             )
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert not await echoes(echo_server.port, keys.client())
 
     run(case())
@@ -187,9 +187,9 @@
         async with echo(keys.paths()) as echo_server:
             now = keyrings.time.time()
             monkeypatch.setattr(keyrings.time, "time", lambda: now + 91 * DAY_S)
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert not await echoes(echo_server.port, keys.client())
-            assert echo_server.keyring.refused == 1
+            assert echo_server.keyring.refused_clients == 1
             assert any("handshakes are refused" in line for line in echo_server.log)
             monkeypatch.undo()
 
@@ -203,9 +203,9 @@
         async with echo(keys.paths()) as echo_server:
             context = keys.client()
             (tmp_path / name).write_text("none")
-            echo_server.keyring.look()
+            echo_server.keyring.reload_if_changed()
             assert sum("the previous ones stay in use" in line for line in echo_server.log) == 1
-            echo_server.keyring.look()  # logged once per change
+            echo_server.keyring.reload_if_changed()  # logged once per change
             assert len(echo_server.log) == 1
             assert await echoes(echo_server.port, context)
 
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -79,7 +79,7 @@
             env.discovery.forget_watches()
             env.discovery.publish(server.member() for server in await env.add(1))
             await wait_until(lambda: env.names() == {"s0", "s1", "s2"})
-            assert env.sidecar.discovery.extra_calls >= 1
+            assert env.sidecar.discovery.fetch_calls >= 1
 
     run(case())
 
@@ -105,7 +105,7 @@
         async with sidecar_environment(3) as env:
             await env.discovery.become(Mood.BEHIND)
             env.discovery.frozen = (0, [server.member() for server in env.servers])
-            fresh = env.sidecar.discovery.fresh
+            fresh = env.sidecar.discovery.freshness
             fresh.revision = 50
             before = env.names()
             env.discovery.publish([env.servers[0].member("DRAINING")])
@@ -141,13 +141,13 @@
             client.ask_for_full_list()
             await wait_until(lambda: env.names() == set())
             await stand_in.become(Mood.DOWN)
-            failed = client.extra_calls
-            await wait_until(lambda: client.extra_calls >= failed + 3)
+            failed = client.fetch_calls
+            await wait_until(lambda: client.fetch_calls >= failed + 3)
             await stand_in.become(Mood.GOOD)
             await wait_until(lambda: env.names() == {"s0", "s1"})
-            asked = client.extra_calls
+            asked = client.fetch_calls
             await asyncio.sleep(0.5)
-            assert client.extra_calls == asked
+            assert client.fetch_calls == asked
 
     run(case())
 
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -285,7 +285,7 @@
             discovery = node.discovery
             discovery.bad = answer(list_of([discovery.members[1]], 3))
             before = discovery.bad_answers
-            await wait_until(lambda: node.sidecar.discovery.fresh.stale_answers == 2)
+            await wait_until(lambda: node.sidecar.discovery.freshness.stale_answers == 2)
             assert node.names() == {"s0", "s1"} and await node.served("c1")
             assert node.has_logged("revision 3 is older than 11: ignored, the full list is fetched"), (
                 node.lines
@@ -294,7 +294,7 @@
             await wait_until(lambda: node.names() == {"s1"})
             assert time.monotonic() - began < DRAIN_GRACE_S
             assert discovery.bad_answers >= before + 3
-            assert node.sidecar.discovery.fresh.revision == 3
+            assert node.sidecar.discovery.freshness.revision == 3
 
     run(case())
 
--- a/tests/membership/test_cache.py
+++ b/tests/membership/test_cache.py
@@ -32,7 +32,7 @@
         os_replace(*args)
 
     monkeypatch.setattr(os, "replace", fail_when_full)
-    monkeypatch.setattr(cache_module, "EVERY_S", 0.02)
+    monkeypatch.setattr(cache_module, "WRITE_INTERVAL_S", 0.02)
 
     async def case() -> None:
         path = str(tmp_path / "list")
--- a/tests/membership/test_catchup.py
+++ b/tests/membership/test_catchup.py
@@ -221,7 +221,7 @@
     core.opened()
     assert core.compacted() == [ReadSnapshot(proven=True)]
     report, contact, watch = core.snapshot(20, {"b": entry(4), "c": entry(15)}, proven=True)
-    assert report == ReportChanges({"a": None, "c": entry(15)}, whole=True)
+    assert report == ReportChanges({"a": None, "c": entry(15)}, from_snapshot=True)
     assert (contact, watch) == (ReportContact(True), WatchChanges(20))
 
 
@@ -239,7 +239,7 @@
 def test_a_history_that_began_anew_is_believed_when_it_is_proven() -> None:
     core = followed(False, a=entry(3), b=entry(4))
     report = core.snapshot(6, {"b": entry(4)}, proven=True)[0]
-    assert report == ReportChanges({"a": None}, whole=True)
+    assert report == ReportChanges({"a": None}, from_snapshot=True)
     assert (core.revision, core.history_restarts) == (6, 1)
 
 
@@ -282,7 +282,7 @@
 
 
 def test_a_registry_with_too_many_entries_takes_bounded_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catchup, "ENTRIES_MOST", 3)
+    monkeypatch.setattr(catchup, "MAX_ENTRIES", 3)
     core = followed(**{name: entry(n + 1) for n, name in enumerate("edcba")})
     assert (sorted(core.entries), core.excess_entries) == (["a", "b", "c"], 2)
     assert core.changes(11, [("f", entry(11))]) == []
@@ -291,7 +291,9 @@
 
 def test_since_when_a_life_is_known() -> None:
     tracker: CreationTracker[int] = CreationTracker(lambda key, entry, since_ms: since_ms)
-    assert tracker.update(ReportChanges({"a": entry(3)}, whole=True), 1000) == {"a": 0}  # of unknown age
+    assert tracker.update(ReportChanges({"a": entry(3)}, from_snapshot=True), 1000) == {
+        "a": 0
+    }  # of unknown age
     assert tracker.update(ReportChanges({"b": entry(11)}), 2000) == {"b": 2000}
     assert tracker.update(ReportChanges({"b": entry(11, 12), "a": entry(3, 13)}), 3000) == {"b": 2000, "a": 0}
     assert tracker.update(ReportChanges({"a": entry(14)}), 4000) == {"a": 4000}  # removed and created again
@@ -394,7 +396,7 @@
 
 
 def test_ends_are_remembered_within_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catchup, "ENDED_MOST", 2)
+    monkeypatch.setattr(catchup, "MAX_REMEMBERED_REMOVALS", 2)
     names = NameTracker()
     for number, name in enumerate("abc", start=1):
         names.accept(name, number)
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -78,10 +78,10 @@
 def test_servers_come_and_go_each_told_once() -> None:
     async def case() -> None:
         async with world(1, 2, token="secret") as made:
-            before = made.handed_over
+            before = made.delta_count
             await made.appear(3)
             await made.sees(1, 2, 3)
-            assert made.handed_over == before + 1 and len(made.told[-1]) == 1
+            assert made.delta_count == before + 1 and len(made.received_deltas[-1]) == 1
             await made.vanish(1, 2)
             await made.sees(3)
 
@@ -143,7 +143,7 @@
             await made.sees(2, 3)
             await made.cluster.restore(backup)
             await made.sees(1, 2)
-            assert made.consul.core.began_anew == 1
+            assert made.consul.catch_up.history_restarts == 1
             await made.vanish(1)
             await made.sees(2)
 
@@ -245,7 +245,7 @@
             await wait_until(lambda: made.entry(1).state is State.DRAINING)
             catalog.delete("checks/n1", "checks/bad", "checks/large", "checks/")
             await made.cluster.tell()
-            await wait_until(lambda: not made.module)
+            await wait_until(lambda: not made.known_endpoints)
             assert made.consul.figures()["flaws"] == {"no JSON": 1, "too large": 1}
             assert all(len(one.value) <= MAX_PAYLOAD_BYTES + 1 for one in made.consul.core.entries.values())
 
@@ -260,7 +260,7 @@
                 other.catalog.register("checks", f"n{number}", *address(number), {})
             server_counts: list[int] = []
             assert made.sources is not None
-            made.sources.merger.changed.append(lambda: server_counts.append(len(made.up())))
+            made.sources.merger.flush_callbacks.append(lambda: server_counts.append(len(made.up())))
             hosts = (ConsulHost(("127.0.0.1", other.agents[0].port)),)
             made.sources.reload(Membership(consul=made.settings(hosts=hosts)))
             await made.sees(2, 3)
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -74,15 +74,15 @@
 def test_servers_come_change_drain_and_go_each_told_once() -> None:
     async def case() -> None:
         async with world(1, 2) as made:
-            before = made.handed_over
+            before = made.delta_count
             made.appear(3)
             await made.sees(1, 2, 3)
-            assert made.handed_over == before + 1 and len(made.told[-1]) == 1
+            assert made.delta_count == before + 1 and len(made.received_deltas[-1]) == 1
             made.appear(1, phase="DRAINING")
             await made.sees(2, 3)
             assert made.entry(1).state is State.DRAINING
             made.vanish(1, 2)
-            await wait_until(lambda: len(made.module) == 1)
+            await wait_until(lambda: len(made.known_endpoints) == 1)
 
     run(case())
 
@@ -180,10 +180,10 @@
     async def case() -> None:
         async with world(*range(40)) as made:
             made.cluster.fragment_most = 7
-            before = made.handed_over
+            before = made.delta_count
             made.vanish(*range(20))
             await made.sees(*range(20, 40))
-            assert made.handed_over == before + 1
+            assert made.delta_count == before + 1
 
     run(case())
 
@@ -257,7 +257,7 @@
             await made.sees(2, 3, 4)
             made.cluster.restore(backup)
             await made.sees(1, 2)
-            assert made.core.began_anew == 1
+            assert made.catch_up.history_restarts == 1
             made.vanish(1)
             await made.sees(2)
 
@@ -301,7 +301,7 @@
             made.cluster.put("/other/n3", payload(3))
             server_counts = []
             assert made.sources is not None
-            made.sources.merger.changed.append(lambda: server_counts.append(len(made.up())))
+            made.sources.merger.flush_callbacks.append(lambda: server_counts.append(len(made.up())))
             made.sources.reload(Membership(etcd=made.settings(prefix="/other/")))
             await made.sees(2, 3)
             assert min(server_counts) >= 2
--- a/tests/membership/test_following.py
+++ b/tests/membership/test_following.py
@@ -245,7 +245,7 @@
 
 
 def test_ends_that_are_remembered_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(catchup, "ENDED_MOST", 10)
+    monkeypatch.setattr(catchup, "MAX_REMEMBERED_REMOVALS", 10)
     world = followed(*range(100))
     world.nodes.clear()
     world.connect()
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -226,7 +226,7 @@
             newest = [
                 max(
                     (candidate for candidate in facts.values() if candidate.address == address),
-                    key=lambda candidate: candidate.born,
+                    key=lambda candidate: candidate.creation,
                 )
                 for facts in facts_by_source.values()
                 if any(candidate.address == address for candidate in facts.values())
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -99,13 +99,13 @@
 def test_our_own_expired_session_says_nothing_of_the_servers() -> None:
     async def case() -> None:
         async with world(1, 2, 3) as made:
-            session, updates_before = made.own_session(), made.handed_over
+            session, updates_before = made.own_session(), made.delta_count
             made.ensemble.expire(session)
             await wait_until(lambda: made.own_session() not in (0, session))
             await wait_until(lambda: made.age_s() == 0.0)
             assert made.up() == {1, 2, 3}
             assert made.client.expirations == 1
-            assert made.handed_over == updates_before  # the same list is not passed on again
+            assert made.delta_count == updates_before  # the same list is not passed on again
             made.vanish(1)
             await made.sees(2, 3)
 
@@ -151,7 +151,7 @@
             for host in others:
                 host.stop()
             seen: set[frozenset[int]] = set()
-            made.sources.merger.changed.append(lambda: seen.add(frozenset(made.up())))
+            made.sources.merger.flush_callbacks.append(lambda: seen.add(frozenset(made.up())))
             tries = len(lagging.connects)
             await wait_until(lambda: len(lagging.connects) >= tries + 3)
             assert frozenset({1, 2}) not in seen
@@ -268,7 +268,7 @@
     async def case() -> None:
         async with world(*range(300)) as made:
             loop = asyncio.get_running_loop()
-            calm = made.handed_over
+            calm = made.delta_count
             for turn in range(40):
                 number = turn % 20 + 100
                 made.vanish(number)
@@ -279,7 +279,7 @@
             await wait_until(lambda: 1 not in made.up())
             assert loop.time() - began < 5.0  # generous for slow machines; batches.py has the actual limit
             await made.sees(*(set(range(300)) - {1}))
-            assert made.handed_over > calm
+            assert made.delta_count > calm
 
     run(case())
 
@@ -292,7 +292,7 @@
             fields = {"address": address(5)[0], "port": 80}
             made.ensemble.make("/other/x", json.dumps(fields).encode(), session)
             seen: list[set[int]] = []
-            made.sources.merger.changed.append(lambda: seen.append(made.up()))
+            made.sources.merger.flush_callbacks.append(lambda: seen.append(made.up()))
             old = made.own_session()
             made.source.reload(made.registry(root="/other", form="curator"), ("127.0.0.1", 1))
             await made.sees(5)
@@ -309,7 +309,7 @@
         cache = str(tmp_path / "last.json")
         async with world(1, 2, 3, cache=cache) as made:
             await made.sources.close()  # writes the cache
-            made.module.clear()
+            made.known_endpoints.clear()
             for host in made.ensemble.hosts:
                 host.stop()
             made.follow(cache=cache)
@@ -374,7 +374,7 @@
             made.follow(tls=files)
             await made.sees(1)
             await made.sources.close()
-            made.module.clear()
+            made.known_endpoints.clear()
             made.follow(tls=Tls(ca=str(tmp_path / "other.pem")))
             await wait_until(lambda: any("can't be reached" in line for line in made.log))
             assert made.up() == set()
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -230,7 +230,7 @@
 def test_each_of_eleven_hundred_bad_entries_of_a_registry_is_told_of_once() -> None:
     entries = EntryConverter("", Payload(Rules(), {}, {}, lambda wall_ms: wall_ms))
     bad = ReportChanges(
-        {f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, whole=True
+        {f"k{number}": Entry(b"no JSON", number, number) for number in range(SERVERS)}, from_snapshot=True
     )
     for _ in range(2):  # as after a reconnect, which reads all of them again
         entries.convert(bad, 0)
@@ -240,17 +240,17 @@
 @pytest.mark.parametrize(
     ("module", "name"),
     [
-        ("budgets.lending", "GIVERS_MOST"),
-        ("budgets.lending", "HOMES_MOST"),
-        ("budgets.lending", "SUBJECTS_MOST"),
-        ("connections.idle_limits", "REMEMBERED_MOST"),
-        ("extproc.answers", "ADDRESSES_MOST"),
+        ("budgets.lending", "MAX_LENDERS"),
+        ("budgets.lending", "MAX_ORIGIN_COUNT"),
+        ("budgets.lending", "MAX_ACCOUNTS"),
+        ("connections.idle_limits", "MAX_ADDRESSES"),
+        ("extproc.answers", "MAX_CACHED_ADDRESSES"),
         ("judgements.evidence", "MAX_ENDPOINTS"),
-        ("membership.catchup", "ENDED_MOST"),
-        ("membership.catchup", "ENTRIES_MOST"),
-        ("membership.entries", "FLAWS_MOST"),
-        ("membership.etcd.answers", "FRAGMENTS_MOST"),
-        ("membership.zookeeper.following", "MEMBERS_MOST"),
+        ("membership.catchup", "MAX_REMEMBERED_REMOVALS"),
+        ("membership.catchup", "MAX_ENTRIES"),
+        ("membership.entries", "MAX_REMEMBERED_FLAWS"),
+        ("membership.etcd.answers", "MAX_FRAGMENT_EVENTS"),
+        ("membership.zookeeper.following", "MAX_MEMBERS"),
         ("ops.cordons", "MAX_CORDONED"),
         ("peers.datagrams", "MAX_PROCESSES"),
         ("peers.datagrams", "MAX_SOURCES"),
--- a/tests/peers/test_conversation.py
+++ b/tests/peers/test_conversation.py
@@ -48,7 +48,7 @@
         for out in outs:
             assert len(out.body) <= MAX_MESSAGE_BYTES
             if out.at in self.peers and (source, out.at) not in self.cut:
-                answers = self.peers[out.at].came(self.now, decode_message(out.body), source)
+                answers = self.peers[out.at].receive(self.now, decode_message(out.body), source)
                 self.carry(out.at, answers)
 
     def period(self, times: int = 1) -> None:
@@ -100,11 +100,11 @@
     answers = [
         (out.at, answer)
         for out in outs
-        for answer in network.peers[out.at].came(network.now, decode_message(out.body), "a")
+        for answer in network.peers[out.at].receive(network.now, decode_message(out.body), "a")
     ]
     resumed_at = network.now + 3 * S
     for source, answer in answers:
-        member.came(resumed_at, decode_message(answer.body), source)
+        member.receive(resumed_at, decode_message(answer.body), source)
     assert member.horizon(resumed_at).heard == 1 and member.view(resumed_at) == []
 
 
@@ -133,7 +133,7 @@
     network.peers["b"] = peer("b", "ab", incarnation=2)  # another process, whose serials start again at zero
     network.peers["b"].process += 1
     network.period(3)
-    assert network.peers["a"].rows.current["b"].row.life == 2
+    assert network.peers["a"].rows.current["b"].row.incarnation == 2
 
 
 def test_one_that_is_in_no_file_joins_by_asking_one_that_is() -> None:
@@ -153,7 +153,7 @@
     assert [network.peers[name].members.member_count() for name in "ac"] == [2, 2]
     network.peers["b"] = peer("b", incarnation=2, now=network.now)
     network.period(6)
-    assert [member.members.counted() for member in network.peers.values()] == [3, 3, 3]
+    assert [member.members.member_count() for member in network.peers.values()] == [3, 3, 3]
 
 
 def test_a_restart_with_the_clock_set_back_takes_a_later_life() -> None:
@@ -164,8 +164,8 @@
     network.peers["b"].topics["t"] = Topic(lambda now: [], lambda: resets.append(True))
     network.period(8)
     assert network.peers["b"].members.incarnation > 1000 and resets == [True]
-    assert network.peers["a"].rows.current["b"].row.life == network.peers["b"].members.incarnation
-    assert not network.peers["b"].mute(network.now)
+    assert network.peers["a"].rows.current["b"].row.incarnation == network.peers["b"].members.incarnation
+    assert not network.peers["b"].is_muted(network.now)
 
 
 def test_of_two_processes_with_one_name_one_falls_mute_and_says_so() -> None:
@@ -175,15 +175,15 @@
     network.peers["twin"] = duplicate  # delivered under another name, as from another address
     network.period(30)
     pair = [network.peers["b"], duplicate]
-    assert any(member.mute(network.now) for member in pair)
+    assert any(member.is_muted(network.now) for member in pair)
     lines = [line for member in pair for line in member.lines]
     assert any("another process has the name 'b'" in line for line in lines)
-    mute = next(member for member in pair if member.mute(network.now))
+    mute = next(member for member in pair if member.is_muted(network.now))
     assert mute is duplicate  # the other process had the name first
     assert mute.view(network.now) == []  # it counts only itself
     assert network.peers["a"].members.members["b"].state is State.ALIVE
     assert network.peers["a"].horizon(network.now).members == 3
-    assert not mute.mute(network.now + NAME_CONFLICT_PAUSE)
+    assert not mute.is_muted(network.now + NAME_CONFLICT_PAUSE)
 
 
 def test_a_row_that_is_too_long_loses_its_longest_topic() -> None:
@@ -191,7 +191,7 @@
     member.topics["long"] = Topic(lambda now: "x" * MAX_ROW_BYTES, lambda: None)
     member.topics["short"] = Topic(lambda now: [1, 2], lambda: None)
     member.tick(S)
-    assert set(member.rows.current["a"].row.told) == {"short"} and member.dropped_topics == 1
+    assert set(member.rows.current["a"].row.topics) == {"short"} and member.dropped_topics == 1
 
 
 BAD = (
@@ -216,7 +216,7 @@
     values = {"t": msgspec.Raw(PACK([[1, 2.5, 3, 4]]))}
     answer = decode_message(PACK(SyncAnswer(1, "b", 1, 0, 1, 1, [AgedRow(0, Row("b", 1, 1, 1, values))])))
     assert isinstance(answer, SyncAnswer)
-    assert bytes(answer.rows[0].row.told["t"]) == PACK([[1, 2.5, 3, 4]])
+    assert bytes(answer.rows[0].row.topics["t"]) == PACK([[1, 2.5, 3, 4]])
 
 
 def test_who_wants_something_asks_more_members_and_for_no_rows() -> None:
@@ -230,16 +230,16 @@
             lambda now, asked_at, process, raw: receivers.append(process),
         )
     before = {name: (received.process, received.through_serial) for name, received in member.received.items()}
-    member.eager = 5
+    member.extra_probes = 5
     outs = member.tick(network.now)
     requests = [decode_message(out.body) for out in outs]
     extra = [(out, request) for out, request in zip(outs, requests, strict=True) if request.since == NO_ROWS]
     assert len(extra) == 1 and len(outs) == 3  # all three others; two of them are asked for rows as usual
     (out, request) = extra[0]
-    (reply,) = network.peers[out.at].came(network.now, request, "a")
+    (reply,) = network.peers[out.at].receive(network.now, request, "a")
     answer = decode_message(reply.body)
     assert isinstance(answer, SyncAnswer) and answer.rows == [] and answer.parts == 0
-    member.came(network.now, answer, out.at)
+    member.receive(network.now, answer, out.at)
     assert receivers == [network.peers[out.at].process]
     assert {
         name: (received.process, received.through_serial) for name, received in member.received.items()
--- a/tests/peers/test_exploring.py
+++ b/tests/peers/test_exploring.py
@@ -69,7 +69,7 @@
         if action != "repeat":
             del self.in_transit[target]
         if action != "lose" and out.at in self.peers:
-            self._send(out.at, self.peers[out.at].came(self.now, decode_message(out.body), source))
+            self._send(out.at, self.peers[out.at].receive(self.now, decode_message(out.body), source))
 
     def _send(self, source: str, outs: list[OutgoingMessage]) -> None:
         self.in_transit += [(source, out) for out in outs]
@@ -81,7 +81,7 @@
                 name,
                 peer.heartbeat,
                 tuple((m.name, m.version) for m in peer.members.members.values()),
-                tuple((row.name, row.version, row.heard) for row in peer.rows.lives()),
+                tuple((row.name, row.version, row.heard) for row in peer.rows.all_incarnations()),
             )
             for name, peer in self.peers.items()
         )
@@ -102,7 +102,7 @@
     def check_counts(self) -> None:
         """No member's total exceeds the number of requests made."""
         for sharing in self.sharing.values():
-            assert all(total.asked <= len(NAMES) for total in sharing.totals().values())
+            assert all(total.requested <= len(NAMES) for total in sharing.totals().values())
 
     def check_settled(self) -> None:
         """Without further faults, live members are ALIVE, a crashed one is GONE, and all counts agree."""
@@ -116,9 +116,9 @@
             for member in peer.members.members.values():
                 expected = State.GONE if member.name in dead else State.ALIVE
                 assert member.state is expected, (name, member)
-            assert peer.members.counted() == len(NAMES)
+            assert peer.members.member_count() == len(NAMES)
         totals = [tuple(sharing.totals().values()) for sharing in self.sharing.values()]
-        assert len(set(totals)) == 1 and totals[0][0].asked >= len(self.peers), totals
+        assert len(set(totals)) == 1 and totals[0][0].requested >= len(self.peers), totals
 
 
 def test_no_order_removes_a_live_member_keeps_a_dead_one_or_counts_twice() -> None:
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -116,7 +116,7 @@
     world.run(30.0)
     check_bounds(world)
     assert world.by_member["m0"] < world.by_member["m5"] / 3
-    assert world.members["m0"].peer.members.deaf() is False  # its links work again
+    assert world.members["m0"].peer.members.is_isolated() is False  # its links work again
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -143,7 +143,7 @@
     check_bounds(world)
     world.run(30.0)
     for member in world.members.values():
-        member.sharing.look(world.clock(member))
+        member.sharing.update(world.clock(member))
         assert member.admission.view is not None
         assert not any(sum(demands) for demands in member.admission.view.demands.values())
 
@@ -158,7 +158,7 @@
     world.arrive("new", 400.0, 8.0, 20.0)
     world.run(20.0)
     check_bounds(world)
-    assert world.members["m7"].peer.members.counted() == MEMBERS + 1
+    assert world.members["m7"].peer.members.member_count() == MEMBERS + 1
     assert world.by_member["new"] >= 0.5 * 60 / (MEMBERS + 1) * 6
 
 
@@ -183,7 +183,7 @@
     world.at(8.5, lambda: world.begin("m3", 0, 1.0, life=5) and None)
     world.run(18.0)
     check_bounds(world)
-    assert world.members["m0"].peer.rows.kept["m3"].row.life > 1000
+    assert world.members["m0"].peer.rows.current["m3"].row.incarnation > 1000
 
 
 @pytest.mark.parametrize("seed", SEEDS)
