--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -113,7 +113,7 @@
             for agent in made.cluster.agents:
                 await agent.start()
             await wait_until(lambda: made.up() == {1, 3} and made.entry(3).started > first_start)
-            await wait_until(lambda: made.consul.telling.age_s() == 0.0)
+            await wait_until(lambda: made.consul.output.age_s() == 0.0)
 
     run(case())
 
@@ -180,7 +180,7 @@
             await wait_until(lambda: made.consul.catch_up.outdated_answers > 0)
             assert made.up() == {2}
             other.catch_up()
-            await wait_until(lambda: made.consul.telling.age_s() == 0.0)
+            await wait_until(lambda: made.consul.output.age_s() == 0.0)
             assert made.up() == {2}
 
     run(case())
@@ -278,10 +278,10 @@
             def instances() -> Any:
                 return made.cluster.catalog.instances
 
-            await wait_until(lambda: "t" in instances() and made.consul.own.there)
+            await wait_until(lambda: "t" in instances() and made.consul.announcement.is_registered)
             assert (instances()["t"].port, instances()["t"].checks["service:t"].status) == (999, "passing")
             made.cluster.catalog.deregister("t")  # the agent loses the registration
-            await wait_until(lambda: "t" in instances() and made.consul.own.there)
+            await wait_until(lambda: "t" in instances() and made.consul.announcement.is_registered)
             await made.consul.withdraw()
             assert "t" not in instances()
 
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -100,7 +100,7 @@
                 member.down = False
             await made.sees(1, 3, 4)
             assert made.etcd.reads == reads  # caught up from the last revision, without another full read
-            await wait_until(lambda: made.etcd.telling.age_s() == 0.0)
+            await wait_until(lambda: made.etcd.output.age_s() == 0.0)
 
     run(case())
 
@@ -333,11 +333,11 @@
         async with world(1, 2) as made:
             for member in made.cluster.members:
                 member.go()
-            await wait_until(lambda: made.etcd.telling.age_s() > 0.0)
+            await wait_until(lambda: made.etcd.output.age_s() > 0.0)
             loop = asyncio.get_running_loop()
             real_time = loop.time
-            monkeypatch.setattr(made.etcd.telling.loop, "time", lambda: real_time() + 3600.0)
-            assert made.etcd.telling.age_s() > 3600.0
+            monkeypatch.setattr(made.etcd.output.loop, "time", lambda: real_time() + 3600.0)
+            assert made.etcd.output.age_s() > 3600.0
             assert made.up() == {1, 2}
             monkeypatch.undo()
 
@@ -380,8 +380,8 @@
             (lease,) = store.leases
             made.cluster.end_lease(lease)  # the lease is lost: the key is put with another
             await wait_until(lambda: b"/sidecars/t" in store.keys and lease not in store.leases)
-            await wait_until(lambda: made.etcd.own.lease != 0)
-            own = made.etcd.own
+            await wait_until(lambda: made.etcd.announcement.lease != 0)
+            own = made.etcd.announcement
             take_back, kept_after_withdrawal = own.take_back, asyncio.Event()
 
             async def take_back_then_keep() -> None:
