--- a/benchmarks/reuse.py
+++ b/benchmarks/reuse.py
@@ -64,7 +64,7 @@
     def preferred_rest_s(self) -> float:
         return self.min_rest_s
 
-    def unasked(self, now: float, after_s: float) -> None:
+    def record_unsolicited(self, now: float, after_s: float) -> None:
         pass
 
 
--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -46,7 +46,7 @@
         )
 
     @property
-    def there(self) -> bool:
+    def is_registered(self) -> bool:
         return self.check_passed
 
     async def keep(self, address: Address) -> None:
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -45,7 +45,7 @@
         )
 
     @property
-    def there(self) -> bool:
+    def is_registered(self) -> bool:
         return self.lease != 0
 
     async def keep(self, address: Address) -> None:
--- a/tests/budgets/test_exploring.py
+++ b/tests/budgets/test_exploring.py
@@ -38,7 +38,7 @@
 
 
 def member(process: int, now: int) -> tuple[Any, BudgetLedger]:
-    rows = SimpleNamespace(kept={})
+    rows = SimpleNamespace(current={})
     peer: Any = SimpleNamespace(topics={}, exchanges={}, rows=rows, process=process, own="")
     lending = BudgetLedger({1: Budget(RATE_PER_S, 0.0, LIFETIME)}, len(NAMES), True, now)
     lending.join(peer)
@@ -84,7 +84,7 @@
             self.spent += self.members[argument][1].may_spend(self.now, 1, 0, 1.0)
         elif action == "ask":
             peer, _ = self.members[second_argument]
-            transfers = peer.exchanges[TOPIC].gives(self.now, argument, REQUESTED)
+            transfers = peer.exchanges[TOPIC].answer(self.now, argument, REQUESTED)
             if transfers is not None:
                 self.in_transit.append(InTransit(argument, self.now, peer.process, PACK(transfers)))
         elif action == "crash":
@@ -96,7 +96,7 @@
             if action != "lose" and answer.receiver in self.members:
                 peer, _ = self.members[answer.receiver]
                 raw = msgspec.Raw(answer.transfers)
-                peer.exchanges[TOPIC].takes(self.now, answer.asked_at, answer.process, raw)
+                peer.exchanges[TOPIC].accept_answer(self.now, answer.asked_at, answer.process, raw)
 
     def mark(self) -> object:
         return (
