--- a/garnethaven/grpcs/__init__.py
+++ b/garnethaven/grpcs/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC on the same core: an HTTP/2 front and transport. Messages pass as bytes and are never parsed.
+"""gRPC on the shared engine: an HTTP/2 front and transport. Messages pass through as bytes, never parsed.
 
-Imported only where the operator's file switches it on; it needs requirements-grpc.txt.
+Imported only if the operator's file enables it; needs requirements-grpc.txt.
 """
--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -1,4 +1,4 @@
-"""gRPC in one program: the front, and the transport to the servers' gRPC ports."""
+"""The gRPC feature: creates the front and the transport to the servers' gRPC ports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from garnethaven.keys.keyring import Keyring, Paths
 
-LOOK_S = 2.0  # between two looks at the files of certificates
+CERTIFICATE_CHECK_S = 2.0  # between two checks of the certificate files
 
 
 def paths_of(table: Grpc) -> Paths:
@@ -26,7 +26,7 @@
 
 
 def keyring_of(table: Grpc, log: Callable[[str], None]) -> Keyring:
-    """Raises OSError where a file can't be used."""
+    """Load the certificates; raises OSError if a file cannot be used."""
     from garnethaven.keys.keyring import Keyring
 
     return Keyring(paths_of(table), ["h2"], log)
@@ -39,27 +39,27 @@
         super().__init__(table, parts)
         self.front: Front | None = None
         self.keyring: Keyring | None = None
-        self.looking: asyncio.TimerHandle | None = None
+        self.check_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> None:
         if self.table.listen is None:
             return
         parts = self.parts
-        tls = client_tls(self.table) if self.table.server_ca else None
-        carrier = GrpcTransport(parts.engine, parts.loop, self._address_of, tls)
+        server_tls = client_tls(self.table) if self.table.server_ca else None
+        transport = GrpcTransport(parts.engine, parts.loop, self._address_of, server_tls)
         if self.table.cert:
-            self.keyring = keyring_of(self.table, self._say)
-            self._look()
-        secured = (self.keyring.context, self.keyring.admits) if self.keyring is not None else ()
-        self.front = Front(self.table, parts.engine, carrier, parts.listener.classes, *secured)
+            self.keyring = keyring_of(self.table, self._log)
+            self._check_certificates()
+        tls_options = (self.keyring.context, self.keyring.admits) if self.keyring is not None else ()
+        self.front = Front(self.table, parts.engine, transport, parts.listener.classes, *tls_options)
         await self.front.start(self.table.listen)
 
-    def _say(self, text: str) -> None:
+    def _log(self, text: str) -> None:
         self.parts.engine.log(f"grpc: {text}")
 
-    def _look(self) -> None:
+    def _check_certificates(self) -> None:
         assert self.keyring is not None
-        self.looking = self.parts.loop.call_later(LOOK_S, self._look)
+        self.check_timer = self.parts.loop.call_later(CERTIFICATE_CHECK_S, self._check_certificates)
         self.keyring.look()
 
     def _address_of(self, endpoint: int) -> Address | None:
@@ -70,10 +70,10 @@
         return host, port + self.table.port_offset
 
     def renew(self, wanted: Grpc) -> list[str]:
-        waiting = super().renew(wanted)
+        needing_restart = super().renew(wanted)
         if self.front is not None and bool(wanted.cert) != (self.keyring is not None):
-            waiting.append("grpc.cert")  # between cleartext and TLS
-        return waiting
+            needing_restart.append("grpc.cert")  # the change between cleartext and TLS
+        return needing_restart
 
     def renewed(self) -> None:
         if self.front is not None:
@@ -82,8 +82,8 @@
             self.keyring.renew(paths_of(self.table))
 
     async def close(self) -> None:
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.check_timer is not None:
+            self.check_timer.cancel()
 
     async def drain(self, grace_s: float) -> None:
         if self.front is not None:
@@ -92,10 +92,10 @@
     def figures(self) -> dict[str, int]:
         if self.front is None:
             return {}
-        refused = {"clients_refused": self.keyring.refused} if self.keyring is not None else {}
-        return refused | {
-            "connections": len(self.front.lines),
-            "streams": sum(len(line.streams) for line in self.front.lines),
+        refusals = {"clients_refused": self.keyring.refused} if self.keyring is not None else {}
+        return refusals | {
+            "connections": len(self.front.connections),
+            "streams": sum(len(connection.streams) for connection in self.front.connections),
         }
 
 
--- a/garnethaven/grpcs/floods.py
+++ b/garnethaven/grpcs/floods.py
@@ -1,26 +1,26 @@
-"""How much of what costs us and brings nothing one connection may send. No I/O; times are seconds.
+"""Limits frames that cost the sidecar work without carrying a call, per client connection. No I/O.
 
-A budget that refills: resets of streams that had hardly begun, pings, settings, empty DATA frames. A client
-that lives by the protocol stays far below; one that floods is told ENHANCE_YOUR_CALM and its connection
-ends. The bound would do harm to a client that cancels more than `RATE` calls a second on one connection for
-long.
+Token bucket: stream resets, pings, settings and empty DATA frames each take one token. A client that
+behaves normally stays far below the limit; a flooding client receives ENHANCE_YOUR_CALM and its connection
+is closed. Limitation: a client that cancels more than `RATE_PER_S` calls per second on one connection for
+long is disconnected too.
 """
 
 from __future__ import annotations
 
 BURST = 200.0
-RATE = 50.0  # a second
+RATE_PER_S = 50.0
 
 
-class Floods:
+class FloodLimiter:
     def __init__(self) -> None:
-        self.left = BURST
-        self.at: float | None = None
+        self.tokens = BURST
+        self.refilled_at: float | None = None  # seconds
 
-    def takes(self, now: float, cost: float = 1.0) -> bool:
-        """Whether one more is borne."""
-        if self.at is not None:
-            self.left = min(BURST, self.left + (now - self.at) * RATE)
-        self.at = now
-        self.left -= cost
-        return self.left >= 0.0
+    def allows(self, now: float, cost: float = 1.0) -> bool:
+        """Charge `cost` tokens at time `now` (seconds); return whether the connection is within its limit."""
+        if self.refilled_at is not None:
+            self.tokens = min(BURST, self.tokens + (now - self.refilled_at) * RATE_PER_S)
+        self.refilled_at = now
+        self.tokens -= cost
+        return self.tokens >= 0.0
--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -1,15 +1,15 @@
-"""The HTTP/2 front: a server for gRPC clients, one call a stream; cleartext with prior knowledge.
+"""The HTTP/2 front: a server for gRPC clients, one call per stream; cleartext with prior knowledge, or TLS.
 
-| a stream is | until |
+| state of a stream | meaning |
 | --- | --- |
-| taken | its headers came and fit a route: the engine owes it one answer |
-| held back | an attempt's answer is not passed on yet: a failure is tried again as the class allows |
-| bound | part of an answer was passed on: that attempt is the client's, and nothing is tried again |
-| over | its one answer was given, or the client reset it |
-
-A request is kept for a repeat up to `REPLAY_MOST`; beyond that its first attempt is its only one. The
-answer of a method that does not stream is held back up to `HOLD_MOST`, that of one that streams is passed
-on as it comes.
+| accepted | its headers arrived and match a route: the engine owes it one answer |
+| buffering | the answer of an attempt is not passed on yet: a failure is retried as the class allows |
+| streaming | part of an answer was passed on: only that attempt may answer, and nothing is retried |
+| closed | its one answer was sent, or the client reset it |
+
+A request is kept for a retry up to `MAX_REPLAY_BYTES`; a longer one has only one attempt. The answer of a
+method that does not stream is buffered up to `MAX_BUFFERED_ANSWER_BYTES`; a streaming method's answer is
+passed on as it arrives.
 """
 
 from __future__ import annotations
@@ -41,330 +41,333 @@
 from garnethaven.engine.calls import Call
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import MS, Engine
-from garnethaven.grpcs.floods import Floods
-from garnethaven.grpcs.goaway import NO_LAST, goaway
+from garnethaven.grpcs.floods import FloodLimiter
+from garnethaven.grpcs.goaway import MAX_STREAM_ID, goaway_frame
 from garnethaven.grpcs.mapping import (
-    RETRIED,
+    CLIENT_RETRIED,
     Headers,
     MappingError,
     Status,
     budget_of,
+    first_value,
+    forwarded_metadata,
     outcome_of,
-    passed_on,
     refusal,
     status_of,
     timeout_text,
     trailers_only,
-    value,
 )
 from garnethaven.grpcs.routes import Routes
 from garnethaven.grpcs.streams import Sender
 from garnethaven.grpcs.table import Grpc, GrpcRoute
-from garnethaven.grpcs.transport import CONNECTION_WINDOW, WINDOW, GrpcAttempt, GrpcTransport
+from garnethaven.grpcs.transport import CONNECTION_WINDOW, STREAM_WINDOW, GrpcAttempt, GrpcTransport
 from garnethaven.interface import Outcome, StreamBegan
 
-REPLAY_MOST = 64 * 1024
-HOLD_MOST = 64 * 1024
-HEADERS_MOST = 16 * 1024  # bytes of one list, as published settings count them
-STREAMS_MOST = 100  # on one connection
-ID_MOST = 256
+MAX_REPLAY_BYTES = 64 * 1024
+MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
+MAX_HEADER_LIST_BYTES = 16 * 1024  # counted as HTTP/2 defines MAX_HEADER_LIST_SIZE
+MAX_STREAMS_PER_CONNECTION = 100
+MAX_CALL_ID_BYTES = 256
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 WRONG_PROTOCOL = b"HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-HANDSHAKE_S = 5.0  # then a client that does not go on with its handshake is closed
-DRAIN_S = 0.1  # between the warning and the end of new streams: what was sent meanwhile is still taken
-BACKLOG_MOST = 1024 * 1024  # bytes that a client leaves unread before nothing more is written to it
+HANDSHAKE_TIMEOUT_S = 5.0  # of TLS; slower clients are disconnected
+GOAWAY_INTERVAL_S = 0.1  # from the first GOAWAY to the final one; streams begun meanwhile are accepted
+MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # beyond it writing to a client pauses until it reads
 
 
 class ServerStream:
-    """One call of a client; the engine's `Client` and the transport's `Stream`."""
+    """One call of a client; implements the engine's `Client` and the transport's `Stream`."""
 
-    def __init__(self, line: FrontLine, stream_id: int, headers: Headers) -> None:
-        self.line = line
+    def __init__(self, connection: ClientConnection, stream_id: int, headers: Headers) -> None:
+        self.connection = connection
         self.stream_id = stream_id
         self.headers = headers
         self.route: GrpcRoute | None = None
         self.call: Call | None = None
-        self.kept: list[bytes] = []  # of the request: for a repeat, or until an attempt carries it
-        self.size = 0
-        self.replayable = True  # it is short enough for a repeat
-        self.carried = False  # an attempt has had it
-        self.ended = self.over = False
-        self.bound: GrpcAttempt | None = None
-        self.sender = Sender(line.h2, stream_id, self._sent_down)
-        self.unread: list[tuple[GrpcAttempt, int]] = []  # of the bound answer, not yet taken by the client
-        self.unsent = 0  # bytes of the request that no server has taken yet
-        self.last: tuple[Headers, list[bytes], Headers | None, Status] | None = None
-
-    # The client's side
+        self.request_chunks: list[bytes] = []  # kept for a retry, or until an attempt takes them
+        self.request_bytes = 0
+        self.replayable = True  # the request is short enough to be sent again
+        self.request_taken = False  # by an attempt
+        self.request_ended = self.closed = False
+        self.streaming_attempt: GrpcAttempt | None = None
+        self.sender = Sender(connection.h2, stream_id, self._answer_sent)
+        # Flow-control bytes of the streamed answer that are not acknowledged to the server yet.
+        self.unacknowledged: list[tuple[GrpcAttempt, int]] = []
+        self.unsent_request_bytes = 0  # flow-control bytes that are not acknowledged to the client yet
+        self.last_failure: tuple[Headers, list[bytes], Headers | None, Status] | None = None
+
+    # Called by the client's connection
 
     def begin(self) -> None:
-        """Take the call; what can't be taken is answered at once."""
-        front = self.line.front
+        """Pass the call to the engine, or answer it at once if it cannot be accepted."""
+        front = self.connection.front
         try:
-            call = self._read(front)
-        except MappingError as problem:
-            self._answer_only(trailers_only(problem.status, str(problem).encode()))
+            call = self._parse_call(front)
+        except MappingError as error:
+            self._answer_only(trailers_only(error.status, str(error).encode()))
             return
         if not front.engine.take(call):
             self._answer_only(trailers_only(Status.ABORTED, b"a call with this id is under way"))
 
-    def _read(self, front: Front) -> Call:
+    def _parse_call(self, front: Front) -> Call:
         headers = self.headers
-        if value(headers, b":method") != b"POST":
+        if first_value(headers, b":method") != b"POST":
             raise MappingError(Status.INTERNAL, "the method is not POST")
-        if not (value(headers, b"content-type") or b"").startswith(b"application/grpc"):
+        if not (first_value(headers, b"content-type") or b"").startswith(b"application/grpc"):
             raise MappingError(Status.INTERNAL, "the content-type is not application/grpc")
-        path = (value(headers, b":path") or b"").decode("latin-1")
+        path = (first_value(headers, b":path") or b"").decode("latin-1")
         self.route = route = front.routes.find(path)
         if route is None:
             raise MappingError(Status.UNIMPLEMENTED, f"no route for {path[:200]}")
-        keyed = route.keyed or value(headers, b"idempotency-key") is not None
+        keyed = route.keyed or first_value(headers, b"idempotency-key") is not None
         grade = front.classes.grade_of(route.grade, keyed)
         if grade is None:
             raise MappingError(Status.INTERNAL, f"{route.grade} is no class")
-        told = value(headers, b"x-call-id") or b"grpc-%d" % next(front.numbers)
-        if len(told) > ID_MOST:
+        call_id = first_value(headers, b"x-call-id") or b"grpc-%d" % next(front.call_numbers)
+        if len(call_id) > MAX_CALL_ID_BYTES:
             raise MappingError(Status.INVALID_ARGUMENT, "x-call-id is too long")
-        most = front.engine.settings.grades[grade].deadline
+        max_budget = front.engine.settings.grades[grade].deadline
         if route.streams:
-            most = max(most, front.operator.stream_most_s * 1000 * MS)
-        budget = budget_of(headers, most)
+            max_budget = max(max_budget, front.table.stream_most_s * 1000 * MS)
+        budget = budget_of(headers, max_budget)
         if budget <= 0:
             raise MappingError(Status.DEADLINE_EXCEEDED, "grpc-timeout leaves no time")
-        self.call = call = Call(self, told, front.transport, self)
+        self.call = call = Call(self, call_id, front.transport, self)
         call.grade, call.budget, call.key = grade, budget, ""
-        call.tenant = (value(headers, b"x-caller") or b"").decode("latin-1")
+        call.tenant = (first_value(headers, b"x-caller") or b"").decode("latin-1")
         call.caller = front.classes.tenant_of(call.tenant)
-        call.repeat = (value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
+        call.repeat = (first_value(headers, b"grpc-previous-rpc-attempts") or b"0") != b"0"
         return call
 
-    def data(self, data: bytes, flow: int) -> None:
-        """A part of the request."""
-        self.size += len(data)
-        self.unsent += flow
-        self.replayable = self.replayable and self.size <= REPLAY_MOST
-        carrying = [attempt for attempt in self._open() if attempt.sender is not None]
-        if self.replayable or not self.carried:
-            self.kept.append(data)
-        elif self.kept:
-            self.kept = []
-        for attempt in carrying:
-            attempt.more(data)
+    def data(self, data: bytes, flow_bytes: int) -> None:
+        """Handle a part of the request."""
+        self.request_bytes += len(data)
+        self.unsent_request_bytes += flow_bytes
+        self.replayable = self.replayable and self.request_bytes <= MAX_REPLAY_BYTES
+        sending = [attempt for attempt in self._open_attempts() if attempt.sender is not None]
+        if self.replayable or not self.request_taken:
+            self.request_chunks.append(data)
+        elif self.request_chunks:
+            self.request_chunks = []
+        for attempt in sending:
+            attempt.send_data(data)
         if self.replayable:
-            self.sent_up(flow)  # held here, within REPLAY_MOST; beyond that the client waits for a server
+            self.request_sent(flow_bytes)  # beyond MAX_REPLAY_BYTES the client has to wait for a server
 
     def end(self) -> None:
-        self.ended = True
-        for attempt in self._open():
+        self.request_ended = True
+        for attempt in self._open_attempts():
             attempt.end()
 
     def reset(self) -> None:
-        """The client has gone: nothing is owed, and what is under way ends."""
-        self.over = True
+        """Cancel the call: the client reset the stream or disconnected."""
+        self.closed = True
         call, self.call = self.call, None
         if call is None:
             return
-        engine, attempts = self.line.front.engine, self._open(call)
+        engine, attempts = self.connection.front.engine, self._open_attempts(call)
         engine.left(call)
         for attempt in attempts:
             if not attempt.over:
                 engine.cancel(attempt)
 
-    def _open(self, call: Call | None = None) -> list[GrpcAttempt]:
+    def _open_attempts(self, call: Call | None = None) -> list[GrpcAttempt]:
         call = call or self.call
         if call is None:
             return []
         return [attempt for attempt in call.attempts if isinstance(attempt, GrpcAttempt) and not attempt.over]
 
-    # The transport's side
+    # Called by the transport
 
-    def request(self, left: int) -> Headers:
-        path, authority = value(self.headers, b":path"), value(self.headers, b":authority")
+    def request_headers(self, remaining: int) -> Headers:
+        path, authority = first_value(self.headers, b":path"), first_value(self.headers, b":authority")
         return [
             (b":method", b"POST"),
             (b":scheme", b"http"),
             (b":path", path or b"/"),
             (b":authority", authority or b"backend.local"),
             (b"te", b"trailers"),
-            (b"grpc-timeout", timeout_text(left)),
-            *passed_on(self.headers),
-            *self._named(),
+            (b"grpc-timeout", timeout_text(remaining)),
+            *forwarded_metadata(self.headers),
+            *self._call_id_header(),
         ]
 
-    def _named(self) -> Headers:
-        """The call's id, where the client gave none: servers know calls by their ids."""
-        if self.call is None or value(self.headers, b"x-call-id") is not None:
+    def _call_id_header(self) -> Headers:
+        """Return the call's generated id if the client sent none: servers identify calls by their ids."""
+        if self.call is None or first_value(self.headers, b"x-call-id") is not None:
             return []
         return [(b"x-call-id", self.call.call_id)]
 
     def can_start(self) -> bool:
-        """Whether an attempt can have the whole request."""
-        return self.replayable or not self.carried
+        """Whether the whole request is still available for another attempt."""
+        return self.replayable or not self.request_taken
 
-    def so_far(self) -> tuple[list[bytes], bool]:
-        self.carried = True
-        kept = list(self.kept)
+    def take_request(self) -> tuple[list[bytes], bool]:
+        self.request_taken = True
+        chunks = list(self.request_chunks)
         if not self.replayable:
-            self.kept = []
-        return kept, self.ended
+            self.request_chunks = []
+        return chunks, self.request_ended
 
-    def sent_up(self, size: int) -> None:
-        """So many bytes of the request are held here no longer: the client may send as many."""
-        size = min(size, self.unsent)
-        self.unsent -= size
-        self.line.acknowledge(self.stream_id, size)
+    def request_sent(self, size: int) -> None:
+        """Let the client send `size` more bytes: as many are no longer waiting for a server."""
+        size = min(size, self.unsent_request_bytes)
+        self.unsent_request_bytes -= size
+        self.connection.acknowledge(self.stream_id, size)
 
     def got_headers(self, attempt: GrpcAttempt, headers: Headers) -> None:
         attempt.answer = headers
 
-    def got_data(self, attempt: GrpcAttempt, data: bytes, flow: int) -> None:
-        if self.bound is attempt:
-            self._pass_on(attempt, data, flow)
+    def got_data(self, attempt: GrpcAttempt, data: bytes, flow_bytes: int) -> None:
+        if self.streaming_attempt is attempt:
+            self._pass_on(attempt, data, flow_bytes)
             return
-        if self.bound is not None:
-            attempt.taken(flow)
+        if self.streaming_attempt is not None:
+            attempt.consumed(flow_bytes)
             return
-        attempt.held.append(data)
-        attempt.held_size += len(data)
-        attempt.taken(flow)
+        attempt.buffered.append(data)
+        attempt.buffered_bytes += len(data)
+        attempt.consumed(flow_bytes)
         route = self.route
-        if (route is not None and route.streams) or attempt.held_size > HOLD_MOST:
-            self._bind(attempt)
+        if (route is not None and route.streams) or attempt.buffered_bytes > MAX_BUFFERED_ANSWER_BYTES:
+            self._start_streaming(attempt)
 
-    def _bind(self, attempt: GrpcAttempt) -> None:
-        """From here on this attempt is the client's."""
-        call, engine = self.call, self.line.front.engine
+    def _start_streaming(self, attempt: GrpcAttempt) -> None:
+        """Pass on this attempt's answer from now on, and cancel the other attempts."""
+        call, engine = self.call, self.connection.front.engine
         if call is None or call.answered:
             return
-        self.bound = attempt
+        self.streaming_attempt = attempt
         engine.post(StreamBegan(call.id, attempt.number))
-        for other in self._open():
+        for other in self._open_attempts():
             if other is not attempt:
                 engine.cancel(other)
-        self.line.send_headers(self.stream_id, answer_headers(attempt.answer), more=True)
-        held, attempt.held = attempt.held, []
-        for data in held:
+        self.connection.send_headers(self.stream_id, answer_headers(attempt.answer), more=True)
+        buffered, attempt.buffered = attempt.buffered, []
+        for data in buffered:
             self._pass_on(attempt, data, 0)
 
-    def _pass_on(self, attempt: GrpcAttempt, data: bytes, flow: int) -> None:
-        self.unread.append((attempt, flow))
+    def _pass_on(self, attempt: GrpcAttempt, data: bytes, flow_bytes: int) -> None:
+        self.unacknowledged.append((attempt, flow_bytes))
         self.sender.add(data)
-        self.line.flush_stream(self)
+        self.connection.flush_stream(self)
 
-    def _sent_down(self, size: int) -> None:
-        """The client's connection took bytes of the answer.
+    def _answer_sent(self, size: int) -> None:
+        """Let the server send more once at most half a window of the answer is queued for the client.
 
-        Once all of it is taken the server may send more.
+        Called when the client's connection has accepted part of the answer.
         """
-        if self.sender.waiting <= WINDOW // 2:
-            unread, self.unread = self.unread, []
-            for attempt, flow in unread:
-                attempt.taken(flow)
+        if self.sender.queued_bytes <= STREAM_WINDOW // 2:
+            unacknowledged, self.unacknowledged = self.unacknowledged, []
+            for attempt, flow_bytes in unacknowledged:
+                attempt.consumed(flow_bytes)
 
     def got_end(self, attempt: GrpcAttempt, trailers: Headers | None) -> None:
         attempt.over = True
-        engine = self.line.front.engine
+        engine = self.connection.front.engine
         status = status_of(attempt.answer, trailers)
-        rejected = value(trailers or attempt.answer, b"x-rejected") == b"1"
+        rejected = first_value(trailers or attempt.answer, b"x-rejected") == b"1"
         outcome = outcome_of(status, rejected)
-        if self.bound is attempt:
+        if self.streaming_attempt is attempt:
             engine.attempt_ended(attempt, outcome, (), lambda: self._finish(trailers))
         elif outcome is Outcome.DONE:
-            answer, held = attempt.answer, attempt.held
-            engine.attempt_ended(attempt, outcome, (), lambda: self._deliver(answer, held, trailers))
+            answer, buffered = attempt.answer, attempt.buffered
+            engine.attempt_ended(attempt, outcome, (), lambda: self._deliver(answer, buffered, trailers))
         else:
-            self.last = (attempt.answer, attempt.held, trailers, status)
-            engine.attempt_ended(attempt, self._unless_committed(outcome))
+            self.last_failure = (attempt.answer, attempt.buffered, trailers, status)
+            engine.attempt_ended(attempt, self._final_outcome(outcome))
 
     def lost(self, attempt: GrpcAttempt, outcome: Outcome) -> None:
         if attempt.over:
             return
         attempt.over = True
-        engine = self.line.front.engine
-        if self.bound is attempt:
-            engine.attempt_ended(attempt, outcome, (), lambda: self._break(ErrorCodes.INTERNAL_ERROR))
+        engine = self.connection.front.engine
+        if self.streaming_attempt is attempt:
+            engine.attempt_ended(attempt, outcome, (), lambda: self._abort(ErrorCodes.INTERNAL_ERROR))
         else:
-            engine.attempt_ended(attempt, self._unless_committed(outcome))
+            engine.attempt_ended(attempt, self._final_outcome(outcome))
 
-    def _unless_committed(self, outcome: Outcome) -> Outcome:
-        """A request that is too long for a repeat can't be tried again.
+    def _final_outcome(self, outcome: Outcome) -> Outcome:
+        """Return the outcome to report for a failed attempt.
 
-        The module is told that it is at fault.
+        A request that is too long to be sent again is reported as BAD_REQUEST, which is not retried.
         """
         return outcome if self.can_start() else Outcome.BAD_REQUEST
 
-    # The engine's side
+    # Called by the engine
 
     def refused(self, retry_after: int, over_share: bool) -> None:
         self._answer_only(refusal(retry_after, over_share))
 
     def failed(self, status: int) -> None:
-        if self.bound is not None:
-            self._break(ErrorCodes.CANCEL)
+        if self.streaming_attempt is not None:
+            self._abort(ErrorCodes.CANCEL)
         elif status == 504:
             self._answer_only(trailers_only(Status.DEADLINE_EXCEEDED, b"its time was over"))
-        elif self.last is not None and self.last[3] not in RETRIED:
-            self._deliver(*self.last[:3])
+        elif self.last_failure is not None and self.last_failure[3] not in CLIENT_RETRIED:
+            self._deliver(*self.last_failure[:3])
         else:
             self._answer_only(trailers_only(Status.INTERNAL, b"failed, it may have run"))
 
-    # Answers
+    # Sending answers
 
     def _answer_only(self, headers: Headers) -> None:
-        self.line.send_headers(self.stream_id, headers, end=True)
+        self.connection.send_headers(self.stream_id, headers, end=True)
         self._close()
 
-    def _deliver(self, answer: Headers, held: list[bytes], trailers: Headers | None) -> None:
-        alone = trailers is None and not held
-        self.line.send_headers(self.stream_id, answer_headers(answer), end=alone, more=not alone)
-        if alone:
+    def _deliver(self, answer: Headers, buffered: list[bytes], trailers: Headers | None) -> None:
+        headers_only = trailers is None and not buffered
+        self.connection.send_headers(
+            self.stream_id, answer_headers(answer), end=headers_only, more=not headers_only
+        )
+        if headers_only:
             self._close()
             return
-        for data in held:
+        for data in buffered:
             self.sender.add(data)
         self._finish(trailers)
 
     def _finish(self, trailers: Headers | None) -> None:
         self.sender.end(trailers)
-        self.line.flush_stream(self)  # which closes the stream once all of it is out
+        self.connection.flush_stream(self)  # closes the stream once everything is sent
 
-    def _break(self, code: ErrorCodes) -> None:
-        self.line.reset(self.stream_id, code)
+    def _abort(self, code: ErrorCodes) -> None:
+        self.connection.reset(self.stream_id, code)
         self._close()
 
     def _close(self) -> None:
-        """The answer is out; a client that is still sending is told to stop."""
-        self.over = True
+        """Close the stream after its answer; a client that is still sending receives a reset."""
+        self.closed = True
         self.call = None
-        self.line.close_stream(self)
+        self.connection.close_stream(self)
 
 
-class FrontLine(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection."""
 
     def __init__(self, front: Front) -> None:
         self.front = front
         self.h2 = H2Connection(H2Configuration(client_side=False, header_encoding=None))
         self.streams: dict[int, ServerStream] = {}
-        self.floods = Floods()
+        self.flood_limiter = FloodLimiter()
         self.transport: asyncio.Transport | None = None
-        self.first = b""
-        self.greeted = False
-        self.paused = self.reading = False
-        self.last: int | None = None  # the last stream that is taken, after a planned end
+        self.preface_part = b""  # received part of an incomplete preface
+        self.preface_received = False
+        self.paused = self.reading = False  # `reading` defers `flush` until one read is processed
+        self.last_stream_id: int | None = None  # the last accepted stream, once the final GOAWAY is sent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         if self.front.tls is not None and not self.front.admits(self.transport.get_extra_info("peercert")):
             self.transport.abort()
             return
-        self.transport.set_write_buffer_limits(high=BACKLOG_MOST)
-        self.front.lines.add(self)
+        self.transport.set_write_buffer_limits(high=MAX_WRITE_BUFFER_BYTES)
+        self.front.connections.add(self)
         self.h2.local_settings.update(
             {
-                SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS_MOST,
-                SettingCodes.MAX_HEADER_LIST_SIZE: HEADERS_MOST,
-                SettingCodes.INITIAL_WINDOW_SIZE: WINDOW,
+                SettingCodes.MAX_CONCURRENT_STREAMS: MAX_STREAMS_PER_CONNECTION,
+                SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
+                SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
             }
         )
         self.h2.initiate_connection()
@@ -373,12 +376,12 @@
             self.flush()
             self.drain()
 
-    def connection_lost(self, problem: Exception | None) -> None:
-        self.front.lines.discard(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self.front.connections.discard(self)
         streams, self.streams = list(self.streams.values()), {}
         for stream in streams:
             stream.reset()
-        self.front.look()
+        self.front.check_idle()
 
     def pause_writing(self) -> None:
         self.paused = True
@@ -389,7 +392,7 @@
             self.flush_stream(stream)
 
     def flush(self) -> None:
-        """Write what there is; what comes of one read is written together."""
+        """Write pending output; output caused by one read is written at once."""
         if self.reading:
             return
         out = self.h2.data_to_send()
@@ -397,83 +400,83 @@
             self.transport.write(out)
 
     def data_received(self, data: bytes) -> None:
-        if not self.greeted and not self._greets(data):
+        if not self.preface_received and not self._check_preface(data):
             return
-        data, self.first = self.first + data, b""
+        data, self.preface_part = self.preface_part + data, b""
         self.reading = True
-        sound = self._read(data)
+        valid = self._read(data)
         self.reading = False
-        self.flush()  # with GOAWAY and its reason, where there is one
-        if not sound:
-            self._end()
+        self.flush()  # includes a GOAWAY with its error code after a protocol error
+        if not valid:
+            self._close()
 
     def _read(self, data: bytes) -> bool:
-        """Take in what came; false where the connection is to end."""
+        """Process received data; return False if the connection must be closed."""
         try:
             events = self.h2.receive_data(data)
         except ProtocolError:
             return False
         now = self.front.engine.loop.time()
         for event in events:
-            if self._costs(event) and not self.floods.takes(now):
+            if self._is_limited(event) and not self.flood_limiter.allows(now):
                 self.h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
                 return False
-            self._event(event)
+            self._handle_event(event)
         return True
 
-    def _greets(self, data: bytes) -> bool:
-        """Whether this is HTTP/2; anything else gets an answer in its own words and the connection's end."""
-        told = self.first + data
-        if not PREFACE.startswith(told[: len(PREFACE)]):
+    def _check_preface(self, data: bytes) -> bool:
+        """Return whether the HTTP/2 preface is complete; another protocol is answered with 505 and closed."""
+        received = self.preface_part + data
+        if not PREFACE.startswith(received[: len(PREFACE)]):
             if self.transport is not None:
                 self.transport.write(WRONG_PROTOCOL)
-            self._end()
+            self._close()
             return False
-        if len(told) < len(PREFACE):
-            self.first = told
+        if len(received) < len(PREFACE):
+            self.preface_part = received
             return False
-        self.greeted = True
+        self.preface_received = True
         return True
 
     @staticmethod
-    def _costs(event: object) -> bool:
-        """Whether an event is one of those that floods are made of."""
+    def _is_limited(event: object) -> bool:
+        """Whether the flood limit applies to the event."""
         if isinstance(event, DataReceived):
             return not event.data and event.stream_ended is None
         return isinstance(event, StreamReset | PingReceived | RemoteSettingsChanged)
 
-    def _event(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, RequestReceived):
             stream_id = event.stream_id or 0
-            if self.last is not None and stream_id > self.last:
+            if self.last_stream_id is not None and stream_id > self.last_stream_id:
                 return self.reset(stream_id, ErrorCodes.REFUSED_STREAM)
             stream = self.streams[stream_id] = ServerStream(self, stream_id, event.headers)
             stream.begin()
             return
         if isinstance(event, WindowUpdated | RemoteSettingsChanged):
-            told = getattr(event, "stream_id", 0)
-            known = [self.streams.get(told)] if told else list(self.streams.values())
-            for one in known:
-                if one is not None:
-                    self.flush_stream(one)
+            changed_id = getattr(event, "stream_id", 0)
+            affected = [self.streams.get(changed_id)] if changed_id else list(self.streams.values())
+            for changed in affected:
+                if changed is not None:
+                    self.flush_stream(changed)
             return
-        found = self.streams.get(getattr(event, "stream_id", 0) or 0)
+        open_stream = self.streams.get(getattr(event, "stream_id", 0) or 0)
         if isinstance(event, DataReceived):
-            flow = event.flow_controlled_length or 0
-            if found is not None and not found.over:
-                found.data(event.data or b"", flow)
+            flow_bytes = event.flow_controlled_length or 0
+            if open_stream is not None and not open_stream.closed:
+                open_stream.data(event.data or b"", flow_bytes)
             else:
-                self.acknowledge(event.stream_id or 0, flow)
-        elif found is not None and isinstance(event, StreamEnded):
-            found.end()
-        elif found is not None and isinstance(event, StreamReset):
-            del self.streams[found.stream_id]
-            found.reset()
+                self.acknowledge(event.stream_id or 0, flow_bytes)
+        elif open_stream is not None and isinstance(event, StreamEnded):
+            open_stream.end()
+        elif open_stream is not None and isinstance(event, StreamReset):
+            del self.streams[open_stream.stream_id]
+            open_stream.reset()
 
-    # What streams ask for
+    # Called by streams
 
     def send_headers(self, stream_id: int, headers: Headers, end: bool = False, more: bool = False) -> None:
-        """Send headers; where `more` follows at once they are written with it."""
+        """Send headers; `more`: data follows at once, so they are written together with it."""
         with contextlib.suppress(H2Error):
             self.h2.send_headers(stream_id, headers, end_stream=end)
         if not more:
@@ -485,13 +488,13 @@
         with contextlib.suppress(H2Error):
             stream.sender.flush()
         self.flush()
-        if stream.sender.over and not stream.over:
+        if stream.sender.finished and not stream.closed:
             stream._close()
 
-    def acknowledge(self, stream_id: int, flow: int) -> None:
-        if flow:
+    def acknowledge(self, stream_id: int, flow_bytes: int) -> None:
+        if flow_bytes:
             with contextlib.suppress(H2Error):
-                self.h2.acknowledge_received_data(flow, stream_id)
+                self.h2.acknowledge_received_data(flow_bytes, stream_id)
             self.flush()
 
     def reset(self, stream_id: int, code: ErrorCodes) -> None:
@@ -500,105 +503,110 @@
         self.flush()
 
     def close_stream(self, stream: ServerStream) -> None:
-        if self.streams.pop(stream.stream_id, None) is not None and not stream.ended:
+        if self.streams.pop(stream.stream_id, None) is not None and not stream.request_ended:
             self.reset(stream.stream_id, ErrorCodes.NO_ERROR)
-        self.front.look()
+        self.front.check_idle()
 
     def drain(self) -> None:
-        """Warn that no new streams will be taken, and a moment later take none; those under way go on."""
-        self._goaway(NO_LAST)
-        self.front.engine.loop.call_later(DRAIN_S, self._final)
+        """Announce the shutdown, refuse new streams after `GOAWAY_INTERVAL_S` and let open ones finish."""
+        self._send_goaway(MAX_STREAM_ID)
+        self.front.engine.loop.call_later(GOAWAY_INTERVAL_S, self._finish_drain)
 
-    def _final(self) -> None:
-        self.last = self.h2.highest_inbound_stream_id
-        self._goaway(self.last)
+    def _finish_drain(self) -> None:
+        self.last_stream_id = self.h2.highest_inbound_stream_id
+        self._send_goaway(self.last_stream_id)
         if not self.streams:
-            self._end()
+            self._close()
 
-    def _goaway(self, last: int) -> None:
+    def _send_goaway(self, last_stream_id: int) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(goaway(last))
+            self.transport.write(goaway_frame(last_stream_id))
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         if self.transport is not None:
             self.transport.close()
 
 
 class Front:
-    """The server. `start` raises OSError where its address can't be had."""
+    """The gRPC server; `start` raises OSError if the address cannot be bound."""
 
     def __init__(
         self,
-        operator: Grpc,
+        table: Grpc,
         engine: Engine,
         transport: GrpcTransport,
         classes: Classes,
         tls: ssl.SSLContext | None = None,
         admits: Callable[[Any], bool] = lambda peer: True,
     ) -> None:
-        self.operator = operator
+        self.table = table
         self.tls = tls
-        self.admits = admits  # whether a client may come, by its certificate
+        self.admits = admits  # whether a client's certificate is accepted
         self.engine = engine
         self.transport = transport
         self.classes = classes
-        self.routes = Routes(operator.routes, operator.default)
-        self.lines: set[FrontLine] = set()
-        self.numbers = count(1)
+        self.routes = Routes(table.routes, table.default)
+        self.connections: set[ClientConnection] = set()
+        self.call_numbers = count(1)
         self.server: asyncio.Server | None = None
         self.port = 0
         self.closing = False
-        self.calm: asyncio.Future[None] | None = None
+        self.idle: asyncio.Future[None] | None = None  # set while `close` waits for open streams
 
-    def renew(self, operator: Grpc) -> None:
-        """Take over routes and times; what else there is stays until a restart."""
-        self.routes = Routes(operator.routes, operator.default)
-        self.operator = operator
+    def renew(self, table: Grpc) -> None:
+        """Apply changed routes and times; other settings need a restart."""
+        self.routes = Routes(table.routes, table.default)
+        self.table = table
 
     async def start(self, address: Address) -> Front:
-        limit = HANDSHAKE_S if self.tls is not None else None
+        handshake_timeout = HANDSHAKE_TIMEOUT_S if self.tls is not None else None
         self.server = await self.engine.loop.create_server(
-            lambda: FrontLine(self), *address, ssl=self.tls, ssl_handshake_timeout=limit
+            lambda: ClientConnection(self), *address, ssl=self.tls, ssl_handshake_timeout=handshake_timeout
         )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def close(self, grace_s: float) -> None:
-        """Tell clients to go elsewhere, and give what is under way so long; with 0 all ends at once."""
+        """Drain: send GOAWAY, finish open calls within `grace_s` seconds (0: none), then close everything."""
         self.closing = True
-        for line in list(self.lines):
-            line.drain()
+        for connection in list(self.connections):
+            connection.drain()
         if self.server is not None:
-            await self._end_listening(self.server, at_once=not grace_s)
+            await self._stop_listening(self.server, at_once=not grace_s)
         if grace_s:
-            await asyncio.sleep(DRAIN_S)  # what was on its way when clients were warned is taken
-        self.calm = self.engine.loop.create_future()
-        self.look()
+            # Accept streams that were sent before the clients received GOAWAY.
+            await asyncio.sleep(GOAWAY_INTERVAL_S)
+        self.idle = self.engine.loop.create_future()
+        self.check_idle()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(asyncio.shield(self.calm), grace_s)
-        for line in list(self.lines):
-            line._end()
+            await asyncio.wait_for(asyncio.shield(self.idle), grace_s)
+        for connection in list(self.connections):
+            connection._close()
         self.transport.close()
 
-    async def _end_listening(self, server: asyncio.Server, at_once: bool) -> None:
-        """Take what has arrived, so that each learns that it must go elsewhere, then close."""
+    async def _stop_listening(self, server: asyncio.Server, at_once: bool) -> None:
+        """Accept the connections in the backlog, so that their clients receive GOAWAY, then close."""
         if not at_once:
             await taken_in([duplicate(sock.fileno()) for sock in server.sockets])
         server.close()
 
-    def look(self) -> None:
-        """Whether a planned end has nothing left to wait for."""
-        if self.calm is not None and not self.calm.done() and not any(line.streams for line in self.lines):
-            self.calm.set_result(None)
+    def check_idle(self) -> None:
+        """End the wait of `close` if no stream is open."""
+        if (
+            self.idle is not None
+            and not self.idle.done()
+            and not any(connection.streams for connection in self.connections)
+        ):
+            self.idle.set_result(None)
 
 
-def client_tls(operator: Grpc) -> ssl.SSLContext:
-    """TLS towards servers, whose certificates carry their addresses."""
-    made = ssl.create_default_context(cafile=operator.server_ca)
-    made.set_alpn_protocols(["h2"])
-    return made
+def client_tls(table: Grpc) -> ssl.SSLContext:
+    """Return the TLS context for servers, whose certificates have to contain their addresses."""
+    context = ssl.create_default_context(cafile=table.server_ca)
+    context.set_alpn_protocols(["h2"])
+    return context
 
 
 def answer_headers(headers: Headers) -> Headers:
-    """A server's headers for the client, but for those of one hop."""
-    return [(name, told) for name, told in headers if name not in (b"connection", b"transfer-encoding")]
+    """Return a server's headers for the client, without hop-by-hop headers."""
+    return [(name, value) for name, value in headers if name not in (b"connection", b"transfer-encoding")]
--- a/garnethaven/grpcs/goaway.py
+++ b/garnethaven/grpcs/goaway.py
@@ -1,8 +1,9 @@
-"""GOAWAY apart from all else. No I/O.
+"""Handles GOAWAY frames outside the h2 library. No I/O.
 
-The library takes a GOAWAY for the end of the connection, but the streams that it does not name go on, and a
-planned end on our side must let them. So frames are told apart here, by their published head of nine bytes,
-and GOAWAY is read and written outside of the library's state.
+The h2 library treats a GOAWAY as the end of the connection. By the protocol, the streams up to the last
+stream id that a GOAWAY contains continue, and a graceful shutdown on this side needs that too. Incoming
+bytes are therefore split into frames by their nine-byte header, and GOAWAY frames are read and written
+without changing the library's state.
 """
 
 from __future__ import annotations
@@ -10,49 +11,52 @@
 import struct
 from dataclasses import dataclass
 
-HEAD = 9
-GOAWAY = 7
-FRAME_MOST = 1 << 20  # bytes; the library refuses what is beyond the settings, once it has it
-NO_LAST = 0x7FFFFFFF
+FRAME_HEADER_BYTES = 9
+GOAWAY = 7  # frame type
+MAX_FRAME_BYTES = 1 << 20  # h2 rejects frames beyond the negotiated size only once they are complete
+MAX_STREAM_ID = 0x7FFFFFFF  # as last stream id of a GOAWAY: every stream continues
 
 
 @dataclass(slots=True, frozen=True)
 class GoAway:
-    last: int
-    code: int
+    last_stream_id: int
+    error_code: int
 
 
-class Splitter:
-    """Takes bytes from a connection; gives those for the library, and GOAWAYs apart, in order."""
+class FrameSplitter:
+    """Separates GOAWAY frames from the other bytes of a connection."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes | GoAway]:
-        """What came; raises ValueError for a frame that is too large to be waited for."""
-        self.held += data
+        """Return bytes for h2 and GOAWAY frames, in order; an incomplete frame is buffered.
+
+        Raises ValueError for a frame longer than `MAX_FRAME_BYTES`.
+        """
+        self.buffer += data
         parts: list[bytes | GoAway] = []
         start = at = 0
-        while len(self.held) - at >= HEAD:
-            length = int.from_bytes(self.held[at : at + 3], "big")
-            if length > FRAME_MOST:
-                raise ValueError("a frame is too large")
-            end = at + HEAD + length
-            if len(self.held) < end:
+        while len(self.buffer) - at >= FRAME_HEADER_BYTES:
+            length = int.from_bytes(self.buffer[at : at + 3], "big")
+            if length > MAX_FRAME_BYTES:
+                raise ValueError("HTTP/2 frame is too large to buffer")
+            end = at + FRAME_HEADER_BYTES + length
+            if len(self.buffer) < end:
                 break
-            if self.held[at + 3] == GOAWAY and length >= 8:
+            if self.buffer[at + 3] == GOAWAY and length >= 8:
                 if at > start:
-                    parts.append(bytes(self.held[start:at]))
-                last, code = struct.unpack_from(">II", self.held, at + HEAD)
-                parts.append(GoAway(last & NO_LAST, code))
+                    parts.append(bytes(self.buffer[start:at]))
+                last_stream_id, error_code = struct.unpack_from(">II", self.buffer, at + FRAME_HEADER_BYTES)
+                parts.append(GoAway(last_stream_id & MAX_STREAM_ID, error_code))
                 start = end
             at = end
         if at > start:
-            parts.append(bytes(self.held[start:at]))
-        del self.held[:at]
+            parts.append(bytes(self.buffer[start:at]))
+        del self.buffer[:at]
         return parts
 
 
-def goaway(last: int, code: int = 0) -> bytes:
-    """The frame."""
-    return struct.pack(">BHBBIII", 0, 8, GOAWAY, 0, 0, last, code)
+def goaway_frame(last_stream_id: int, error_code: int = 0) -> bytes:
+    """Encode a GOAWAY frame without debug data."""
+    return struct.pack(">BHBBIII", 0, 8, GOAWAY, 0, 0, last_stream_id, error_code)
--- a/garnethaven/grpcs/routes.py
+++ b/garnethaven/grpcs/routes.py
@@ -1,8 +1,8 @@
-"""Which class a method is of. No I/O.
+"""Maps gRPC methods to their routes. No I/O.
 
-A route names a service (`/pkg.Service/`) or a method (`/pkg.Service/Method`); the longest that fits counts.
-A method that no route names passes under the strictest treatment of `default`, or is `UNIMPLEMENTED` where
-there is none.
+A route's path is a service (`/pkg.Service/`) or a method (`/pkg.Service/Method`); the longest match wins. A
+method without a route gets the class `default` and is treated as streaming, the strictest treatment; if
+`default` is empty, the call is answered with `UNIMPLEMENTED`.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 class Routes:
-    """`default` is the class of methods that no route names; empty: there are none."""
+    """Looks up routes; `default` is the class of methods without a route, or empty to reject them."""
 
     def __init__(self, routes: tuple[GrpcRoute, ...], default: str) -> None:
-        self.exact = {route.path: route for route in routes if not route.path.endswith("/")}
+        self.methods = {route.path: route for route in routes if not route.path.endswith("/")}
         self.services = {route.path: route for route in routes if route.path.endswith("/")}
         self.default = GrpcRoute("", default, streams=True) if default else None
 
     def find(self, path: str) -> GrpcRoute | None:
-        """The route of a `:path`."""
+        """Return the route for a `:path`, or None."""
         service = path[: path.rfind("/") + 1]
-        return self.exact.get(path) or self.services.get(service) or self.default
+        return self.methods.get(path) or self.services.get(service) or self.default
--- a/garnethaven/grpcs/streams.py
+++ b/garnethaven/grpcs/streams.py
@@ -1,7 +1,6 @@
-"""Sending a body within HTTP/2's windows: what can't be sent yet waits, and is counted.
+"""Sends a stream's body within HTTP/2's flow-control windows and queues what the windows do not allow yet.
 
-One `Sender` for each direction of a stream. It owns no socket: `flush` gives the connection what the
-windows allow.
+Each direction of a stream has one `Sender`. It does no I/O: `flush` passes data to the h2 connection.
 """
 
 from __future__ import annotations
@@ -15,28 +14,28 @@
 
 
 class Sender:
-    """The bytes of one stream that are still to be sent on one connection, its end, and its trailers."""
+    """The queued body of one stream, its end and its trailers."""
 
-    def __init__(self, h2: H2Connection, stream_id: int, sent: Callable[[int], None]) -> None:
+    def __init__(self, h2: H2Connection, stream_id: int, on_sent: Callable[[int], None]) -> None:
         self.h2 = h2
         self.stream_id = stream_id
-        self.sent = sent  # told how many bytes went into the connection
+        self.on_sent = on_sent  # called with the number of bytes passed to the connection
         self.chunks: deque[bytes] = deque()
-        self.waiting = 0
-        self.ends = False
+        self.queued_bytes = 0
+        self.end_queued = False
         self.trailers: Headers | None = None
-        self.over = False
+        self.finished = False  # the end of the stream has been passed to the connection
 
     def add(self, data: bytes) -> None:
         self.chunks.append(data)
-        self.waiting += len(data)
+        self.queued_bytes += len(data)
 
     def end(self, trailers: Headers | None = None) -> None:
-        self.ends, self.trailers = True, trailers
+        self.end_queued, self.trailers = True, trailers
 
     def flush(self) -> None:
-        """Hand over as much as the windows allow; raises what h2 raises where the stream is closed."""
-        while self.chunks and not self.over:
+        """Send as much as the windows allow; raises H2Error if the stream is closed."""
+        while self.chunks and not self.finished:
             window = min(self.h2.local_flow_control_window(self.stream_id), self.h2.max_outbound_frame_size)
             chunk = self.chunks.popleft()
             if window <= 0 and chunk:
@@ -45,13 +44,13 @@
             part, rest = chunk[:window], chunk[window:]
             if rest:
                 self.chunks.appendleft(rest)
-            last = not self.chunks and self.ends and self.trailers is None
-            self.h2.send_data(self.stream_id, part, end_stream=last)
-            self.waiting -= len(part)
-            self.over = last
-            self.sent(len(part))
-        if self.ends and not self.chunks and not self.over:
-            self.over = True
+            is_last = not self.chunks and self.end_queued and self.trailers is None
+            self.h2.send_data(self.stream_id, part, end_stream=is_last)
+            self.queued_bytes -= len(part)
+            self.finished = is_last
+            self.on_sent(len(part))
+        if self.end_queued and not self.chunks and not self.finished:
+            self.finished = True
             if self.trailers is not None:
                 self.h2.send_headers(self.stream_id, self.trailers, end_stream=True)
             else:
--- a/garnethaven/grpcs/table.py
+++ b/garnethaven/grpcs/table.py
@@ -10,7 +10,7 @@
 
 
 class GrpcRoute(Table, frozen=True):
-    """One rule of the operator's for gRPC methods."""
+    """The class and treatment of a gRPC service or method."""
 
     path: Annotated[str, said("a service (`/pkg.Service/`) or a method; the longest that fits counts")]
     grade: Annotated[str, said("the class of its calls", "class")] = field(name="class")
@@ -19,11 +19,11 @@
 
     def __post_init__(self) -> None:
         if self.path and not self.path.startswith("/"):
-            raise WrongFieldError("path", f"does not begin with /: {self.path!r}")
+            raise WrongFieldError("path", f"must begin with '/', not {self.path!r}")
 
 
 class Grpc(Table, frozen=True):
-    """gRPC beside HTTP/1.1; on where `listen` is set."""
+    """Settings of gRPC, which is served beside HTTP/1.1 if `listen` is set."""
 
     listen: Annotated[
         At | None,
@@ -52,14 +52,14 @@
     routes: Annotated[tuple[GrpcRoute, ...], said("the classes of methods", "tables")] = ()
 
     def __post_init__(self) -> None:
-        for name, needed in (
+        for name, required in (
             ("key", "cert"),
             ("client_ca", "cert"),
             ("peers", "client_ca"),
             ("revoked", "client_ca"),
         ):
-            if getattr(self, name) and not getattr(self, needed):
-                raise WrongFieldError(name, f"is of no use without '{needed}'")
+            if getattr(self, name) and not getattr(self, required):
+                raise WrongFieldError(name, f"has no effect without '{required}'")
 
 
 TABLE = Grpc
--- a/garnethaven/grpcs/transport.py
+++ b/garnethaven/grpcs/transport.py
@@ -1,7 +1,7 @@
 """The HTTP/2 transport: attempts as streams on shared connections to servers, cleartext with prior knowledge.
 
-What is known of each attempt: whether its headers have left for the connection (then it may run), what
-GOAWAY and RST_STREAM prove, and what came back. The front's stream decides what of it goes to the client.
+An attempt may run on the server from the moment its headers are written to a connection, unless a GOAWAY or
+RST_STREAM proves that it did not. The front's stream decides which part of an answer the client receives.
 """
 
 from __future__ import annotations
@@ -33,32 +33,32 @@
 from garnethaven.addresses import Address
 from garnethaven.engine.calls import Call
 from garnethaven.engine.engine import Engine, S
-from garnethaven.grpcs.goaway import GoAway, Splitter
-from garnethaven.grpcs.lines import Line, Next, choose
+from garnethaven.grpcs.goaway import FrameSplitter, GoAway
+from garnethaven.grpcs.lines import ConnectionLoad, Placement, choose_connection
 from garnethaven.grpcs.mapping import Headers, reset_outcome
 from garnethaven.grpcs.streams import Sender
 from garnethaven.interface import Outcome, Send
 
-STREAMS_MOST = 1000  # on a connection, whatever the server allows
-WINDOW = 64 * 1024
-CONNECTION_WINDOW = 16 * 1024 * 1024  # so that streams which are read slowly do not hold up the others
+MAX_STREAMS_PER_CONNECTION = 1000  # even if the server allows more
+STREAM_WINDOW = 64 * 1024  # bytes
+CONNECTION_WINDOW = 16 * 1024 * 1024  # bytes; large, so that slowly read streams do not block the others
 
 
 class Stream(Protocol):
-    """The front's side of a call."""
+    """The front's side of a call, as the transport uses it."""
 
-    def request(self, left: int) -> Headers: ...
+    def request_headers(self, remaining: int) -> Headers: ...
     def can_start(self) -> bool: ...
-    def so_far(self) -> tuple[list[bytes], bool]: ...
+    def take_request(self) -> tuple[list[bytes], bool]: ...
     def got_headers(self, attempt: GrpcAttempt, headers: Headers) -> None: ...
-    def got_data(self, attempt: GrpcAttempt, data: bytes, flow: int) -> None: ...
+    def got_data(self, attempt: GrpcAttempt, data: bytes, flow_bytes: int) -> None: ...
     def got_end(self, attempt: GrpcAttempt, trailers: Headers | None) -> None: ...
     def lost(self, attempt: GrpcAttempt, outcome: Outcome) -> None: ...
-    def sent_up(self, size: int) -> None: ...
+    def request_sent(self, size: int) -> None: ...
 
 
 class GrpcAttempt:
-    """One try of a call at one server; the engine's `Attempt`."""
+    """One attempt of a call at one server; implements the engine's `Attempt`."""
 
     def __init__(
         self, transport: GrpcTransport, stream: Stream, call: Call, endpoint: int, limit: int, now: int
@@ -71,15 +71,15 @@
         self.number = len(call.attempts)
         self.sent_at = now
         self.ends_at = now + limit
-        self.server = transport.engine.balancer.servers.get(endpoint)  # one that starts anew is another
+        self.server = transport.engine.balancer.servers.get(endpoint)  # replaced when the server restarts
         self.over = self.refused = self.hindered = False
-        self.sent = False  # its headers have been written to a connection
-        self.line: UpLine | None = None
+        self.headers_sent = False  # written to a connection
+        self.connection: ServerConnection | None = None
         self.stream_id = 0
         self.sender: Sender | None = None
         self.answer: Headers = []
-        self.held: list[bytes] = []
-        self.held_size = 0
+        self.buffered: list[bytes] = []  # the answer's data before the front passes it on
+        self.buffered_bytes = 0
         self.trailers: Headers | None = None
 
     def start(self) -> None:
@@ -91,80 +91,82 @@
         else:
             target.start(self)
 
-    def may_begin(self) -> bool:
-        """Whether what was decided before the wait for a connection still holds.
+    def may_start(self) -> bool:
+        """Whether the attempt may still start after waiting for a connection.
 
-        It does not once the request's time is over or the server has started anew: that one is cold.
+        Not after its deadline, and not if the server has restarted meanwhile, since it is cold then.
         """
         server = self.transport.engine.balancer.servers.get(self.endpoint)
         return server is self.server and time.monotonic_ns() < self.ends_at
 
-    def left(self) -> int:
-        """Nanoseconds that the server has from now on; what the dial took is not its to spend."""
+    def remaining(self) -> int:
+        """Return the server's remaining time in nanoseconds; time spent dialling is deducted."""
         return max(1, min(self.limit, self.ends_at - time.monotonic_ns()))
 
     def give_up(self) -> bool:
         self.over = True
-        line, self.line = self.line, None
-        if line is not None:
-            line.cancel(self.stream_id)
-        return self.sent
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.cancel(self.stream_id)
+        return self.headers_sent
 
     def written(self) -> bool:
-        return self.sent
+        return self.headers_sent
 
     # From the front's stream
 
-    def more(self, data: bytes) -> None:
-        """More of the request has come from the client."""
-        if self.sender is not None and self.line is not None:
+    def send_data(self, data: bytes) -> None:
+        """Send more of the request, which has arrived from the client."""
+        if self.sender is not None and self.connection is not None:
             self.sender.add(data)
-            self.line.flush_stream(self.stream_id)
+            self.connection.flush_stream(self.stream_id)
 
     def end(self) -> None:
-        if self.sender is not None and self.line is not None:
+        if self.sender is not None and self.connection is not None:
             self.sender.end()
-            self.line.flush_stream(self.stream_id)
-            self.whole()
+            self.connection.flush_stream(self.stream_id)
+            self.count_sent()
 
-    def whole(self) -> None:
-        """The end of the request has been handed to the connection."""
+    def count_sent(self) -> None:
+        """Count an attempt whose request was passed on whole to the connection."""
         self.transport.engine.account.attempts += 1
 
-    def taken(self, flow: int) -> None:
-        """So many bytes of the answer are no longer held here."""
-        if self.line is not None and flow:
-            self.line.acknowledge(self.stream_id, flow)
+    def consumed(self, flow_bytes: int) -> None:
+        """The answer's data is no longer buffered: reopen the flow-control window by `flow_bytes`."""
+        if self.connection is not None and flow_bytes:
+            self.connection.acknowledge(self.stream_id, flow_bytes)
 
 
-class UpLine(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One HTTP/2 connection to a server."""
 
     def __init__(self, target: Target) -> None:
         self.target = target
         self.h2 = H2Connection(H2Configuration(client_side=True, header_encoding=None))
-        self.frames = Splitter()
+        self.splitter = FrameSplitter()
         self.attempts: dict[int, GrpcAttempt] = {}
-        self.most = 0
-        self.greeted = False  # the server has told its settings: until then its limit is not known
-        self.leaving = False  # no new streams
-        self.reading = False
+        self.max_streams = 0
+        self.settings_received = False  # until then the server's stream limit is unknown
+        self.draining = False  # no new streams
+        self.reading = False  # defers `flush` until all data read at once is processed
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.h2.local_settings.update({SettingCodes.ENABLE_PUSH: 0, SettingCodes.INITIAL_WINDOW_SIZE: WINDOW})
+        self.h2.local_settings.update(
+            {SettingCodes.ENABLE_PUSH: 0, SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW}
+        )
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW)
         self.flush()
 
-    def takes(self) -> bool:
-        """Whether it takes new streams, as far as their number allows."""
+    def accepts_streams(self) -> bool:
+        """Whether new streams are possible, apart from the stream limit."""
         usable = self.transport is not None and not self.transport.is_closing()
-        return self.greeted and usable and not self.leaving
+        return self.settings_received and usable and not self.draining
 
     def flush(self) -> None:
-        """Write what there is; what comes of one read is written together."""
+        """Write pending output; output caused by one read is written at once."""
         if self.reading:
             return
         out = self.h2.data_to_send()
@@ -173,31 +175,31 @@
 
     # Streams
 
-    def carry(self, attempt: GrpcAttempt) -> None:
+    def start_stream(self, attempt: GrpcAttempt) -> None:
         stream_id = self.h2.get_next_available_stream_id()
-        attempt.line, attempt.stream_id = self, stream_id
-        attempt.sender = Sender(self.h2, stream_id, attempt.stream.sent_up)
+        attempt.connection, attempt.stream_id = self, stream_id
+        attempt.sender = Sender(self.h2, stream_id, attempt.stream.request_sent)
         self.attempts[stream_id] = attempt
-        self.h2.send_headers(stream_id, attempt.stream.request(attempt.left()))
-        attempt.sent = True
-        chunks, ended = attempt.stream.so_far()
+        self.h2.send_headers(stream_id, attempt.stream.request_headers(attempt.remaining()))
+        attempt.headers_sent = True
+        chunks, ended = attempt.stream.take_request()
         for chunk in chunks:
             attempt.sender.add(chunk)
         if ended:
             attempt.sender.end()
-            attempt.whole()
+            attempt.count_sent()
         self.flush_stream(stream_id)
 
     def flush_stream(self, stream_id: int) -> None:
         attempt = self.attempts.get(stream_id)
         if attempt is not None and attempt.sender is not None:
-            with contextlib.suppress(H2Error):  # the server has ended its side: it asks for no more
+            with contextlib.suppress(H2Error):  # the server has closed the stream
                 attempt.sender.flush()
         self.flush()
 
-    def acknowledge(self, stream_id: int, flow: int) -> None:
+    def acknowledge(self, stream_id: int, flow_bytes: int) -> None:
         with contextlib.suppress(H2Error):
-            self.h2.acknowledge_received_data(flow, stream_id)
+            self.h2.acknowledge_received_data(flow_bytes, stream_id)
         self.flush()
 
     def cancel(self, stream_id: int) -> None:
@@ -205,38 +207,40 @@
             with contextlib.suppress(H2Error):
                 self.h2.reset_stream(stream_id, ErrorCodes.CANCEL)
             self.flush()
-            self.target.freed()
+            self.target.start_waiting()
 
-    # What comes
+    # Events
 
     def data_received(self, data: bytes) -> None:
-        sound, self.reading = True, True
+        valid, self.reading = True, True
         try:
-            for part in self.frames.feed(data):
+            for part in self.splitter.feed(data):
                 if isinstance(part, GoAway):
-                    self._going_away(part.last)
+                    self._on_goaway(part.last_stream_id)
                 else:
-                    self._events(self.h2.receive_data(part))
+                    self._handle_events(self.h2.receive_data(part))
         except (ProtocolError, ValueError):
-            sound = False
+            valid = False
         self.reading = False
         self.flush()
-        if not sound:
-            self._end()
+        if not valid:
+            self._close()
 
-    def _events(self, events: list[Event]) -> None:
+    def _handle_events(self, events: list[Event]) -> None:
         for event in events:
             if isinstance(event, RemoteSettingsChanged):
-                self.greeted = True
-                self.most = min(self.h2.remote_settings.max_concurrent_streams, STREAMS_MOST)
-                self.target.freed()
+                self.settings_received = True
+                self.max_streams = min(
+                    self.h2.remote_settings.max_concurrent_streams, MAX_STREAMS_PER_CONNECTION
+                )
+                self.target.start_waiting()
             elif isinstance(event, WindowUpdated):
                 for stream_id in [event.stream_id] if event.stream_id else list(self.attempts):
                     self.flush_stream(stream_id)
             else:
-                self._of_stream(event)
+                self._handle_stream_event(event)
 
-    def _of_stream(self, event: object) -> None:
+    def _handle_stream_event(self, event: object) -> None:
         attempt = self.attempts.get(getattr(event, "stream_id", 0) or 0)
         if attempt is None:
             if isinstance(event, DataReceived):
@@ -249,102 +253,106 @@
         elif isinstance(event, TrailersReceived):
             attempt.trailers = event.headers
         elif isinstance(event, StreamEnded):
-            self._forget(attempt)
-            if attempt.sender is not None and not attempt.sender.over:
-                with contextlib.suppress(H2Error):  # it answered before the request was whole
+            self._remove(attempt)
+            if attempt.sender is not None and not attempt.sender.finished:
+                with contextlib.suppress(H2Error):  # the server answered before the request was complete
                     self.h2.reset_stream(attempt.stream_id, ErrorCodes.NO_ERROR)
             attempt.stream.got_end(attempt, attempt.trailers)
         elif isinstance(event, StreamReset):
-            self._forget(attempt)
-            attempt.stream.lost(attempt, reset_outcome(int(event.error_code or 0), attempt.sent))
+            self._remove(attempt)
+            attempt.stream.lost(attempt, reset_outcome(int(event.error_code or 0), attempt.headers_sent))
 
-    def _forget(self, attempt: GrpcAttempt) -> None:
+    def _remove(self, attempt: GrpcAttempt) -> None:
         self.attempts.pop(attempt.stream_id, None)
-        attempt.line = None
-        if self.leaving and not self.attempts:
-            self._end()
-        self.target.freed()
-
-    def _going_away(self, last: int) -> None:
-        """Streams above the last one never ran; those up to it go on."""
-        self.leaving = True
-        for stream_id in [known for known in self.attempts if known > last]:
+        attempt.connection = None
+        if self.draining and not self.attempts:
+            self._close()
+        self.target.start_waiting()
+
+    def _on_goaway(self, last_stream_id: int) -> None:
+        """Streams above the last id never ran and are reported as skipped; the others continue."""
+        self.draining = True
+        for stream_id in [open_id for open_id in self.attempts if open_id > last_stream_id]:
             attempt = self.attempts.pop(stream_id)
-            attempt.line = None
+            attempt.connection = None
             attempt.stream.lost(attempt, Outcome.SKIPPED)
         if not self.attempts:
-            self._end()
+            self._close()
 
-    def leave(self) -> None:
-        """Take nothing new; end once what is under way has."""
-        self.leaving = True
+    def drain(self) -> None:
+        """Accept no new streams and close once the open ones have ended."""
+        self.draining = True
         if not self.attempts:
-            self._end()
+            self._close()
 
-    def _end(self) -> None:
-        self.leaving = True
+    def _close(self) -> None:
+        self.draining = True
         if self.transport is not None:
             self.transport.close()
 
-    def connection_lost(self, problem: Exception | None) -> None:
-        self.leaving = True
-        self.target.forget(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self.draining = True
+        self.target.remove(self)
         attempts, self.attempts = list(self.attempts.values()), {}
         for attempt in attempts:
-            attempt.line = None
-            attempt.stream.lost(attempt, Outcome.RESET if attempt.sent else Outcome.CONNECT_FAILED)
+            attempt.connection = None
+            attempt.stream.lost(attempt, Outcome.RESET if attempt.headers_sent else Outcome.CONNECT_FAILED)
 
 
 class Target:
-    """One server's connections, and the attempts that wait for one."""
+    """One server's connections and the attempts that wait for one of them."""
 
     def __init__(self, transport: GrpcTransport, endpoint: int, address: Address) -> None:
         self.transport = transport
         self.endpoint = endpoint
         self.address = address
-        self.lines: list[UpLine] = []
+        self.connections: list[ServerConnection] = []
         self.waiting: deque[GrpcAttempt] = deque()
         self.dials: set[asyncio.Task[None]] = set()
 
     def start(self, attempt: GrpcAttempt) -> None:
-        way = self._next(len(self.waiting))
-        if isinstance(way, UpLine):
-            way.carry(attempt)
+        placement = self._place(len(self.waiting))
+        if isinstance(placement, ServerConnection):
+            placement.start_stream(attempt)
             return
-        if way is Next.GIVE_BACK:
+        if placement is Placement.SKIP_SERVER:
             attempt.stream.lost(attempt, Outcome.SKIPPED)
             return
         self.waiting.append(attempt)
-        self.transport.loop.call_later(self.transport.dial_s, self._waited, attempt)
-        if way is Next.OPEN:
+        self.transport.loop.call_later(self.transport.dial_s, self._wait_expired, attempt)
+        if placement is Placement.OPEN:
             task = self.transport.loop.create_task(self._dial())
             self.dials.add(task)
             task.add_done_callback(self.dials.discard)
 
-    def _next(self, waiting: int) -> UpLine | Next:
-        told = [Line(len(line.attempts), line.most, line.takes()) for line in self.lines]
-        opening = bool(self.dials) or any(not line.greeted for line in self.lines)
-        way = choose(told, opening, waiting)
-        return way if isinstance(way, Next) else self.lines[way]
-
-    def _waited(self, attempt: GrpcAttempt) -> None:
-        """Long enough: another server may have room."""
+    def _place(self, waiting: int) -> ServerConnection | Placement:
+        loads = [
+            ConnectionLoad(len(connection.attempts), connection.max_streams, connection.accepts_streams())
+            for connection in self.connections
+        ]
+        opening = bool(self.dials) or any(not connection.settings_received for connection in self.connections)
+        placement = choose_connection(loads, opening, waiting)
+        return placement if isinstance(placement, Placement) else self.connections[placement]
+
+    def _wait_expired(self, attempt: GrpcAttempt) -> None:
+        """Report an attempt as skipped after the dial timeout: another server may have room."""
         if attempt in self.waiting and not attempt.over:
             self.waiting.remove(attempt)
             attempt.stream.lost(attempt, Outcome.SKIPPED)
 
     async def _dial(self) -> None:
-        line: UpLine | None = None
+        connection: ServerConnection | None = None
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(self.transport.dial_s):
-                _, line = await self.transport.loop.create_connection(
-                    lambda: UpLine(self), *self.address, ssl=self.transport.tls
+                _, connection = await self.transport.loop.create_connection(
+                    lambda: ServerConnection(self), *self.address, ssl=self.transport.tls
                 )
-        if line is not None:
-            self.lines.append(line)
-            self.freed()
-            if self.transport.targets.get(self.endpoint) is not self:  # listed no more: nobody sweeps it
-                line.leave()
+        if connection is not None:
+            self.connections.append(connection)
+            self.start_waiting()
+            # An endpoint that was removed while dialling is out of reach of `_drop_stale_targets`.
+            if self.transport.targets.get(self.endpoint) is not self:
+                connection.drain()
             return
         waiting, self.waiting = list(self.waiting), deque()
         for attempt in waiting:
@@ -352,49 +360,49 @@
                 attempt.refused = True
                 attempt.stream.lost(attempt, Outcome.CONNECT_FAILED)
 
-    def freed(self) -> None:
-        """There may be room for those that wait."""
+    def start_waiting(self) -> None:
+        """Start waiting attempts, as far as connections have room."""
         while self.waiting:
             if self.waiting[0].over:
                 self.waiting.popleft()
                 continue
-            if not self.transport.may_use(self.endpoint, self.address):
-                self._abandon(Outcome.CONNECT_FAILED)
+            if not self.transport.accepts_new(self.endpoint, self.address):
+                self._fail_waiting(Outcome.CONNECT_FAILED)
                 return
-            if not self.waiting[0].may_begin():
-                late = self.waiting.popleft()
-                late.stream.lost(late, Outcome.SKIPPED)
+            if not self.waiting[0].may_start():
+                expired = self.waiting.popleft()
+                expired.stream.lost(expired, Outcome.SKIPPED)
                 continue
-            line = self._next(0)
-            if line is Next.GIVE_BACK:
-                self._abandon(Outcome.SKIPPED)
-            if not isinstance(line, UpLine):
+            placement = self._place(0)
+            if placement is Placement.SKIP_SERVER:
+                self._fail_waiting(Outcome.SKIPPED)
+            if not isinstance(placement, ServerConnection):
                 return
-            line.carry(self.waiting.popleft())
+            placement.start_stream(self.waiting.popleft())
 
-    def _abandon(self, outcome: Outcome) -> None:
-        """The server drains, is gone or takes no streams: nothing that has not left goes there."""
+    def _fail_waiting(self, outcome: Outcome) -> None:
+        """End all waiting attempts: the server drains, is no longer listed or accepts no streams."""
         waiting, self.waiting = list(self.waiting), deque()
         for attempt in waiting:
             if not attempt.over:
                 attempt.stream.lost(attempt, outcome)
 
-    def forget(self, line: UpLine) -> None:
+    def remove(self, connection: ServerConnection) -> None:
         with contextlib.suppress(ValueError):
-            self.lines.remove(line)
-        if self.waiting and not self.lines and not self.dials:
-            self._abandon(Outcome.CONNECT_FAILED)
+            self.connections.remove(connection)
+        if self.waiting and not self.connections and not self.dials:
+            self._fail_waiting(Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
-        for line in list(self.lines):
-            if line.transport is not None:
-                line.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
 
 
 class GrpcTransport:
-    """All servers' HTTP/2 connections. `address_of` gives a server's address for gRPC.
+    """The HTTP/2 connections to all servers.
 
-    None where it has none.
+    `address_of` returns an endpoint's address for gRPC, or None if it has none.
     """
 
     def __init__(
@@ -415,28 +423,28 @@
         stream: Stream = call.request
         return GrpcAttempt(self, stream, call, action.endpoint, limit, now)
 
-    def may_use(self, endpoint: int, address: Address) -> bool:
-        """Whether something new may still go there."""
+    def accepts_new(self, endpoint: int, address: Address) -> bool:
+        """Whether new attempts may still be sent to the endpoint at `address`."""
         return self.engine.balancer.takes_new(endpoint) and self.address_of(endpoint) == address
 
     def target(self, endpoint: int) -> Target | None:
         address = self.address_of(endpoint)
-        known = self.targets.get(endpoint)
-        if known is not None and known.address == address:
-            return known
-        self._sweep()
+        target = self.targets.get(endpoint)
+        if target is not None and target.address == address:
+            return target
+        self._drop_stale_targets()
         if address is None:
             return None
-        made = self.targets[endpoint] = Target(self, endpoint, address)
-        return made
+        created = self.targets[endpoint] = Target(self, endpoint, address)
+        return created
 
-    def _sweep(self) -> None:
-        """Let go of servers that are listed no more; streams that are under way there end by themselves."""
+    def _drop_stale_targets(self) -> None:
+        """Drain connections to endpoints that were removed or have moved; their open streams finish."""
         for endpoint in [
-            known for known, its in self.targets.items() if self.address_of(known) != its.address
+            known for known, target in self.targets.items() if self.address_of(known) != target.address
         ]:
-            for line in list(self.targets.pop(endpoint).lines):
-                line.leave()
+            for connection in list(self.targets.pop(endpoint).connections):
+                connection.drain()
 
     def close(self) -> None:
         for target in self.targets.values():
--- a/tests/grpcs/test_hostile.py
+++ b/tests/grpcs/test_hostile.py
@@ -164,7 +164,7 @@
     client.reader, client.writer = await asyncio.open_connection("127.0.0.1", made.front.port)
     client.encoder, client.frames = Encoder(), []
     client.write(whole[:cut])
-    await until(lambda: bool(made.front.lines))
+    await until(lambda: bool(made.front.connections))
     await asyncio.sleep(0.01)
     client.write(whole[cut:])
 
--- a/tests/grpcs/test_mapping.py
+++ b/tests/grpcs/test_mapping.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from garnethaven.grpcs.floods import BURST, RATE, Floods
-from garnethaven.grpcs.goaway import NO_LAST, GoAway, Splitter, goaway
+from garnethaven.grpcs.floods import BURST, RATE_PER_S, FloodLimiter
+from garnethaven.grpcs.goaway import MAX_STREAM_ID, FrameSplitter, GoAway, goaway_frame
 from garnethaven.grpcs.mapping import (
-    ANSWERS,
+    APPLICATION_STATUSES,
     MappingError,
     Status,
     budget_of,
+    forwarded_metadata,
     outcome_of,
-    passed_on,
-    percent,
+    percent_encode,
     refusal,
     reset_outcome,
     status_of,
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("status", list(Status))
 def test_every_status_has_its_outcome(status: Status) -> None:
     outcome = outcome_of(status, rejected=False)
-    if status in ANSWERS:
+    if status in APPLICATION_STATUSES:
         assert outcome is Outcome.DONE
     else:
         assert outcome in (Outcome.ERROR, Outcome.TIMED_OUT)
@@ -96,12 +96,16 @@
 
 
 def test_messages_are_percent_encoded() -> None:
-    assert percent("50% ü\n".encode()) == b"50%25 %C3%BC%0A"
+    assert percent_encode("50% ü\n".encode()) == b"50%25 %C3%BC%0A"
 
 
 def test_metadata_is_passed_on_in_order_and_what_is_of_one_hop_is_not() -> None:
     headers = [(b":path", b"/a"), (b"x", b"1"), (b"te", b"trailers"), (b"x", b"2"), (b"grpc-timeout", b"1S")]
-    assert passed_on([*headers, (b"bin-bin", b"AAE=")]) == [(b"x", b"1"), (b"x", b"2"), (b"bin-bin", b"AAE=")]
+    assert forwarded_metadata([*headers, (b"bin-bin", b"AAE=")]) == [
+        (b"x", b"1"),
+        (b"x", b"2"),
+        (b"bin-bin", b"AAE="),
+    ]
 
 
 def test_the_longest_route_counts() -> None:
@@ -115,24 +119,27 @@
 
 
 def test_a_flood_has_a_bound_that_refills() -> None:
-    floods = Floods()
-    assert sum(floods.takes(1.0) for _ in range(1000)) == BURST
-    assert not floods.takes(1.0)
-    floods.left = 0.0
-    assert floods.takes(2.0)
-    assert RATE < BURST
+    limiter = FloodLimiter()
+    assert sum(limiter.allows(1.0) for _ in range(1000)) == BURST
+    assert not limiter.allows(1.0)
+    limiter.tokens = 0.0
+    assert limiter.allows(2.0)
+    assert RATE_PER_S < BURST
 
 
 def test_goaway_is_told_apart_wherever_the_bytes_are_cut() -> None:
     ping = struct.pack(">BHBBI", 0, 8, 6, 0, 0) + b"12345678"
-    whole = ping + goaway(5, 2) + ping + goaway(NO_LAST)
+    whole = ping + goaway_frame(5, 2) + ping + goaway_frame(MAX_STREAM_ID)
     for cut in range(len(whole) + 1):
-        splitter = Splitter()
+        splitter = FrameSplitter()
         parts = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
-        assert [part for part in parts if isinstance(part, GoAway)] == [GoAway(5, 2), GoAway(NO_LAST, 0)]
+        assert [part for part in parts if isinstance(part, GoAway)] == [
+            GoAway(5, 2),
+            GoAway(MAX_STREAM_ID, 0),
+        ]
         assert b"".join(part for part in parts if isinstance(part, bytes)) == ping + ping
 
 
 def test_a_frame_beyond_all_bounds_is_not_waited_for() -> None:
     with pytest.raises(ValueError, match="too large"):
-        Splitter().feed(b"\xff\xff\xff\x00\x00\x00\x00\x00\x01")
+        FrameSplitter().feed(b"\xff\xff\xff\x00\x00\x00\x00\x00\x01")
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -347,7 +347,11 @@
             assert await slow.read() == b"0" * 100
             for number in range(10):
                 assert (await made.unary(metadata=(("x-call-id", f"n{number}"),)))[1] == grpc.StatusCode.OK
-            held = [stream.sender.waiting for line in made.front.lines for stream in line.streams.values()]
+            held = [
+                stream.sender.queued_bytes
+                for connection in made.front.connections
+                for stream in connection.streams.values()
+            ]
             assert max(held, default=0) < 512 * 1024
             slow.cancel()
             await until(made.quiet)
--- a/tests/grpcs/test_servers.py
+++ b/tests/grpcs/test_servers.py
@@ -14,7 +14,13 @@
 from hpack import Encoder
 
 from garnethaven.grpcs.front import Front
-from garnethaven.grpcs.lines import LINES_MOST, WAITING_MOST, Line, Next, choose
+from garnethaven.grpcs.lines import (
+    MAX_CONNECTIONS,
+    MAX_WAITING_ATTEMPTS,
+    ConnectionLoad,
+    Placement,
+    choose_connection,
+)
 from garnethaven.grpcs.table import Grpc
 from garnethaven.grpcs.transport import GrpcTransport
 from garnethaven.interface import Endpoint, ListKind
@@ -170,8 +176,8 @@
             codes = await asyncio.gather(*(made.call() for _ in range(20)))
             served = codes.count(grpc.StatusCode.OK)
             assert served >= 4 * most
-            assert made.servers[0].most_open <= LINES_MOST * most
-            assert made.servers[0].connections <= LINES_MOST
+            assert made.servers[0].most_open <= MAX_CONNECTIONS * most
+            assert made.servers[0].connections <= MAX_CONNECTIONS
 
     run(case())
 
@@ -184,7 +190,7 @@
             for _ in range(4):
                 code = await made.call(timeout=1.0)
                 assert code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.OK)
-            assert sum(server.connections for server in made.servers) <= 2 * LINES_MOST
+            assert sum(server.connections for server in made.servers) <= 2 * MAX_CONNECTIONS
             await until(lambda: not made.sidecar.engine.calls)
             assert sum(server.streams for server in made.servers) <= sum(before) + 2
 
@@ -192,10 +198,16 @@
 
 
 def test_which_connection_carries_the_next_stream() -> None:
-    assert choose([], False, 0) is Next.OPEN
-    assert choose([], True, 3) is Next.WAIT
-    assert choose([Line(1, 10), Line(5, 10), Line(10, 10)], False, 0) == 1
-    assert choose([Line(5, 10, takes=False)], False, 0) is Next.OPEN
-    assert choose([Line(1, 1)] * LINES_MOST, False, 0) is Next.WAIT
-    assert choose([Line(1, 1)] * LINES_MOST, False, WAITING_MOST) is Next.GIVE_BACK
-    assert choose([Line(0, 0)], False, 0) is Next.GIVE_BACK
+    assert choose_connection([], False, 0) is Placement.OPEN
+    assert choose_connection([], True, 3) is Placement.WAIT
+    assert (
+        choose_connection([ConnectionLoad(1, 10), ConnectionLoad(5, 10), ConnectionLoad(10, 10)], False, 0)
+        == 1
+    )
+    assert choose_connection([ConnectionLoad(5, 10, accepts_streams=False)], False, 0) is Placement.OPEN
+    assert choose_connection([ConnectionLoad(1, 1)] * MAX_CONNECTIONS, False, 0) is Placement.WAIT
+    assert (
+        choose_connection([ConnectionLoad(1, 1)] * MAX_CONNECTIONS, False, MAX_WAITING_ATTEMPTS)
+        is Placement.SKIP_SERVER
+    )
+    assert choose_connection([ConnectionLoad(0, 0)], False, 0) is Placement.SKIP_SERVER
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -68,7 +68,7 @@
 def test_routes_are_taken_over_and_what_else_changed_is_said_to_wait() -> None:
     async def case() -> None:
         async with stage(ok) as made:
-            before = made.front.operator
+            before = made.front.table
             made.front.renew(replace(before, routes=()))
             assert (await made.unary())[1] == grpc.StatusCode.UNIMPLEMENTED
             made.front.renew(replace(before, routes=(), default="check"))
