--- a/tests/grpcs/test_hostile.py
+++ b/tests/grpcs/test_hostile.py
@@ -1,4 +1,4 @@
-"""Hostile peers on raw frames: each ends with its error, bounded, and the neighbours unharmed."""
+"""Hostile clients on raw frames: each is stopped with an error, and other clients are still served."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     PRIORITY,
     RST,
     SETTINGS,
-    WINDOW,
+    WINDOW_UPDATE,
     RawClient,
     fields,
     frame,
 )
-from tests.grpcs.test_on_sockets import Stage, ok, stage
+from tests.grpcs.test_on_sockets import Harness, ok, stage
 from tests.loopback import run, until
 
 Script = Callable[[RawClient], None]
@@ -59,18 +59,18 @@
 
 
 def header_bomb(client: RawClient) -> None:
-    told = fields() + [(f"x-{number}", "y" * 4000) for number in range(20)]
-    block = client.encoder.encode(told)
+    header_list = fields() + [(f"x-{number}", "y" * 4000) for number in range(20)]
+    block = client.encoder.encode(header_list)
     client.write(frame(HEADERS, 0, 1, block[:16000]))
-    parts = [block[at : at + 16000] for at in range(16000, len(block), 16000)]
-    for part in parts[:-1]:
-        client.write(frame(CONTINUATION, 0, 1, part))
-    client.write(frame(CONTINUATION, END_HEADERS, 1, parts[-1]))
+    fragments = [block[offset : offset + 16000] for offset in range(16000, len(block), 16000)]
+    for fragment in fragments[:-1]:
+        client.write(frame(CONTINUATION, 0, 1, fragment))
+    client.write(frame(CONTINUATION, END_HEADERS, 1, fragments[-1]))
 
 
 def window_overflow(client: RawClient) -> None:
     client.write(client.headers(1, fields()))
-    client.write(frame(WINDOW, 0, 0, struct.pack(">I", 0x7FFFFFFF)) * 2)
+    client.write(frame(WINDOW_UPDATE, 0, 0, struct.pack(">I", 0x7FFFFFFF)) * 2)
 
 
 def ids_out_of_order(client: RawClient) -> None:
@@ -113,34 +113,34 @@
 )
 def test_a_hostile_client_ends_by_itself_and_its_neighbours_are_served(script: Script) -> None:
     async def case() -> None:
-        async with stage(ok) as made:
-            client = await RawClient().connect(made.front.port)
+        async with stage(ok) as harness:
+            client = await RawClient().connect(harness.front.port)
             script(client)
             ended = False
             while not ended:
-                told = await client.read()
-                # The connection ends, with a reason where there is one to tell, or the stream alone does.
-                ended = told is None or told[0] == GOAWAY or (told[0] == RST and told[2] == 1)
-            answer, code, _ = await made.unary()
+                received = await client.read()
+                # Either the connection ends, with or without GOAWAY, or only the stream is reset.
+                ended = received is None or received[0] == GOAWAY or (received[0] == RST and received[2] == 1)
+            answer, code, _ = await harness.unary()
             assert (answer, code) == (b"<hi>", grpc.StatusCode.OK)
             client.close()
-            await until(made.quiet)
+            await until(harness.is_idle)
 
     run(case())
 
 
 def test_noise_that_the_protocol_allows_is_ignored() -> None:
     async def case() -> None:
-        async with stage(ok) as made:
-            client = await RawClient().connect(made.front.port)
+        async with stage(ok) as harness:
+            client = await RawClient().connect(harness.front.port)
             client.write(frame(0xEE, 0xFF, 0, b"unknown") + frame(PRIORITY, 0, 1, struct.pack(">IB", 0, 5)))
             client.write(client.headers(1, fields()))
             client.write(frame(0xED, 0, 1, b"unknown"))
             client.write(frame(DATA, END_STREAM, 1, b"\0\0\0\0\2hi"))
-            told = await client.until(DATA)
-            assert told is not None and told[3].endswith(b"<hi>")
+            received = await client.read_until(DATA)
+            assert received is not None and received[3].endswith(b"<hi>")
             client.close()
-            await until(made.quiet)
+            await until(harness.is_idle)
 
     run(case())
 
@@ -148,25 +148,24 @@
 @pytest.mark.parametrize("cut", range(1, len(PREFACE) + 3))
 def test_a_preface_may_be_cut_at_every_byte(cut: int) -> None:
     async def case() -> None:
-        async with stage(ok) as made:
+        async with stage(ok) as harness:
             client = RawClient()
-            whole = PREFACE + frame(SETTINGS, 0, 0)
-            await _in_two(client, made, whole, cut)
+            hello = PREFACE + frame(SETTINGS, 0, 0)
+            await _write_in_two_parts(client, harness, hello, cut)
             client.write(client.headers(1, fields()) + frame(DATA, END_STREAM, 1, b"\0\0\0\0\2hi"))
-            assert await client.until(DATA) is not None
+            assert await client.read_until(DATA) is not None
             client.close()
 
     run(case())
 
 
-async def _in_two(client: RawClient, made: Stage, whole: bytes, cut: int) -> None:
-
-    client.reader, client.writer = await asyncio.open_connection("127.0.0.1", made.front.port)
+async def _write_in_two_parts(client: RawClient, harness: Harness, hello: bytes, cut: int) -> None:
+    client.reader, client.writer = await asyncio.open_connection("127.0.0.1", harness.front.port)
     client.encoder, client.frames = Encoder(), []
-    client.write(whole[:cut])
-    await until(lambda: bool(made.front.connections))
+    client.write(hello[:cut])
+    await until(lambda: bool(harness.front.connections))
     await asyncio.sleep(0.01)
-    client.write(whole[cut:])
+    client.write(hello[cut:])
 
 
 @pytest.mark.parametrize(
@@ -181,15 +180,14 @@
 )
 def test_a_call_that_can_not_be_taken_is_told_its_status(more: dict[str, str], status: str) -> None:
     async def case() -> None:
-        async with stage(ok) as made:
-            client = await RawClient().connect(made.front.port)
+        async with stage(ok) as harness:
+            client = await RawClient().connect(harness.front.port)
             client.write(client.headers(1, fields(**more)))
-            told = await client.until(HEADERS)
-            assert told is not None
-
-            assert dict(Decoder().decode(told[3]))["grpc-status"] == status
+            received = await client.read_until(HEADERS)
+            assert received is not None
+            assert dict(Decoder().decode(received[3]))["grpc-status"] == status
             client.close()
-            await until(made.quiet)
-            assert not made.servers[0].calls
+            await until(harness.is_idle)
+            assert not harness.servers[0].calls
 
     run(case())
--- a/tests/grpcs/test_mapping.py
+++ b/tests/grpcs/test_mapping.py
@@ -1,4 +1,4 @@
-"""gRPC's words and ours: statuses, time-outs, routes, floods, GOAWAY."""
+"""gRPC statuses and timeouts, routes, the flood limiter, and GOAWAY frames."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
         assert outcome is Outcome.DONE
     else:
         assert outcome in (Outcome.ERROR, Outcome.TIMED_OUT)
-    busy = outcome_of(status, rejected=True) is Outcome.BUSY
-    assert busy == (status in (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
+    is_busy = outcome_of(status, rejected=True) is Outcome.BUSY
+    assert is_busy == (status in (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
 
 
 def test_a_status_is_of_the_trailers_or_of_an_answer_that_has_only_those() -> None:
@@ -80,19 +80,19 @@
         budget_of([(b"grpc-timeout", text)], 1)
 
 
-@pytest.mark.parametrize("left", [1, 999, 10**8 - 1, 10**8, 3 * 10**9, 86_400 * 10**9, 1 << 60])
-def test_a_time_out_that_is_sent_on_is_never_longer_and_reads_back(left: int) -> None:
-    text = timeout_text(left)
+@pytest.mark.parametrize("remaining", [1, 999, 10**8 - 1, 10**8, 3 * 10**9, 86_400 * 10**9, 1 << 60])
+def test_a_time_out_that_is_sent_on_is_never_longer_and_reads_back(remaining: int) -> None:
+    text = timeout_text(remaining)
     assert len(text) <= 9
-    read = budget_of([(b"grpc-timeout", text)], 1 << 62)
-    assert read <= left and read > left * 0.99
+    budget = budget_of([(b"grpc-timeout", text)], 1 << 62)
+    assert budget <= remaining and budget > remaining * 0.99
 
 
 def test_a_refusal_carries_what_clients_retry_and_when() -> None:
-    told = dict(refusal(1500 * MS, over_share=False))
-    assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"]) == (b"14", b"1500")
-    over = dict(refusal(0, over_share=True))
-    assert over[b"grpc-status"] == b"8" and b"grpc-retry-pushback-ms" not in over
+    answer = dict(refusal(1500 * MS, over_share=False))
+    assert (answer[b"grpc-status"], answer[b"grpc-retry-pushback-ms"]) == (b"14", b"1500")
+    over_share = dict(refusal(0, over_share=True))
+    assert over_share[b"grpc-status"] == b"8" and b"grpc-retry-pushback-ms" not in over_share
 
 
 def test_messages_are_percent_encoded() -> None:
@@ -114,8 +114,8 @@
     assert routes.find("/p.S/M") is method
     assert routes.find("/p.S/N") is service
     assert routes.find("/p.T/M") is None
-    strict = Routes((), "c").find("/p.T/M")
-    assert strict is not None and strict.grade == "c" and strict.streams
+    default = Routes((), "c").find("/p.T/M")
+    assert default is not None and default.grade == "c" and default.streams
 
 
 def test_a_flood_has_a_bound_that_refills() -> None:
@@ -129,10 +129,10 @@
 
 def test_goaway_is_told_apart_wherever_the_bytes_are_cut() -> None:
     ping = struct.pack(">BHBBI", 0, 8, 6, 0, 0) + b"12345678"
-    whole = ping + goaway_frame(5, 2) + ping + goaway_frame(MAX_STREAM_ID)
-    for cut in range(len(whole) + 1):
+    data = ping + goaway_frame(5, 2) + ping + goaway_frame(MAX_STREAM_ID)
+    for cut in range(len(data) + 1):
         splitter = FrameSplitter()
-        parts = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
+        parts = splitter.feed(data[:cut]) + splitter.feed(data[cut:])
         assert [part for part in parts if isinstance(part, GoAway)] == [
             GoAway(5, 2),
             GoAway(MAX_STREAM_ID, 0),
--- a/tests/grpcs/test_servers.py
+++ b/tests/grpcs/test_servers.py
@@ -1,4 +1,4 @@
-"""Scripted servers on raw frames: what resets, GOAWAY and stream limits prove, and what is done then."""
+"""Scripted servers on raw frames: reactions to resets, GOAWAY and stream limits."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class RawServer:
-    """Answers each stream, once it has ended, as its script says."""
+    """A server that runs its script for each stream whose request is complete."""
 
     def __init__(self, script: Script, settings: bytes = b"") -> None:
         self.script = script
         self.settings = settings
-        self.streams = self.connections = self.open = self.most_open = 0
+        self.streams = self.connections = self.open_streams = self.max_open_streams = 0
         self.encoders: dict[asyncio.StreamWriter, Encoder] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -53,59 +53,59 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             await reader.readexactly(len(PREFACE))
             while True:
-                head = await reader.readexactly(9)
-                await reader.readexactly(int.from_bytes(head[:3], "big"))
-                kind, flags, stream = struct.unpack(">BBI", head[3:])
-                if kind == SETTINGS and not flags & 1:
+                header = await reader.readexactly(9)
+                await reader.readexactly(int.from_bytes(header[:3], "big"))
+                frame_type, flags, stream_id = struct.unpack(">BBI", header[3:])
+                if frame_type == SETTINGS and not flags & 1:
                     writer.write(frame(SETTINGS, 1, 0))
-                if kind in (HEADERS, DATA) and flags & END_STREAM:
+                if frame_type in (HEADERS, DATA) and flags & END_STREAM:
                     self.streams += 1
-                    task = asyncio.ensure_future(self.script(self, writer, stream))
+                    task = asyncio.ensure_future(self.script(self, writer, stream_id))
                     self.tasks.add(task)
                     task.add_done_callback(self.tasks.discard)
         writer.close()
 
-    def answer(self, writer: asyncio.StreamWriter, stream: int, body: bytes = b"ok") -> None:
+    def answer(self, writer: asyncio.StreamWriter, stream_id: int, body: bytes = b"ok") -> None:
         encoder = self.encoders[writer]
-        head = [(":status", "200"), ("content-type", "application/grpc")]
-        writer.write(frame(HEADERS, END_HEADERS, stream, encoder.encode(head)))
-        writer.write(frame(DATA, 0, stream, b"\0" + struct.pack(">I", len(body)) + body))
-        last = encoder.encode([("grpc-status", "0")])
-        writer.write(frame(HEADERS, END_HEADERS | END_STREAM, stream, last))
+        response_headers = [(":status", "200"), ("content-type", "application/grpc")]
+        writer.write(frame(HEADERS, END_HEADERS, stream_id, encoder.encode(response_headers)))
+        writer.write(frame(DATA, 0, stream_id, b"\0" + struct.pack(">I", len(body)) + body))
+        trailers = encoder.encode([("grpc-status", "0")])
+        writer.write(frame(HEADERS, END_HEADERS | END_STREAM, stream_id, trailers))
 
 
-async def well(server: RawServer, writer: asyncio.StreamWriter, stream: int) -> None:
-    server.answer(writer, stream)
+async def answers(server: RawServer, writer: asyncio.StreamWriter, stream_id: int) -> None:
+    server.answer(writer, stream_id)
 
 
-def resets(code: int) -> Script:
-    async def script(server: RawServer, writer: asyncio.StreamWriter, stream: int) -> None:
-        writer.write(frame(RST, 0, stream, struct.pack(">I", code)))
+def resets(error_code: int) -> Script:
+    async def script(server: RawServer, writer: asyncio.StreamWriter, stream_id: int) -> None:
+        writer.write(frame(RST, 0, stream_id, struct.pack(">I", error_code)))
 
     return script
 
 
-async def goes_away(server: RawServer, writer: asyncio.StreamWriter, stream: int) -> None:
-    """The first stream of a connection is served, what comes above it never ran."""
+async def goes_away(server: RawServer, writer: asyncio.StreamWriter, stream_id: int) -> None:
+    """Serves the first stream of a connection; its GOAWAY excludes all later ones."""
     writer.write(frame(GOAWAY, 0, 0, struct.pack(">II", 1, 0)))
-    if stream == 1:
+    if stream_id == 1:
         await asyncio.sleep(0.05)
-        server.answer(writer, stream)
+        server.answer(writer, stream_id)
 
 
-async def closes(server: RawServer, writer: asyncio.StreamWriter, stream: int) -> None:
+async def closes(server: RawServer, writer: asyncio.StreamWriter, stream_id: int) -> None:
     writer.close()
 
 
-async def slowly(server: RawServer, writer: asyncio.StreamWriter, stream: int) -> None:
-    server.open += 1
-    server.most_open = max(server.most_open, server.open)
+async def answers_slowly(server: RawServer, writer: asyncio.StreamWriter, stream_id: int) -> None:
+    server.open_streams += 1
+    server.max_open_streams = max(server.max_open_streams, server.open_streams)
     await asyncio.sleep(0.03)
-    server.open -= 1
-    server.answer(writer, stream)
+    server.open_streams -= 1
+    server.answer(writer, stream_id)
 
 
-class Stage:
+class Harness:
     def __init__(self, sidecar: Sidecar, servers: list[RawServer], front: Front) -> None:
         self.sidecar, self.servers, self.front = sidecar, servers, front
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{front.port}")
@@ -119,20 +119,24 @@
 
 
 @contextlib.asynccontextmanager
-async def stage(*scripts: Script, settings: bytes = b"") -> AsyncIterator[Stage]:
+async def scripted_harness(*scripts: Script, settings: bytes = b"") -> AsyncIterator[Harness]:
     servers = [await RawServer(script, settings).start() for script in scripts]
     sidecar = Sidecar([])
-    transport = GrpcTransport(sidecar.engine, sidecar.engine.loop, lambda n: address_of(sidecar, n))
+    transport = GrpcTransport(
+        sidecar.engine, sidecar.engine.loop, lambda endpoint: address_of(sidecar, endpoint)
+    )
     front = Front(Grpc(routes=ROUTES), sidecar.engine, transport, sidecar.listener.classes)
     await front.start(("127.0.0.1", 0))
-    entries: list[Any] = [(Endpoint(n + 1), ("127.0.0.1", one.port)) for n, one in enumerate(servers)]
+    entries: list[Any] = [
+        (Endpoint(index + 1), ("127.0.0.1", server.port)) for index, server in enumerate(servers)
+    ]
     sidecar.transport.learn(ListKind.FULL, entries)
-    sidecar.engine.balancer.overload.window.most = 0.0  # it has served for a while: no beginner
-    made = Stage(sidecar, servers, front)
+    sidecar.engine.balancer.overload.window.most = 0.0  # ends the startup window
+    harness = Harness(sidecar, servers, front)
     try:
-        yield made
+        yield harness
     finally:
-        await made.channel.close()
+        await harness.channel.close()
         await front.close(0.0)
         for server in servers:
             server.server.close()
@@ -141,10 +145,10 @@
 
 def test_a_refused_stream_never_ran_and_goes_elsewhere_also_for_an_unsafe_call() -> None:
     async def case() -> None:
-        async with stage(resets(7), well) as made:
+        async with scripted_harness(resets(7), answers) as harness:
             for _ in range(6):
-                assert await made.call("/t.Checks/Unsafe") is grpc.StatusCode.OK
-            assert made.servers[0].streams > 0
+                assert await harness.call("/t.Checks/Unsafe") is grpc.StatusCode.OK
+            assert harness.servers[0].streams > 0
 
     run(case())
 
@@ -152,47 +156,47 @@
 @pytest.mark.parametrize("script", [resets(2), resets(8), closes])
 def test_any_other_end_may_have_run_and_an_unsafe_call_is_not_repeated(script: Script) -> None:
     async def case() -> None:
-        async with stage(script) as made:
-            assert await made.call("/t.Checks/Unsafe") is grpc.StatusCode.INTERNAL
-            assert made.servers[0].streams == 1
+        async with scripted_harness(script) as harness:
+            assert await harness.call("/t.Checks/Unsafe") is grpc.StatusCode.INTERNAL
+            assert harness.servers[0].streams == 1
 
     run(case())
 
 
 def test_goaway_proves_what_never_ran_and_lets_the_rest_finish() -> None:
     async def case() -> None:
-        async with stage(goes_away, well) as made:
-            codes = await asyncio.gather(*(made.call("/t.Checks/Unsafe") for _ in range(12)))
+        async with scripted_harness(goes_away, answers) as harness:
+            codes = await asyncio.gather(*(harness.call("/t.Checks/Unsafe") for _ in range(12)))
             assert set(codes) == {grpc.StatusCode.OK}
 
     run(case())
 
 
-@pytest.mark.parametrize("most", [1, 3])
-def test_a_servers_stream_limit_is_kept_over_all_connections(most: int) -> None:
+@pytest.mark.parametrize("stream_limit", [1, 3])
+def test_a_servers_stream_limit_is_kept_over_all_connections(stream_limit: int) -> None:
     async def case() -> None:
-        async with stage(slowly, settings=struct.pack(">HI", 3, most)) as made:
-            assert await made.call() is grpc.StatusCode.OK  # from here on its limit is known
-            codes = await asyncio.gather(*(made.call() for _ in range(20)))
+        async with scripted_harness(answers_slowly, settings=struct.pack(">HI", 3, stream_limit)) as harness:
+            assert await harness.call() is grpc.StatusCode.OK  # from here on the limit is known
+            codes = await asyncio.gather(*(harness.call() for _ in range(20)))
             served = codes.count(grpc.StatusCode.OK)
-            assert served >= 4 * most
-            assert made.servers[0].most_open <= MAX_CONNECTIONS * most
-            assert made.servers[0].connections <= MAX_CONNECTIONS
+            assert served >= 4 * stream_limit
+            assert harness.servers[0].max_open_streams <= MAX_CONNECTIONS * stream_limit
+            assert harness.servers[0].connections <= MAX_CONNECTIONS
 
     run(case())
 
 
 def test_a_server_that_allows_no_streams_is_given_none() -> None:
     async def case() -> None:
-        async with stage(well, well, settings=struct.pack(">HI", 3, 0)) as made:
-            await made.call(timeout=1.0)  # sent before the limit was known, at the most
-            before = [server.streams for server in made.servers]
+        async with scripted_harness(answers, answers, settings=struct.pack(">HI", 3, 0)) as harness:
+            await harness.call(timeout=1.0)  # may be sent only before the limit is known
+            streams_before = [server.streams for server in harness.servers]
             for _ in range(4):
-                code = await made.call(timeout=1.0)
+                code = await harness.call(timeout=1.0)
                 assert code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.OK)
-            assert sum(server.connections for server in made.servers) <= 2 * MAX_CONNECTIONS
-            await until(lambda: not made.sidecar.engine.calls)
-            assert sum(server.streams for server in made.servers) <= sum(before) + 2
+            assert sum(server.connections for server in harness.servers) <= 2 * MAX_CONNECTIONS
+            await until(lambda: not harness.sidecar.engine.calls)
+            assert sum(server.streams for server in harness.servers) <= sum(streams_before) + 2
 
     run(case())
 
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's table, checked strictly; off means absent; reload, TLS, and the program through its rig."""
+"""The settings table `[grpc]`, imports without it, reload, TLS, and the whole program through its rig."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 def test_the_example_is_good() -> None:
-    told = read_operator(str(ROOT / "deploy" / "examples" / "grpc.toml"))["grpc"]
-    assert isinstance(told, Grpc)
-    assert told.listen == ("127.0.0.1", 9903)
-    assert told.routes[0] == GrpcRoute("/checks.v1.Checks/", "check", keyed=True)
-    assert told.routes[1].streams
+    table = read_operator(str(ROOT / "deploy" / "examples" / "grpc.toml"))["grpc"]
+    assert isinstance(table, Grpc)
+    assert table.listen == ("127.0.0.1", 9903)
+    assert table.routes[0] == GrpcRoute("/checks.v1.Checks/", "check", keyed=True)
+    assert table.routes[1].streams
 
 
 @pytest.mark.parametrize(
@@ -67,15 +67,18 @@
 
 def test_routes_are_taken_over_and_what_else_changed_is_said_to_wait() -> None:
     async def case() -> None:
-        async with stage(ok) as made:
-            before = made.front.table
-            made.front.renew(replace(before, routes=()))
-            assert (await made.unary())[1] == grpc.StatusCode.UNIMPLEMENTED
-            made.front.renew(replace(before, routes=(), default="check"))
-            assert (await made.unary())[1] == grpc.StatusCode.OK
-            wanted = replace(before, port_offset=5, listen=At(("127.0.0.1", 9)), stream_most_s=7)
-            kept, waiting = taken_over(before, wanted)
-            assert (kept, waiting) == (replace(before, stream_most_s=7), ["listen", "port_offset"])
+        async with stage(ok) as harness:
+            current = harness.front.table
+            harness.front.renew(replace(current, routes=()))
+            assert (await harness.unary())[1] == grpc.StatusCode.UNIMPLEMENTED
+            harness.front.renew(replace(current, routes=(), default="check"))
+            assert (await harness.unary())[1] == grpc.StatusCode.OK
+            changed = replace(current, port_offset=5, listen=At(("127.0.0.1", 9)), stream_most_s=7)
+            in_force, needing_restart = taken_over(current, changed)
+            assert (in_force, needing_restart) == (
+                replace(current, stream_most_s=7),
+                ["listen", "port_offset"],
+            )
 
     run(case())
 
@@ -83,24 +86,24 @@
 def test_over_tls_both_ways(tmp_path: Path) -> None:
     async def case() -> None:
         authority = trustme.CA()
-        its = authority.issue_cert("127.0.0.1")
-        its.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
-        its.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
-        async with stage(ok) as made:
-            operator = Grpc(routes=ROUTES, cert=str(tmp_path / "cert.pem"), key=str(tmp_path / "key.pem"))
-            engine = made.sidecar.engine
+        certificate = authority.issue_cert("127.0.0.1")
+        certificate.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
+        certificate.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
+        async with stage(ok) as harness:
+            table = Grpc(routes=ROUTES, cert=str(tmp_path / "cert.pem"), key=str(tmp_path / "key.pem"))
+            engine = harness.sidecar.engine
             context = ssl.create_default_context()
             authority.configure_trust(context)
             context.set_alpn_protocols(["h2"])
-            keyring = keyring_of(operator, lambda text: None)
-            parts = engine, made.front.transport, made.sidecar.listener.classes
-            inner = Front(operator, *parts, keyring.context, keyring.admits)
+            keyring = keyring_of(table, lambda text: None)
+            parts = engine, harness.front.transport, harness.sidecar.listener.classes
+            inner = Front(table, *parts, keyring.context, keyring.admits)
             await inner.start(("127.0.0.1", 0))
-            # A second front asks the first over TLS, as a server that wants it.
+            # The outer front uses the inner one as its server, over TLS.
             outer_transport = GrpcTransport(
                 engine, engine.loop, lambda endpoint: ("127.0.0.1", inner.port), context
             )
-            classes: Classes = made.sidecar.listener.classes
+            classes: Classes = harness.sidecar.listener.classes
             outer = await Front(Grpc(routes=ROUTES), engine, outer_transport, classes).start(("127.0.0.1", 0))
             credentials = grpc.ssl_channel_credentials(authority.cert_pem.bytes())
             async with grpc.aio.secure_channel(f"127.0.0.1:{inner.port}", credentials) as channel:
@@ -108,13 +111,13 @@
             async with grpc.aio.insecure_channel(f"127.0.0.1:{outer.port}") as channel:
                 metadata = (("x-call-id", "outer"),)
                 call = channel.unary_unary(UNARY)(b"hi", timeout=10.0, metadata=metadata)
-                # One engine knows the id as under way already: the inner front says so, through TLS.
+                # Both fronts share an engine, so the inner one rejects the call id as a duplicate, over TLS.
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await call
                 assert raised.value.code() == grpc.StatusCode.ABORTED
             await outer.close(0.0)
             await inner.close(0.0)
-            assert address_of(made.sidecar, 1) is not None
+            assert address_of(harness.sidecar, 1) is not None
 
     run(case())
 
@@ -124,18 +127,18 @@
         async with running(says(ANSWER)) as (sidecar, _):
             reader, writer = await sidecar.connect()
             writer.write(PREFACE + frame(SETTINGS, 0, 0))
-            told = await asyncio.wait_for(reader.read(200), 10.0)
-            assert told.startswith(b"HTTP/1.1 400")
+            answer = await asyncio.wait_for(reader.read(200), 10.0)
+            assert answer.startswith(b"HTTP/1.1 400")
             writer.close()
 
     run(case())
 
 
 def test_the_rig_in_short_gives_both_protocols_the_same_outcomes() -> None:
-    code, figures, said = play("grpc", "--seed", "4", "--seconds", "8")
-    assert code in (0, 1), said
-    assert figures["sent"] > 800, said
-    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (said, figures)
+    code, figures, output = play("grpc", "--seed", "4", "--seconds", "8")
+    assert code in (0, 1), output
+    assert figures["sent"] > 800, output
+    assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
     assert figures["missing"] == figures["doubled"] == figures["mapping_mismatches"] == 0, figures
     assert figures["trailers_changed"] == 0
     assert figures["http1"]["served"] > 300 < figures["grpc"]["served"]
