--- a/tests/grpcs/test_mapping.py
+++ b/tests/grpcs/test_mapping.py
@@ -80,12 +80,12 @@
         budget_of([(b"grpc-timeout", text)], 1)
 
 
-@pytest.mark.parametrize("remaining", [1, 999, 10**8 - 1, 10**8, 3 * 10**9, 86_400 * 10**9, 1 << 60])
-def test_a_time_out_that_is_sent_on_is_never_longer_and_reads_back(remaining: int) -> None:
-    text = timeout_text(remaining)
+@pytest.mark.parametrize("left", [1, 999, 10**8 - 1, 10**8, 3 * 10**9, 86_400 * 10**9, 1 << 60])
+def test_a_time_out_that_is_sent_on_is_never_longer_and_reads_back(left: int) -> None:
+    text = timeout_text(left)
     assert len(text) <= 9
     budget = budget_of([(b"grpc-timeout", text)], 1 << 62)
-    assert budget <= remaining and budget > remaining * 0.99
+    assert budget <= left and budget > left * 0.99
 
 
 def test_a_refusal_carries_what_clients_retry_and_when() -> None:
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -362,14 +362,14 @@
 
 
 @pytest.mark.parametrize(
-    "first_bytes",
+    "hello",
     [b"GET / HTTP/1.1\r\nHost: t\r\n\r\n", b"\x16\x03\x01\x00\x05hello", b"PRI * HTTP/1.0\r\n\r\n"],
 )
-def test_whoever_speaks_something_else_gets_a_clear_end(first_bytes: bytes) -> None:
+def test_whoever_speaks_something_else_gets_a_clear_end(hello: bytes) -> None:
     async def case() -> None:
         async with stage(ok) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.front.port)
-            writer.write(first_bytes)
+            writer.write(hello)
             assert (await reader.read()).startswith(b"HTTP/1.1 505")
             writer.close()
             assert (await harness.unary())[1] == grpc.StatusCode.OK
--- a/tests/grpcs/test_servers.py
+++ b/tests/grpcs/test_servers.py
@@ -122,13 +122,11 @@
 async def scripted_harness(*scripts: Script, settings: bytes = b"") -> AsyncIterator[Harness]:
     servers = [await RawServer(script, settings).start() for script in scripts]
     sidecar = Sidecar([])
-    transport = GrpcTransport(
-        sidecar.engine, sidecar.engine.loop, lambda endpoint: address_of(sidecar, endpoint)
-    )
+    transport = GrpcTransport(sidecar.engine, sidecar.engine.loop, lambda n: address_of(sidecar, n))
     front = Front(Grpc(routes=ROUTES), sidecar.engine, transport, sidecar.listener.classes)
     await front.start(("127.0.0.1", 0))
     entries: list[Any] = [
-        (Endpoint(index + 1), ("127.0.0.1", server.port)) for index, server in enumerate(servers)
+        (Endpoint(n + 1), ("127.0.0.1", raw_server.port)) for n, raw_server in enumerate(servers)
     ]
     sidecar.transport.learn(ListKind.FULL, entries)
     sidecar.engine.balancer.overload.window.most = 0.0  # ends the startup window
@@ -172,15 +170,15 @@
     run(case())
 
 
-@pytest.mark.parametrize("stream_limit", [1, 3])
-def test_a_servers_stream_limit_is_kept_over_all_connections(stream_limit: int) -> None:
+@pytest.mark.parametrize("most", [1, 3])
+def test_a_servers_stream_limit_is_kept_over_all_connections(most: int) -> None:
     async def case() -> None:
-        async with scripted_harness(answers_slowly, settings=struct.pack(">HI", 3, stream_limit)) as harness:
+        async with scripted_harness(answers_slowly, settings=struct.pack(">HI", 3, most)) as harness:
             assert await harness.call() is grpc.StatusCode.OK  # from here on the limit is known
             codes = await asyncio.gather(*(harness.call() for _ in range(20)))
             served = codes.count(grpc.StatusCode.OK)
-            assert served >= 4 * stream_limit
-            assert harness.servers[0].max_open_streams <= MAX_CONNECTIONS * stream_limit
+            assert served >= 4 * most
+            assert harness.servers[0].max_open_streams <= MAX_CONNECTIONS * most
             assert harness.servers[0].connections <= MAX_CONNECTIONS
 
     run(case())
