--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -2,7 +2,7 @@
 
 | state of a stream | meaning |
 | --- | --- |
-| accepted | its headers arrived and match a route: the engine owes it one answer |
+| accepted | its headers arrived and match a route: the engine must send exactly one answer |
 | buffering | the answer of an attempt is not passed on yet: a failure is retried as the class allows |
 | streaming | part of an answer was passed on: only that attempt may answer, and nothing is retried |
 | closed | its one answer was sent, or the client reset it |
@@ -71,7 +71,7 @@
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 WRONG_PROTOCOL = b"HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 HANDSHAKE_TIMEOUT_S = 5.0  # of TLS; slower clients are disconnected
-GOAWAY_INTERVAL_S = 0.1  # from the first GOAWAY to the final one; streams begun meanwhile are accepted
+GOAWAY_INTERVAL_S = 0.1  # from the first GOAWAY to the final one; streams opened meanwhile are accepted
 MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # beyond it writing to a client pauses until it reads
 
 
@@ -152,7 +152,7 @@
         for attempt in sending:
             attempt.send_data(data)
         if self.replayable:
-            self.request_sent(flow_bytes)  # beyond MAX_REPLAY_BYTES the client has to wait for a server
+            self.request_sent(flow_bytes)  # a longer request is acknowledged as a server takes it
 
     def end(self) -> None:
         self.request_ended = True
@@ -203,6 +203,7 @@
         return self.replayable or not self.request_taken
 
     def take_request(self) -> tuple[list[bytes], bool]:
+        """Return the request's data received so far, and whether the request is complete."""
         self.request_taken = True
         chunks = list(self.request_chunks)
         if not self.replayable:
@@ -392,7 +393,7 @@
             self.flush_stream(stream)
 
     def flush(self) -> None:
-        """Write pending output; output caused by one read is written at once."""
+        """Write pending output; output caused by one read is written together."""
         if self.reading:
             return
         out = self.h2.data_to_send()
--- a/garnethaven/grpcs/mapping.py
+++ b/garnethaven/grpcs/mapping.py
@@ -153,8 +153,9 @@
 
 
 def budget_of(headers: Headers, max_budget: int) -> int:
-    """Return the time limit of `grpc-timeout` in nanoseconds, at most `max_budget`; the latter without one.
+    """Return the time limit of `grpc-timeout` in nanoseconds.
 
+    The result is at most `max_budget`, which also applies without the header.
     Raises MappingError if the header is malformed.
     """
     timeout = first_value(headers, b"grpc-timeout")
--- a/garnethaven/grpcs/transport.py
+++ b/garnethaven/grpcs/transport.py
@@ -1,4 +1,4 @@
-"""The HTTP/2 transport: attempts as streams on shared connections to servers, cleartext with prior knowledge.
+"""The HTTP/2 transport: attempts as streams on shared connections to servers, over cleartext or TLS.
 
 An attempt may run on the server from the moment its headers are written to a connection, unless a GOAWAY or
 RST_STREAM proves that it did not. The front's stream decides which part of an answer the client receives.
@@ -128,7 +128,7 @@
             self.count_sent()
 
     def count_sent(self) -> None:
-        """Count an attempt whose request was passed on whole to the connection."""
+        """Count an attempt whose complete request was passed to the connection."""
         self.transport.engine.account.attempts += 1
 
     def consumed(self, flow_bytes: int) -> None:
@@ -148,7 +148,7 @@
         self.max_streams = 0
         self.settings_received = False  # until then the server's stream limit is unknown
         self.draining = False  # no new streams
-        self.reading = False  # defers `flush` until all data read at once is processed
+        self.reading = False  # defers `flush` until one read is processed
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -166,7 +166,7 @@
         return self.settings_received and usable and not self.draining
 
     def flush(self) -> None:
-        """Write pending output; output caused by one read is written at once."""
+        """Write pending output; output caused by one read is written together."""
         if self.reading:
             return
         out = self.h2.data_to_send()
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -72,7 +72,7 @@
         self._record("echo", context)
         if self.rejects_streams:
             context.set_trailing_metadata((("x-rejected", "1"),))
-            await context.abort(grpc.StatusCode.UNAVAILABLE, "turned away")
+            await context.abort(grpc.StatusCode.UNAVAILABLE, "stream rejected")
         async for request in requests:
             yield request
 
@@ -86,7 +86,7 @@
     async def answer(request: bytes, context: Any) -> bytes:
         if rejected:
             context.set_trailing_metadata((("x-rejected", "1"),))
-        await context.abort(code, "told so")
+        await context.abort(code, "set by the handler")
         raise AssertionError
 
     return answer
@@ -195,7 +195,7 @@
             elif name == "DEADLINE_EXCEEDED":
                 assert received_code in (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.INTERNAL)
             else:
-                assert (received_code, details) == (code, "told so")
+                assert (received_code, details) == (code, "set by the handler")
             assert len(harness.servers[0].calls) == 1  # unsafe: once
             await until(harness.is_idle)
 
