--- a/garnethaven/grpcs/front.py
+++ b/garnethaven/grpcs/front.py
@@ -152,7 +152,7 @@
         for attempt in sending:
             attempt.send_data(data)
         if self.replayable:
-            self.request_sent(flow_bytes)  # a longer request is acknowledged as a server takes it
+            self.request_sent(flow_bytes)  # buffered here; a longer request waits for a server
 
     def end(self) -> None:
         self.request_ended = True
