--- a/tests/grpcs/test_mapping.py
+++ b/tests/grpcs/test_mapping.py
@@ -1,4 +1,4 @@
-"""gRPC's words and ours: statuses, time-outs, routes, floods, GOAWAY."""
+"""gRPC statuses and timeouts, routes, the flood limiter, and GOAWAY frames."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import pytest
 
-from garnethaven.grpcs.floods import BURST, RATE, Floods
-from garnethaven.grpcs.goaway import NO_LAST, GoAway, Splitter, goaway
+from garnethaven.grpcs.floods import BURST, RATE_PER_S, FloodLimiter
+from garnethaven.grpcs.goaway import MAX_STREAM_ID, FrameSplitter, GoAway, goaway_frame
 from garnethaven.grpcs.mapping import (
-    ANSWERS,
+    APPLICATION_STATUSES,
     MappingError,
     Status,
     budget_of,
+    forwarded_metadata,
     outcome_of,
-    passed_on,
-    percent,
+    percent_encode,
     refusal,
     reset_outcome,
     status_of,
@@ -31,12 +31,12 @@
 @pytest.mark.parametrize("status", list(Status))
 def test_every_status_has_its_outcome(status: Status) -> None:
     outcome = outcome_of(status, rejected=False)
-    if status in ANSWERS:
+    if status in APPLICATION_STATUSES:
         assert outcome is Outcome.DONE
     else:
         assert outcome in (Outcome.ERROR, Outcome.TIMED_OUT)
-    busy = outcome_of(status, rejected=True) is Outcome.BUSY
-    assert busy == (status in (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
+    is_busy = outcome_of(status, rejected=True) is Outcome.BUSY
+    assert is_busy == (status in (Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
 
 
 def test_a_status_is_of_the_trailers_or_of_an_answer_that_has_only_those() -> None:
@@ -84,24 +84,28 @@
 def test_a_time_out_that_is_sent_on_is_never_longer_and_reads_back(left: int) -> None:
     text = timeout_text(left)
     assert len(text) <= 9
-    read = budget_of([(b"grpc-timeout", text)], 1 << 62)
-    assert read <= left and read > left * 0.99
+    budget = budget_of([(b"grpc-timeout", text)], 1 << 62)
+    assert budget <= left and budget > left * 0.99
 
 
 def test_a_refusal_carries_what_clients_retry_and_when() -> None:
-    told = dict(refusal(1500 * MS, over_share=False))
-    assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"]) == (b"14", b"1500")
-    over = dict(refusal(0, over_share=True))
-    assert over[b"grpc-status"] == b"8" and b"grpc-retry-pushback-ms" not in over
+    answer = dict(refusal(1500 * MS, over_share=False))
+    assert (answer[b"grpc-status"], answer[b"grpc-retry-pushback-ms"]) == (b"14", b"1500")
+    over_share = dict(refusal(0, over_share=True))
+    assert over_share[b"grpc-status"] == b"8" and b"grpc-retry-pushback-ms" not in over_share
 
 
 def test_messages_are_percent_encoded() -> None:
-    assert percent("50% ü\n".encode()) == b"50%25 %C3%BC%0A"
+    assert percent_encode("50% ü\n".encode()) == b"50%25 %C3%BC%0A"
 
 
 def test_metadata_is_passed_on_in_order_and_what_is_of_one_hop_is_not() -> None:
     headers = [(b":path", b"/a"), (b"x", b"1"), (b"te", b"trailers"), (b"x", b"2"), (b"grpc-timeout", b"1S")]
-    assert passed_on([*headers, (b"bin-bin", b"AAE=")]) == [(b"x", b"1"), (b"x", b"2"), (b"bin-bin", b"AAE=")]
+    assert forwarded_metadata([*headers, (b"bin-bin", b"AAE=")]) == [
+        (b"x", b"1"),
+        (b"x", b"2"),
+        (b"bin-bin", b"AAE="),
+    ]
 
 
 def test_the_longest_route_counts() -> None:
@@ -110,29 +114,32 @@
     assert routes.find("/p.S/M") is method
     assert routes.find("/p.S/N") is service
     assert routes.find("/p.T/M") is None
-    strict = Routes((), "c").find("/p.T/M")
-    assert strict is not None and strict.class_name == "c" and strict.streams
+    default = Routes((), "c").find("/p.T/M")
+    assert default is not None and default.class_name == "c" and default.streams
 
 
 def test_a_flood_has_a_bound_that_refills() -> None:
-    floods = Floods()
-    assert sum(floods.takes(1.0) for _ in range(1000)) == BURST
-    assert not floods.takes(1.0)
-    floods.left = 0.0
-    assert floods.takes(2.0)
-    assert RATE < BURST
+    limiter = FloodLimiter()
+    assert sum(limiter.allows(1.0) for _ in range(1000)) == BURST
+    assert not limiter.allows(1.0)
+    limiter.tokens = 0.0
+    assert limiter.allows(2.0)
+    assert RATE_PER_S < BURST
 
 
 def test_goaway_is_told_apart_wherever_the_bytes_are_cut() -> None:
     ping = struct.pack(">BHBBI", 0, 8, 6, 0, 0) + b"12345678"
-    whole = ping + goaway(5, 2) + ping + goaway(NO_LAST)
-    for cut in range(len(whole) + 1):
-        splitter = Splitter()
-        parts = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
-        assert [part for part in parts if isinstance(part, GoAway)] == [GoAway(5, 2), GoAway(NO_LAST, 0)]
+    data = ping + goaway_frame(5, 2) + ping + goaway_frame(MAX_STREAM_ID)
+    for cut in range(len(data) + 1):
+        splitter = FrameSplitter()
+        parts = splitter.feed(data[:cut]) + splitter.feed(data[cut:])
+        assert [part for part in parts if isinstance(part, GoAway)] == [
+            GoAway(5, 2),
+            GoAway(MAX_STREAM_ID, 0),
+        ]
         assert b"".join(part for part in parts if isinstance(part, bytes)) == ping + ping
 
 
 def test_a_frame_beyond_all_bounds_is_not_waited_for() -> None:
     with pytest.raises(ValueError, match="too large"):
-        Splitter().feed(b"\xff\xff\xff\x00\x00\x00\x00\x00\x01")
+        FrameSplitter().feed(b"\xff\xff\xff\x00\x00\x00\x00\x00\x01")
