--- a/garnethaven/grpcs/feature.py
+++ b/garnethaven/grpcs/feature.py
@@ -50,7 +50,9 @@
         if self.table.cert:
             self.keyring = keyring_of(self.table, self._log)
             self._check_certificates()
-        tls_options = (self.keyring.context, self.keyring.is_allowed_client) if self.keyring is not None else ()
+        tls_options = (
+            (self.keyring.context, self.keyring.is_allowed_client) if self.keyring is not None else ()
+        )
         self.front = Front(self.table, parts.engine, transport, parts.listener.classes, *tls_options)
         await self.front.start(self.table.listen)
 
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -247,7 +247,9 @@
             await made.cluster.tell()
             await wait_until(lambda: not made.known_endpoints)
             assert made.consul.figures()["flaws"] == {"no JSON": 1, "too large": 1}
-            assert all(len(one.value) <= MAX_PAYLOAD_BYTES + 1 for one in made.consul.catch_up.entries.values())
+            assert all(
+                len(one.value) <= MAX_PAYLOAD_BYTES + 1 for one in made.consul.catch_up.entries.values()
+            )
 
     run(case())
 
