--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -136,7 +136,7 @@
     async def case() -> None:
         async with sidecar_environment(2) as env:
             stand_in, client = env.discovery, env.sidecar.discovery
-            client.fresh.call_time_s = 0.2
+            client.freshness.call_time_s = 0.2
             await stand_in.become(Mood.EMPTY)
             client.ask_for_full_list()
             await wait_until(lambda: env.names() == set())
