--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -51,7 +51,7 @@
 from garnethaven.limits.retry_budget import RetryBudget
 from garnethaven.records import Attempt, LargePool, PendingRequest, Server
 from garnethaven.recovery.cold import MAX_COLD_LOAD_SHARE, likely_capacity, warmth_at_age
-from garnethaven.turns import WeightedRoundRobin
+from garnethaven.weighted_round_robin import WeightedRoundRobin
 
 # Share of a server's weight lost by each consecutive error. The published algorithm uses 0.1; a sidecar sees
 # too few answers of one server for that.
--- a/garnethaven/records.py
+++ b/garnethaven/records.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from garnethaven.interface import Endpoint, Request, RequestClass
-from garnethaven.turns import WeightedRoundRobin
+from garnethaven.weighted_round_robin import WeightedRoundRobin
 
 # Deadline of a request whose body is still being received, in nanoseconds; the reader of the body applies
 # much tighter limits.
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from garnethaven.turns import FAN_OUT, WeightedRoundRobin
+from garnethaven.weighted_round_robin import FAN_OUT, WeightedRoundRobin
 
 
 def plain_counts(weights: list[float], picks: int) -> list[int]:
