--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -232,7 +232,7 @@
         self._recompute_weights()
 
     def _begin_startup_window(self) -> None:
-        """Limit admission until answers show what the servers can do (recovery/window.py)."""
+        """Limit admission until answers show what the servers can do (recovery/startup_window.py)."""
         mean_units = sum(server.relative_capacity for server in self.pool) / max(1, len(self.pool))
         warm_servers = sum(server.relative_capacity * self._warmth(server) for server in self.pool) / (
             mean_units or 1.0
--- a/garnethaven/limits/overload.py
+++ b/garnethaven/limits/overload.py
@@ -31,7 +31,7 @@
 
 from random import Random
 
-from garnethaven.recovery.window import StartupWindow
+from garnethaven.recovery.startup_window import StartupWindow
 
 LATE_SHARE_TARGET = 0.3  # a few bad servers can make this share of answers late; more is overload
 REFUSED_SHARE_GAIN = 1 / 16  # how far one answer moves the refused share
--- a/tests/recovery/test_window.py
+++ b/tests/recovery/test_window.py
@@ -18,7 +18,7 @@
     Send,
     Settings,
 )
-from garnethaven.recovery.window import (
+from garnethaven.recovery.startup_window import (
     CALM_NS,
     CUT_FACTOR,
     FAST_FRACTION,
