--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -24,9 +24,9 @@
     Settings,
 )
 from garnethaven.limits.budgets import DescriptorBudget
+from garnethaven.limits.connection_limit import ClientConnectionLimit, ConnectionHistory
 from garnethaven.limits.lists import Evidence, ListFreshness
 from garnethaven.limits.overload import Overload
-from garnethaven.limits.places import ClientConnectionLimit, ConnectionHistory
 
 ROUNDS = 7
 TIMES = 4000
--- a/garnethaven/net/client.py
+++ b/garnethaven/net/client.py
@@ -11,7 +11,7 @@
 
 from garnethaven.engine.account import CallResult
 from garnethaven.engine.calls import Call
-from garnethaven.limits.places import FIRST_REQUEST_GRACE_S, ConnectionHistory
+from garnethaven.limits.connection_limit import FIRST_REQUEST_GRACE_S, ConnectionHistory
 from garnethaven.net.body_memory import BodyReservation
 from garnethaven.net.call_making import make_call
 from garnethaven.net.client_presence import ClientPresence
--- a/garnethaven/net/listener.py
+++ b/garnethaven/net/listener.py
@@ -14,7 +14,7 @@
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine, S
 from garnethaven.interface import ProcessResumed
-from garnethaven.limits.places import (
+from garnethaven.limits.connection_limit import (
     FIRST_REQUEST_GRACE_S,
     UNPRESSURED_WAIT_S,
     ClientConnectionLimit,
--- a/garnethaven/net/owner.py
+++ b/garnethaven/net/owner.py
@@ -8,7 +8,7 @@
 
 from garnethaven.engine.classes import Classes
 from garnethaven.engine.engine import Engine
-from garnethaven.limits.places import ConnectionHistory
+from garnethaven.limits.connection_limit import ConnectionHistory
 from garnethaven.net.transport import HttpTransport
 
 
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnethaven.limits.places import (
+from garnethaven.limits.connection_limit import (
     FIRST_REQUEST_GRACE_S,
     FULL_PRESSURE_WAIT_S,
     PRESSURE_FULL,
