--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -25,7 +25,7 @@
 )
 from garnethaven.limits.budgets import DescriptorBudget
 from garnethaven.limits.connection_limit import ClientConnectionLimit, ConnectionHistory
-from garnethaven.limits.lists import Evidence, ListFreshness
+from garnethaven.limits.list_freshness import Evidence, ListFreshness
 from garnethaven.limits.overload import Overload
 
 ROUNDS = 7
--- a/garnethaven/limits/feature.py
+++ b/garnethaven/limits/feature.py
@@ -7,7 +7,7 @@
 
 from garnethaven.feature import Feature
 from garnethaven.limits.front import LimitsView
-from garnethaven.limits.lists import ListFreshness
+from garnethaven.limits.list_freshness import ListFreshness
 from garnethaven.limits.table import Limits
 
 
--- a/garnethaven/limits/table.py
+++ b/garnethaven/limits/table.py
@@ -5,7 +5,7 @@
 from typing import Annotated
 
 from garnethaven.limits.connection_limit import UNPRESSURED_WAIT_S
-from garnethaven.limits.lists import MAX_WATCH_WAIT_S
+from garnethaven.limits.list_freshness import MAX_WATCH_WAIT_S
 from garnethaven.tables import SocketAddress, Table, field_meta, number_range
 
 
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -1,6 +1,6 @@
 """The client of the discovery service: reads the endpoint list and keeps it up to date by a watch.
 
-`membership/call_schedule.py` decides when to call; `limits/lists.py` decides how long a watch waits, when the
+`membership/call_schedule.py` decides when to call; `limits/list_freshness.py` decides how long a watch waits, when the
 behaviour of servers contradicts the list, and which answers to accept; `membership/list_reader.py` parses
 lists. This module makes the calls.
 """
@@ -20,7 +20,7 @@
 from garnethaven.engine.spending import Spend
 from garnethaven.interface import ListKind, Outcome, State
 from garnethaven.limits.budgets import AnswerMemory, max_list_bytes
-from garnethaven.limits.lists import (
+from garnethaven.limits.list_freshness import (
     FULL_LOAD_FLEET_SIZE,
     MAX_WATCH_WAIT_S,
     AnswerAction,
--- a/garnethaven/parts.py
+++ b/garnethaven/parts.py
@@ -15,7 +15,7 @@
     from garnethaven.config import Config
     from garnethaven.engine.engine import Engine
     from garnethaven.interface import Endpoint, ListKind
-    from garnethaven.limits.lists import ListFreshness
+    from garnethaven.limits.list_freshness import ListFreshness
     from garnethaven.net.listener import Listener
     from garnethaven.net.transport import HttpTransport, MakePool
     from garnethaven.peers.conversation import Peer
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-from garnethaven.limits.lists import MAX_CHANGE_DELAY_S
+from garnethaven.limits.list_freshness import MAX_CHANGE_DELAY_S
 from standins.ports import PORTS
 from tests.loopback import (
     ANSWER,
--- a/tests/crossings/test_silent_lists.py
+++ b/tests/crossings/test_silent_lists.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import MAX_CHANGE_DELAY_S, MAX_QUEUE_WAIT_S, ListFreshness
+from garnethaven.limits.list_freshness import MAX_CHANGE_DELAY_S, MAX_QUEUE_WAIT_S, ListFreshness
 from garnethaven.membership.call_schedule import BeginCall, CallSchedule, CallTiming
 from tests.loopback import (
     ANSWER,
--- a/tests/limits/test_lists.py
+++ b/tests/limits/test_lists.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import (
+from garnethaven.limits.list_freshness import (
     EVIDENCE_WINDOW_S,
     MAX_STALE_ANSWERS,
     MAX_WATCH_WAIT_S,
--- a/tests/membership/test_call_schedule.py
+++ b/tests/membership/test_call_schedule.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from garnethaven.limits.lists import ListFreshness
+from garnethaven.limits.list_freshness import ListFreshness
 from garnethaven.membership.call_schedule import (
     CHANGE_KNOWN_AFTER_SECONDS,
     CHANGE_KNOWN_AFTER_WATCH_SECONDS,
