--- a/garnethaven/budgets/lending.py
+++ b/garnethaven/budgets/lending.py
@@ -26,7 +26,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnethaven.budgets.purse import SECOND, TokenBalance, TokenBatch
+from garnethaven.budgets.token_balance import SECOND, TokenBalance, TokenBatch
 from garnethaven.peers.conversation import Exchange, Peer, Topic
 
 TOPIC = "budgets"
--- a/tests/budgets/test_purse.py
+++ b/tests/budgets/test_purse.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from pytest import approx
 
-from garnethaven.budgets.purse import BATCHES_PER_LIFETIME, CLOCK_DRIFT, TokenBalance, TokenBatch
+from garnethaven.budgets.token_balance import BATCHES_PER_LIFETIME, CLOCK_DRIFT, TokenBalance, TokenBatch
 
 S = 1_000_000_000
 LIFETIME = 2 * S
