--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -19,7 +19,7 @@
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.payloads import Rules
-from garnethaven.membership.telling import SourceOutput
+from garnethaven.membership.source_output import SourceOutput
 
 STABLE_AFTER_S = 5.0  # an endpoint followed for longer resets the backoff
 
--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -11,8 +11,8 @@
 
 from garnethaven.membership.hosts import Hosts
 from garnethaven.membership.merger import Merger
+from garnethaven.membership.source_output import SourceOutput
 from garnethaven.membership.table import ZOOKEEPER, ZooKeeper
-from garnethaven.membership.telling import SourceOutput
 from garnethaven.membership.zookeeper.client import Client
 from garnethaven.membership.zookeeper.following import DirectoryFollower, Outcome
 from garnethaven.membership.zookeeper.records import RecordError
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -44,7 +44,7 @@
         limits
         membership.batches membership.cache membership.call_schedule membership.catchup membership.entries
         membership.list_reader membership.merger membership.model membership.payloads membership.table
-        membership.telling
+        membership.source_output
         net.request_deadlines net.reuse
         peers.conversation peers.membership peers.table
         recovery
