--- a/garnethaven/membership/consul/registration.py
+++ b/garnethaven/membership/consul/registration.py
@@ -18,8 +18,8 @@
 from urllib.parse import quote
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.consul.client import Agent
+from garnethaven.membership.registration_task import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.table import Consul, ConsulRegistration
 
 
--- a/garnethaven/membership/etcd/registration.py
+++ b/garnethaven/membership/etcd/registration.py
@@ -16,10 +16,10 @@
 from random import Random
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.etcd.client import MemberClient, TokenExpired
 from garnethaven.membership.hosts import EndpointLostError
 from garnethaven.membership.payloads import encode_entry
+from garnethaven.membership.registration_task import KEEPALIVES_PER_TTL, RegistrationTask
 from garnethaven.membership.table import Etcd, EtcdRegistration
 
 
--- a/garnethaven/membership/keyed.py
+++ b/garnethaven/membership/keyed.py
@@ -13,12 +13,12 @@
 from typing import ClassVar, Generic, Protocol, TypeVar
 
 from garnethaven.addresses import Address
-from garnethaven.membership.announcing import RegistrationTask
 from garnethaven.membership.catchup import CatchUp, ReportChanges, ReportContact, SyncAction
 from garnethaven.membership.entries import EntryConverter
 from garnethaven.membership.hosts import EndpointLostError, Hosts
 from garnethaven.membership.merger import Merger
 from garnethaven.membership.payloads import Rules
+from garnethaven.membership.registration_task import RegistrationTask
 from garnethaven.membership.source_output import SourceOutput
 
 STABLE_AFTER_S = 5.0  # an endpoint followed for longer resets the backoff
