--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -184,7 +184,7 @@
         if call_id not in self.ledger.sent:
             self.ledger.counts["unknown_ids"] += 1
             return 400, b""
-        self.ledger.began_sending(call_id, self.name, now)
+        self.ledger.request_arrived(call_id, self.name, now)
         self.ledger.counts["attempts"] += 1
         if self.life is not None:
             self.life.receipts.append(Receipt(self.name, now, self.work_s))
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -1,18 +1,19 @@
-"""What was seen on sockets, matched by request id, and the judgement of the four rules over it.
-
-Clients, check servers and discovery write here; the program under test never does. Times are seconds of
-one monotonic clock, for all stand-ins of a rig live in one process.
-
-The rules, as judged here:
-
-- *lost*: a whole request was written to a connection that the program accepted, and no final answer came by
-  its budget and `LATE_S` (the slack is for this process, which plays all peers on one core or two); or an
-  answer that no check server made for it was taken for served.
-- *twice*: one request ran in two racks, or again later than the rack's window, or ran and was refused.
-- *drain*: a request came to a server later than the grace and `DRAIN_SLACK_S` after that server's end was
-  told.
-- *cold*: the work sent to a cold server within any window was more than the stated multiple of what it
-  could do in that window.
+"""The ledger of requests: records events seen on sockets by request id and checks four rules on them.
+
+Client, check server and discovery stand-ins write to it; the program under test never does. Times are seconds
+on one monotonic clock, since all stand-ins of a rig run in one process.
+
+A request violates a rule as follows:
+
+- *lost*: the whole request was written to a connection that the program had accepted, and no final answer
+  arrived within its budget plus `LATE_S` (the slack covers this process, which plays all peers on one or two
+  cores); or the client accepted an answer that no check server produced for the request.
+- *twice*: the request ran in two racks, or ran again after the rack's deduplication window, or ran although
+  the client's final answer was a refusal.
+- *drain*: the request reached a server later than the drain grace plus `DRAIN_SLACK_S` after the program was
+  informed of the server's drain or removal.
+- *cold*: the work sent to a cold server within any window exceeded the configured multiple of the server's
+  capacity in that window.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 LATE_S = 1.0
 DRAIN_SLACK_S = 0.15
-COLD_SLACK = 3.0  # requests by which chance may go over
+COLD_SLACK = 3.0  # requests above the limit that are tolerated as random variation
 
 Final = Literal["served", "refused", "failed"]
 
 
 @dataclass(slots=True)
 class Sent:
-    """One request of a client, from its last byte to its final answer."""
+    """One request of a client, from its last byte to its final answer. `at` is when it was sent."""
 
     id: str
     key: str
@@ -39,14 +40,14 @@
     first_try: bool
     final: Final | None = None
     final_at: float = 0.0
-    gone: bool = False  # the client gave it up, or the program was killed with it
+    gone: bool = False  # the client canceled it, or the program was killed while handling it
     written: bool = False
-    via: str = ""  # the program that it was sent to, where there are several
+    via: str = ""  # name of the program that it was sent to, if there are several
 
 
 @dataclass(slots=True)
-class Ran:
-    """One receipt of a request that began at a check server."""
+class Execution:
+    """One execution of a request by a check server."""
 
     server: str
     cell: int
@@ -55,6 +56,8 @@
 
 @dataclass(slots=True)
 class Receipt:
+    """The arrival of a request at a check server, with its expected work in seconds of one warm core."""
+
     server: str
     at: float
     work_s: float
@@ -62,7 +65,7 @@
 
 @dataclass(slots=True)
 class Life:
-    """One life of a check server, for the rule on cold starts."""
+    """One process lifetime of a check server, for the rule on cold starts."""
 
     server: str
     cold_from: float
@@ -73,6 +76,8 @@
 
 @dataclass(slots=True)
 class Broken:
+    """The number of violations of each rule."""
+
     lost: int = 0
     twice: int = 0
     drain: int = 0
@@ -83,23 +88,37 @@
 
 
 class Ledger:
-    """Everything that the rules need; one for a rig's whole run."""
-
-    def __init__(self, window_s: float, grace_s: float, multiple: float, fall_s: float, cold: float) -> None:
+    """Records everything that the rules need; one ledger serves a rig's whole run.
+
+    A cold server is overloaded by more than `overload_factor` times its capacity within `overload_window_s`.
+    """
+
+    def __init__(
+        self,
+        window_s: float,
+        grace_s: float,
+        overload_factor: float,
+        overload_window_s: float,
+        cold_share: float,
+    ) -> None:
         self.window_s = window_s
         self.grace_s = grace_s
-        self.multiple = multiple
-        self.fall_s = fall_s
-        self.cold_share = cold
+        self.overload_factor = overload_factor
+        self.overload_window_s = overload_window_s
+        self.cold_share = cold_share
         self.sent: dict[str, Sent] = {}
         self.answers: dict[str, int] = defaultdict(int)
-        self.ran: dict[str, list[Ran]] = defaultdict(list)
-        self.made: dict[str, set[str]] = defaultdict(set)  # answers that servers made, by id
+        self.ran: dict[str, list[Execution]] = defaultdict(list)
+        self.made: dict[str, set[str]] = defaultdict(
+            set
+        )  # marks of the answers that servers produced, by request id
         self.wrong_answers: list[str] = []
-        self.ended_at: dict[tuple[str, str], float] = {}  # by program and server that was told to have ended
-        self.latest_send_s = 0.0  # the longest time from a server's end to a request that came to it
+        self.ended_at: dict[
+            tuple[str, str], float
+        ] = {}  # by (program, server): when the program was informed
+        self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_sends: list[tuple[str, str, float]] = []
-        self.own_ways: set[str] = set()  # requests that a proxy sent on without any decision
+        self.own_ways: set[str] = set()  # requests that a proxy forwarded without a decision
         self.lives: list[Life] = []
         self.counts: dict[str, int] = defaultdict(int)
 
@@ -112,7 +131,7 @@
         return sent
 
     def answered(self, call_id: str, final: Final, at: float, mark: str = "") -> None:
-        """A final answer came; `mark` is the part of a served body that names the server's making."""
+        """Record a final answer; `mark` is the part of a served body that identifies the execution."""
         self.answers[call_id] += 1
         sent = self.sent[call_id]
         if sent.final is None:
@@ -123,16 +142,17 @@
     # Discovery
 
     def told_end(self, server: str, at: float, via: str = "") -> None:
-        """The program was told that the server drains or is gone; `via` names it where there are several."""
+        """Record that program `via` has been informed that the server is draining or removed."""
         self.ended_at.setdefault((via, server), at)
 
     def told_up(self, server: str, via: str = "") -> None:
+        """Record that program `via` has been informed that the server is serving."""
         self.ended_at.pop((via, server), None)
 
     # Check servers
 
-    def began_sending(self, call_id: str, server: str, at: float) -> None:
-        """The first byte of a request came to a server."""
+    def request_arrived(self, call_id: str, server: str, at: float) -> None:
+        """Record that the first byte of a request reached a server."""
         sent = self.sent.get(call_id)
         ended = self.ended_at.get((sent.via if sent is not None else "", server))
         if call_id in self.own_ways:
@@ -143,10 +163,10 @@
             self.late_sends.append((call_id, server, at - ended))
 
     def runs(self, call_id: str, server: str, cell: int, at: float, mark: str) -> None:
-        self.ran[call_id].append(Ran(server, cell, at))
+        self.ran[call_id].append(Execution(server, cell, at))
         self.made[call_id].add(mark)
 
-    # Judgement
+    # Violations
 
     def broken(self) -> Broken:
         return Broken(
@@ -154,56 +174,58 @@
         )
 
     def missing(self) -> list[str]:
-        """Requests that have no final answer at all and that nobody gave up."""
-        return [one.id for one in self.sent.values() if one.final is None and not one.gone]
+        """Ids of requests that have no final answer and were not abandoned."""
+        return [sent.id for sent in self.sent.values() if sent.final is None and not sent.gone]
 
     def doubled(self) -> list[str]:
+        """Ids of requests with more than one final answer."""
         return [call_id for call_id, count in self.answers.items() if count > 1]
 
     def lost(self) -> list[str]:
         late = [
-            one.id
-            for one in self.sent.values()
-            if one.final is not None and one.final_at > one.at + one.budget_s + LATE_S
+            sent.id
+            for sent in self.sent.values()
+            if sent.final is not None and sent.final_at > sent.at + sent.budget_s + LATE_S
         ]
         return self.missing() + late + self.wrong_answers
 
     def twice(self) -> list[str]:
-        found = []
+        violations = []
         for call_id, runs in self.ran.items():
             first = runs[0]
-            apart = any(
+            not_deduplicated = any(
                 run.cell != first.cell or run.at > first.at + self.window_s + DRAIN_SLACK_S for run in runs
             )
             sent = self.sent.get(call_id)
             refused = (
-                sent is not None and sent.final == "refused" and any(r.at <= sent.final_at for r in runs)
+                sent is not None and sent.final == "refused" and any(run.at <= sent.final_at for run in runs)
             )
-            if apart or refused:
-                found.append(call_id)
-        return found
+            if not_deduplicated or refused:
+                violations.append(call_id)
+        return violations
 
     def cold(self) -> int:
-        """Lives of servers that were sent too much while cold."""
+        """The number of server lifetimes that were overloaded while cold."""
         return sum(self.pushed_over(life) for life in self.lives)
 
     def pushed_over(self, life: Life) -> bool:
+        """Whether any window that starts during the ramp received more work than allowed."""
         receipts = life.receipts
         for first in range(len(receipts)):
             start, work = receipts[first].at, 0.0
             if start - life.cold_from > life.ramp_s:
                 break
             for receipt in receipts[first:]:
-                if receipt.at > start + self.fall_s:
+                if receipt.at > start + self.overload_window_s:
                     break
                 work += receipt.work_s
-            able = self.able(life, start, start + self.fall_s)
-            if work > self.multiple * able + COLD_SLACK * receipts[first].work_s:
+            capacity_s = self.able(life, start, start + self.overload_window_s)
+            if work > self.overload_factor * capacity_s + COLD_SLACK * receipts[first].work_s:
                 return True
         return False
 
     def able(self, life: Life, start: float, end: float) -> float:
-        """Work, in seconds of one core, that a life can do between two moments: its warmth's integral."""
+        """Capacity between two times, in seconds of one warm core: the integral of cores times warmth."""
         steps = 10
         width = (end - start) / steps
         return sum(
@@ -211,37 +233,38 @@
         )
 
     def warmth(self, life: Life, at: float) -> float:
+        """Share of its full capacity that a server has at a time, from `cold_share` to 1."""
         if life.ramp_s <= 0.0:
             return 1.0
-        part = max(0.0, min(1.0, (at - life.cold_from) / life.ramp_s))
-        return self.cold_share + (1.0 - self.cold_share) * part
+        ramp_share = max(0.0, min(1.0, (at - life.cold_from) / life.ramp_s))
+        return self.cold_share + (1.0 - self.cold_share) * ramp_share
 
-    # Figures
+    # Statistics
 
     def tally(self) -> dict[str, int]:
-        finals = [one.final for one in self.sent.values()]
+        finals = [sent.final for sent in self.sent.values()]
         return {
             "sent": len(finals),
             "served": finals.count("served"),
             "refused": finals.count("refused"),
             "failed": finals.count("failed"),
-            "gone": sum(one.final is None and one.gone for one in self.sent.values()),
+            "gone": sum(sent.final is None and sent.gone for sent in self.sent.values()),
             "missing": len(self.missing()),
             "doubled": len(self.doubled()),
         }
 
-    def in_time(self, aim_s: float, since: float = 0.0, until: float = float("inf")) -> tuple[int, int]:
-        """First tries sent in a span: how many were served within the aim, and how many there were."""
-        tries = [one for one in self.sent.values() if one.first_try and since <= one.at < until]
-        good = sum(one.final == "served" and one.final_at - one.at <= aim_s for one in tries)
-        return good, len(tries)
+    def in_time(self, target_s: float, since: float = 0.0, until: float = float("inf")) -> tuple[int, int]:
+        """Of the first tries sent in a time span: the number served within the target, and the total."""
+        tries = [sent for sent in self.sent.values() if sent.first_try and since <= sent.at < until]
+        in_target = sum(sent.final == "served" and sent.final_at - sent.at <= target_s for sent in tries)
+        return in_target, len(tries)
 
 
 def peak(times: list[float], window_s: float) -> int:
-    """The most of these moments within any such window."""
-    times, first, most = sorted(times), 0, 0
+    """The highest number of these times within any window of this length."""
+    times, first, highest = sorted(times), 0, 0
     for last, at in enumerate(times):
         while times[first] <= at - window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        highest = max(highest, last - first + 1)
+    return highest
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger finds each broken rule: a judge that never speaks would prove nothing."""
+"""The ledger detects a violation of each rule, and reports none for correct requests."""
 
 from __future__ import annotations
 
@@ -7,105 +7,105 @@
 from standins.ledger import COLD_SLACK, DRAIN_SLACK_S, LATE_S, Broken, Ledger, Life, Receipt
 
 
-def ledger() -> Ledger:
-    return Ledger(window_s=6.0, grace_s=0.5, multiple=3.0, fall_s=3.0, cold=0.2)
+def make_ledger() -> Ledger:
+    return Ledger(window_s=6.0, grace_s=0.5, overload_factor=3.0, overload_window_s=3.0, cold_share=0.2)
 
 
-def served(book: Ledger, call_id: str, at: float = 10.0, cell: int = 0) -> None:
-    book.sends(call_id, "k", at, 3.0, True)
-    book.runs(call_id, "s0", cell, at + 0.01, "m")
-    book.answered(call_id, "served", at + 0.1, "m")
+def served(ledger: Ledger, call_id: str, at: float = 10.0, cell: int = 0) -> None:
+    ledger.sends(call_id, "k", at, 3.0, True)
+    ledger.runs(call_id, "s0", cell, at + 0.01, "m")
+    ledger.answered(call_id, "served", at + 0.1, "m")
 
 
 def test_a_good_request_breaks_nothing() -> None:
-    book = ledger()
-    served(book, "a")
-    assert book.broken() == Broken()
+    ledger = make_ledger()
+    served(ledger, "a")
+    assert ledger.broken() == Broken()
     others = dict.fromkeys(("refused", "failed", "gone", "missing", "doubled"), 0)
-    assert book.tally() == {"sent": 1, "served": 1} | others
+    assert ledger.tally() == {"sent": 1, "served": 1} | others
 
 
 def test_no_answer_is_missing_and_lost_unless_the_client_gave_it_up() -> None:
-    book = ledger()
-    sent = book.sends("a", "k", 10.0, 3.0, True)
-    assert (book.missing(), book.broken().lost) == (["a"], 1)
+    ledger = make_ledger()
+    sent = ledger.sends("a", "k", 10.0, 3.0, True)
+    assert (ledger.missing(), ledger.broken().lost) == (["a"], 1)
     sent.gone = True
-    assert (book.missing(), book.broken().lost) == ([], 0)
+    assert (ledger.missing(), ledger.broken().lost) == ([], 0)
 
 
 def test_a_late_answer_is_lost() -> None:
-    book = ledger()
-    book.sends("a", "k", 10.0, 3.0, True)
-    book.answered("a", "failed", 13.0 + LATE_S + 0.01)
-    assert book.broken().lost == 1
+    ledger = make_ledger()
+    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.answered("a", "failed", 13.0 + LATE_S + 0.01)
+    assert ledger.broken().lost == 1
 
 
 def test_an_answer_that_no_server_made_is_lost() -> None:
-    book = ledger()
-    book.sends("a", "k", 10.0, 3.0, True)
-    book.runs("a", "s0", 0, 10.0, "m")
-    book.answered("a", "served", 10.1, "of another request")
-    assert book.broken().lost == 1
+    ledger = make_ledger()
+    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.runs("a", "s0", 0, 10.0, "m")
+    ledger.answered("a", "served", 10.1, "of another request")
+    assert ledger.broken().lost == 1
 
 
 def test_a_second_answer_is_doubled() -> None:
-    book = ledger()
-    served(book, "a")
-    book.answered("a", "served", 10.2, "m")
-    assert book.doubled() == ["a"]
+    ledger = make_ledger()
+    served(ledger, "a")
+    ledger.answered("a", "served", 10.2, "m")
+    assert ledger.doubled() == ["a"]
 
 
 @pytest.mark.parametrize(
     ("cell", "after", "broken"), [(0, 0.2, 0), (0, 6.0, 0), (1, 0.2, 1), (0, 6.0 + DRAIN_SLACK_S + 0.1, 1)]
 )
 def test_a_repeat_is_good_in_the_rack_and_its_window_only(cell: int, after: float, broken: int) -> None:
-    book = ledger()
-    served(book, "a")
-    book.runs("a", "s1", cell, 10.01 + after, "m2")
-    assert book.broken().twice == broken
+    ledger = make_ledger()
+    served(ledger, "a")
+    ledger.runs("a", "s1", cell, 10.01 + after, "m2")
+    assert ledger.broken().twice == broken
 
 
 def test_a_refusal_of_what_ran_is_twice_for_the_client_may_send_it_again() -> None:
-    book = ledger()
-    book.sends("a", "k", 10.0, 3.0, True)
-    book.runs("a", "s0", 0, 10.0, "m")
-    book.answered("a", "refused", 10.1)
-    assert book.broken().twice == 1
+    ledger = make_ledger()
+    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.runs("a", "s0", 0, 10.0, "m")
+    ledger.answered("a", "refused", 10.1)
+    assert ledger.broken().twice == 1
 
 
 def test_a_send_after_the_grace_breaks_the_drain() -> None:
-    book = ledger()
-    book.told_end("s0", 10.0)
-    book.began_sending("a", "s0", 10.5)
-    assert book.broken().drain == 0
-    book.began_sending("b", "s0", 10.5 + DRAIN_SLACK_S + 0.01)
-    assert book.broken().drain == 1
-    book.told_up("s0")
-    book.began_sending("c", "s0", 20.0)
-    assert book.broken().drain == 1
+    ledger = make_ledger()
+    ledger.told_end("s0", 10.0)
+    ledger.request_arrived("a", "s0", 10.5)
+    assert ledger.broken().drain == 0
+    ledger.request_arrived("b", "s0", 10.5 + DRAIN_SLACK_S + 0.01)
+    assert ledger.broken().drain == 1
+    ledger.told_up("s0")
+    ledger.request_arrived("c", "s0", 20.0)
+    assert ledger.broken().drain == 1
 
 
 def cold_life(rate: float, seconds: float, ramp_s: float = 6.0) -> Life:
-    """A server of two cores that is sent requests of 0.1 s at an even rate from its start."""
+    """A server with two cores that receives requests of 0.1 s of work at an even rate from its start."""
     count = int(rate * seconds)
     receipts = [Receipt("s0", 50.0 + n / rate, 0.1) for n in range(count)]
     return Life("s0", 50.0, ramp_s, 2.0, receipts)
 
 
 def test_a_cold_server_is_pushed_over_by_more_than_the_multiple() -> None:
-    book = ledger()
-    # Over the first 3 s it can do 2 cores x 3 s x 0.4 on the average = 2.4 s of work, or 24 requests.
-    within = (3 * 24 + COLD_SLACK - 1) / 3.0
-    assert not book.pushed_over(cold_life(within, 3.0))
-    assert book.pushed_over(cold_life(within * 1.2, 3.0))
+    ledger = make_ledger()
+    # Capacity in the first 3 s: 2 cores x 3 s x 0.4 average warmth = 2.4 s of work, or 24 requests.
+    allowed_rate = (3 * 24 + COLD_SLACK - 1) / 3.0
+    assert not ledger.pushed_over(cold_life(allowed_rate, 3.0))
+    assert ledger.pushed_over(cold_life(allowed_rate * 1.2, 3.0))
 
 
 def test_a_burst_is_enough() -> None:
-    book = ledger()
+    ledger = make_ledger()
     life = cold_life(1000.0, 0.1)
-    assert book.pushed_over(life)
+    assert ledger.pushed_over(life)
 
 
 def test_a_warm_server_is_never_pushed_over() -> None:
-    book = ledger()
-    assert not book.pushed_over(cold_life(1000.0, 0.1, ramp_s=0.0))
+    ledger = make_ledger()
+    assert not ledger.pushed_over(cold_life(1000.0, 0.1, ramp_s=0.0))
