--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Outside systems played on loopback, after their published protocols, for tests, rigs and the demo.
+"""Stand-ins of outside systems on loopback, following their public protocols, for tests, rigs and the demo.
 
-They count what they see on their own sockets; nothing here asks the program for its figures.
+They count events on their own sockets and never read the metrics of the program under test.
 """
--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -1,4 +1,4 @@
-"""A check server after the protocol page: queue, cores, cold starts, drains, caps, and faults by script."""
+"""Stand-in of a check server: queue, cores, cold starts, drains, connection limits and scripted faults."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from standins.ports import PORTS
 from standins.wire import Message, WireError, read_message, response
 
-NOT_RUN = {"X-Rejected": "1"}
+REJECTED_HEADERS = {"X-Rejected": "1"}
 
 
 class Rack:
-    """Check servers that drop one another's repeats: what was answered for a key lately, by key and id."""
+    """Check servers that deduplicate together by key and request id, over a window of `window_s`."""
 
     def __init__(self, cell: int, window_s: float) -> None:
         self.cell = cell
@@ -25,15 +25,16 @@
         self.done: dict[tuple[str, str], tuple[float, bytes]] = {}
 
     def recall(self, key: str, call_id: str, now: float) -> bytes | None:
+        """The body of the earlier answer, or None if there is none within the window."""
         at, body = self.done.get((key, call_id), (-1e9, b""))
         return body if now - at <= self.window_s else None
 
 
 class CheckServer:
-    """One check server on a port of its own; `crash`, `start`, `drain` and the attributes are its faults.
+    """One check server on its own port; `crash`, `start` and the attributes inject faults.
 
-    `cores` requests are worked on at a time, each for about `work_s` seconds when warm; `queue` more wait,
-    and beyond that one is turned away. `cap` is the most open connections.
+    It runs `cores` requests at a time, each for about `work_s` seconds when warm, queues up to `queue` more
+    and rejects the rest with 503. `cap` is the maximum number of open connections.
     """
 
     def __init__(
@@ -57,9 +58,9 @@
         self.queue = queue
         self.cap = cap
         self.ramp_s = ramp_s
-        self.slow = 1.0  # times the usual work
+        self.slow = 1.0  # factor on the work of each request
         self.error_rate = 0.0
-        self.silent = False  # a machine that is cut off: reads nothing and says nothing
+        self.silent = False  # partitioned: neither reads nor writes
         self.draining = False
         self.port = 0
         self.started_ms = 0
@@ -68,11 +69,11 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
         self.slots = asyncio.Semaphore(cores)
-        self.held = 0
-        self.opened = 0  # connections, over all lives
+        self.in_flight = 0
+        self.opened = 0  # connections accepted, over all process lifetimes
 
     async def start(self, cold: bool = False) -> CheckServer:
-        """Come up: on the old port after the first time, cold after a crash."""
+        """Listen, on the same port each time; with `cold` the warm-up ramp starts now."""
         self.port = self.port or PORTS.take()
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, backlog=512)
         now = time.monotonic()
@@ -81,12 +82,12 @@
         if cold:
             self.ledger.lives.append(self.life)
         self.slots = asyncio.Semaphore(self.cores)
-        self.held = 0
+        self.in_flight = 0
         self.draining = self.silent = False
         return self
 
     def crash(self) -> None:
-        """The process dies: connections are reset and new ones refused."""
+        """Act as a crashed process: reset all connections and refuse new ones."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -97,12 +98,13 @@
         self.life = None
 
     async def close(self) -> None:
+        """Crash and wait until all connection tasks have ended."""
         self.crash()
         while self.tasks:
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def member(self, phase: str = "SERVING") -> dict[str, Any]:
-        """The entry in discovery's list."""
+        """The server's entry in the list of discovery."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -127,22 +129,22 @@
         self.tasks.add(task)
         try:
             with contextlib.suppress(WireError, ConnectionError, asyncio.IncompleteReadError):
-                await self._converse(reader, writer)
+                await self._serve_requests(reader, writer)
         except asyncio.CancelledError:
-            pass  # the process died
+            pass  # crash() canceled the connection task
         finally:
             self.tasks.discard(task)
             self.writers.discard(writer)
             writer.transport.abort()
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             while self.silent:
                 await asyncio.sleep(0.05)
             message = await read_message(reader)
             if message is None:
                 return
-            answer = await self._unless_gone(self._answer(message), reader)
+            answer = await self._unless_closed(self._answer(message), reader)
             while self.silent:
                 await asyncio.sleep(0.05)
             if answer is None:
@@ -150,18 +152,18 @@
             writer.write(answer)
             await writer.drain()
 
-    async def _unless_gone(
+    async def _unless_closed(
         self, work: Coroutine[Any, Any, bytes], reader: asyncio.StreamReader
     ) -> bytes | None:
-        """The answer, unless the other side ends the connection first: what runs goes on, nothing is said."""
-        working = asyncio.ensure_future(work)
-        gone = asyncio.ensure_future(_at_end(reader))
+        """The answer, or None if the peer closes the connection first, which cancels the work."""
+        answer = asyncio.ensure_future(work)
+        closed = asyncio.ensure_future(_until_closed(reader))
         try:
-            await asyncio.wait({working, gone}, return_when=asyncio.FIRST_COMPLETED)
-            return working.result() if working.done() else None
+            await asyncio.wait({answer, closed}, return_when=asyncio.FIRST_COMPLETED)
+            return answer.result() if answer.done() else None
         finally:
-            gone.cancel()
-            working.cancel()
+            closed.cancel()
+            answer.cancel()
 
     async def _answer(self, message: Message) -> bytes:
         method, target, _ = message.first
@@ -174,12 +176,12 @@
         if method not in ("GET", "POST"):
             return response(400)
         status, body = await self.receive(call_id, message.headers.get("idempotency-key", ""), now)
-        return response(status, body, NOT_RUN if status == 503 else None)
+        return response(status, body, REJECTED_HEADERS if status == 503 else None)
 
     async def receive(self, call_id: str, key: str, now: float) -> tuple[int, bytes]:
-        """One request, whatever protocol brought it: its HTTP status and its body.
+        """Handle one request of any protocol; return its HTTP status and body.
 
-        503 is one that never ran.
+        503 means that the request did not run.
         """
         if call_id not in self.ledger.sent:
             self.ledger.counts["unknown_ids"] += 1
@@ -188,22 +190,22 @@
         self.ledger.counts["attempts"] += 1
         if self.life is not None:
             self.life.receipts.append(Receipt(self.name, now, self.work_s))
-        if self.draining or self.held >= self.cores + self.queue:
+        if self.draining or self.in_flight >= self.cores + self.queue:
             return 503, b""
         return await self._run(call_id, key)
 
     async def _run(self, call_id: str, key: str) -> tuple[int, bytes]:
-        known = self.rack.recall(key, call_id, time.monotonic()) if key else None
-        if known is not None:
-            return 200, known
-        self.held += 1
+        earlier_body = self.rack.recall(key, call_id, time.monotonic()) if key else None
+        if earlier_body is not None:
+            return 200, earlier_body
+        self.in_flight += 1
         try:
             async with self.slots:
                 mark = f"{self.name}:{self.rng.getrandbits(48):012x}"
                 self.ledger.runs(call_id, self.name, self.rack.cell, time.monotonic(), mark)
                 await asyncio.sleep(self.work_s * self.slow * self.rng.uniform(0.7, 1.3) / self._warmth())
         finally:
-            self.held -= 1
+            self.in_flight -= 1
         if self.rng.random() < self.error_rate:
             return 500, b""
         body = f"{call_id} {mark}".encode()
@@ -216,8 +218,8 @@
         return self.ledger.warmth(life, time.monotonic()) if life is not None else 1.0
 
 
-async def _at_end(reader: asyncio.StreamReader) -> None:
-    """Return when the other side has ended the connection; it sends nothing before its answer."""
+async def _until_closed(reader: asyncio.StreamReader) -> None:
+    """Return when the peer has closed the connection; clients do not pipeline requests."""
     while not reader.at_eof():
         await asyncio.sleep(0.02)
         if reader.exception() is not None:
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery after the protocol page: the whole list, watches on changes, and its faults by script."""
+"""Stand-in of discovery: serves full lists and watches of changes, and plays scripted faults."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 Member = dict[str, Any]
 
-DEEMED_TOLD_S = 6.0  # news counts as told this long after it is known, whether or not it arrived
-AFTER_WAIT_S = 2.0  # the same for a call that may wait: so long after its wait
+DELIVERED_AFTER_S = 6.0  # an update counts as delivered this long after its publication at the latest
+DELIVERED_AFTER_WAIT_S = 2.0  # the same for long polls: this long after the maximum wait
 
 
 class Mood(Enum):
-    """How discovery behaves towards calls that come from now on."""
+    """How discovery treats calls that arrive from now on."""
 
     GOOD = "answers"
     SILENT = "accepts and never answers"
@@ -34,26 +34,27 @@
     EMPTY = "answers with a whole list of nobody"
 
 
-WATCH_GAP_S = 0.2  # a watch goes on, at no cost, if its next call comes this soon after the last answer
+MAX_WATCH_GAP_S = 0.2  # a watch call within this time after the previous answer costs no capacity
 
 
 @dataclass(slots=True)
 class View:
-    """What one program sees of discovery: addresses of its own, at a port of its own."""
+    """Discovery as one program sees it: on its own port, with server addresses rewritten for it."""
 
-    via: str = ""  # the program, where there are several
+    via: str = ""  # name of the program, if there are several
     rewrite: Callable[[Member], Member] = lambda member: member
     server: asyncio.Server | None = None
     port: int = 0
-    known_at: dict[str, float] = field(default_factory=dict)  # news of a member that has not been written
+    # By member: when its pending update, which is not yet written to the program, was published.
+    known_at: dict[str, float] = field(default_factory=dict)
     answered_at: float = -1e9
 
 
 class Discovery:
-    """One discovery service; `publish` makes news, `mood` is its fault.
+    """One discovery service; `publish` makes updates, `mood` is its current fault.
 
-    With a `capacity` it works through that many calls a second in turn; one that would wait for more than
-    `patience_s` is turned away with 503. A watch that goes on costs nothing.
+    With a `capacity` it handles that many calls per second in order of arrival; a call that would wait for
+    more than `patience_s` is rejected with 503. The next call of a watch in progress uses no capacity.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -62,11 +63,11 @@
         self.lag_s = 4.0
         self.revision = 1
         self.members: dict[str, dict[str, Any]] = {}
-        self.changed: dict[str, int] = {}  # by member: the revision of its last change
-        self.capacity = 0.0  # calls a second; 0: any number
+        self.changed: dict[str, int] = {}  # by member: revision of its last change
+        self.capacity = 0.0  # calls per second; 0: unlimited
         self.patience_s = 2.0
         self.free_at = 0.0
-        self.worked_times: list[float] = []  # when calls came that cost work, turned away or not
+        self.worked_times: list[float] = []  # arrivals of calls that use capacity, also of rejected ones
         self.turned_away = 0
         self.views = [View()]
         self.frozen: tuple[int, list[dict[str, Any]]] = (0, [])
@@ -74,9 +75,9 @@
         self.lives = 0
         self.calls = 0
         self.call_times: list[float] = []
-        self.oldest_news_s = 0.0  # the longest time from news to its writing
+        self.oldest_news_s = 0.0  # longest time from the publication of an update to its delivery
         self.writers: set[asyncio.StreamWriter] = set()
-        self.opening = asyncio.Lock()  # two that open at once would bind a port twice
+        self.opening = asyncio.Lock()  # concurrent calls of `start` would bind a port twice
 
     @property
     def port(self) -> int:
@@ -84,11 +85,11 @@
 
     @property
     def known_at(self) -> dict[str, float]:
-        """News that has not been written to the program, where there is one."""
+        """Updates that are not yet written to the program, if there is only one."""
         return self.views[0].known_at
 
     def view(self, via: str, rewrite: Callable[[Member], Member]) -> View:
-        """One more program's view, which listens from the next `start` on."""
+        """Add the view of one more program; it listens from the next `start` on."""
         self.views.append(View(via, rewrite))
         return self.views[-1]
 
@@ -110,7 +111,7 @@
             writer.transport.abort()
 
     async def become(self, mood: Mood) -> None:
-        """Change the mood; calls that wait go on as they began, but for DOWN, which ends them."""
+        """Change the mood. Pending calls continue, except for DOWN, which closes their connections."""
         if mood is Mood.DOWN:
             self.close()
         else:
@@ -120,13 +121,13 @@
         self.mood = mood
 
     def forget_watches(self) -> None:
-        """Calls that wait now are never answered, as after a restart that kept the connections."""
+        """Never answer the calls pending now, as after a restart behind a proxy that keeps connections."""
         self.lives += 1
 
-    # News
+    # Updates
 
     def publish(self, members: Iterable[dict[str, Any]]) -> None:
-        """Take in changed entries; phase DELETED takes one off the list."""
+        """Apply changed entries as one revision; phase DELETED removes an entry from the list."""
         self.revision += 1
         now = time.monotonic()
         for member in members:
@@ -135,8 +136,8 @@
             self.changed[name] = self.revision
             for view in self.views:
                 view.known_at[name] = now
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+        updated, self.news = self.news, asyncio.Event()
+        updated.set()
 
     def listed(self) -> list[dict[str, Any]]:
         return [member for member in self.members.values() if member["phase"] != "DELETED"]
@@ -146,38 +147,40 @@
         return {"revision": self.revision, "complete": True, "members": members}
 
     def begins_anew(self, view: View, kept_until: float = float("-inf")) -> None:
-        """A program starts that knows what it was told until `kept_until`; what ended later is news to it."""
+        """A program starts with the state that it had at `kept_until`; later ends are pending updates."""
         now = time.monotonic()
         for name, member in self.members.items():
-            told = self.ledger.ended_at.get((view.via, name), now)
-            if member["phase"] != "SERVING" and told > kept_until:
+            informed_at = self.ledger.ended_at.get((view.via, name), now)
+            if member["phase"] != "SERVING" and informed_at > kept_until:
                 view.known_at[name] = now
                 self.ledger.told_up(name, view.via)
 
-    def _written(self, view: View, members: Iterable[dict[str, Any]], complete: bool) -> None:
-        """These entries have been written to the program: it is told."""
+    def _record_delivered(self, view: View, members: Iterable[dict[str, Any]], complete: bool) -> None:
+        """Record that these entries have been written to the program."""
         now = time.monotonic()
-        told = {member["id"]: member for member in members}
+        delivered = {member["id"]: member for member in members}
         if complete:
-            told = {name: member for name, member in self.members.items() if name not in told} | told
-        for name, member in told.items():
+            delivered = {
+                name: member for name, member in self.members.items() if name not in delivered
+            } | delivered
+        for name, member in delivered.items():
             if self.members.get(name) is not member and name in self.members:
-                continue  # an older entry says nothing of how it is now
-            known = view.known_at.pop(name, None)
-            if known is not None:
-                self.oldest_news_s = max(self.oldest_news_s, now - known)
+                continue  # an outdated entry does not carry the current state
+            published_at = view.known_at.pop(name, None)
+            if published_at is not None:
+                self.oldest_news_s = max(self.oldest_news_s, now - published_at)
             if member["phase"] == "SERVING":
                 self.ledger.told_up(name, view.via)
             else:
                 self.ledger.told_end(name, now, view.via)
 
     def deem_told(self, wait_s: float) -> None:
-        """News that is too old counts as told now, though nothing was written."""
+        """Count updates that are too old as delivered now, although nothing was written."""
         now = time.monotonic()
         for view in self.views:
-            for name, known in list(view.known_at.items()):
-                if now > known + max(DEEMED_TOLD_S, wait_s + AFTER_WAIT_S):
-                    self.oldest_news_s = max(self.oldest_news_s, now - known)
+            for name, published_at in list(view.known_at.items()):
+                if now > published_at + max(DELIVERED_AFTER_S, wait_s + DELIVERED_AFTER_WAIT_S):
+                    self.oldest_news_s = max(self.oldest_news_s, now - published_at)
                     if self.members[name]["phase"] != "SERVING":
                         self.ledger.told_end(name, now, view.via)
 
@@ -197,27 +200,27 @@
             self.writers.discard(writer)
             writer.transport.abort()
 
-    async def _turn(self, view: View, watches: bool) -> bool:
-        """Wait for the call's turn; False where it is turned away."""
+    async def _await_capacity(self, view: View, is_watch: bool) -> bool:
+        """Wait until capacity is available for the call; False if it is rejected."""
         now = time.monotonic()
-        if watches and now - view.answered_at <= WATCH_GAP_S:
+        if is_watch and now - view.answered_at <= MAX_WATCH_GAP_S:
             return True
         self.worked_times.append(now)
         if not self.capacity:
             return True
-        begins = max(now, self.free_at)
-        if begins - now > self.patience_s:
+        starts_at = max(now, self.free_at)
+        if starts_at - now > self.patience_s:
             self.turned_away += 1
             return False
-        self.free_at = begins + 1.0 / self.capacity
-        await asyncio.sleep(begins - now)
+        self.free_at = starts_at + 1.0 / self.capacity
+        await asyncio.sleep(starts_at - now)
         return True
 
     async def _answer(self, view: View, target: str, writer: asyncio.StreamWriter) -> None:
         query = parse_qs(urlsplit(target).query)
         after = int(query["after"][0]) if "after" in query else None
         wait_s = float(query.get("wait_ms", ["0"])[0]) / 1000
-        if not await self._turn(view, after is not None and wait_s > 0.0):
+        if not await self._await_capacity(view, after is not None and wait_s > 0.0):
             writer.write(response(503))
             await writer.drain()
             return
@@ -232,27 +235,29 @@
         elif mood is Mood.EMPTY:
             self._write(view, writer, self.revision, True, [])
         else:
-            await self._good(view, after, wait_s, writer)
+            await self._answer_current(view, after, wait_s, writer)
         await writer.drain()
         view.answered_at = time.monotonic()
 
-    async def _good(self, view: View, after: int | None, wait_s: float, writer: asyncio.StreamWriter) -> None:
+    async def _answer_current(
+        self, view: View, after: int | None, wait_s: float, writer: asyncio.StreamWriter
+    ) -> None:
         lives = self.lives
         if after is not None and after >= self.revision and wait_s > 0:
-            news = self.news
+            updated = self.news
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), wait_s)
-        if writer.is_closing():  # ended by a fault meanwhile: nothing is written, and nobody told
+                await asyncio.wait_for(updated.wait(), wait_s)
+        if writer.is_closing():  # closed by a fault meanwhile: nothing is delivered
             raise ConnectionError
-        if self.mood is Mood.SILENT or lives != self.lives:  # also towards those that waited since before
+        if self.mood is Mood.SILENT or lives != self.lives:  # applies to calls that were already pending, too
             await asyncio.sleep(3600)
         if after is None or after > self.revision:
             self._write(view, writer, self.revision, True, self.listed())
-            self._written(view, self.listed(), complete=True)
+            self._record_delivered(view, self.listed(), complete=True)
             return
         changed = [member for name, member in self.members.items() if self.changed[name] > after]
         self._write(view, writer, self.revision, False, changed)
-        self._written(view, changed, complete=False)
+        self._record_delivered(view, changed, complete=False)
 
     def _write(
         self,
@@ -262,6 +267,6 @@
         complete: bool,
         members: list[dict[str, Any]],
     ) -> None:
-        seen = list(map(view.rewrite, members))
-        body = json.dumps({"revision": revision, "complete": complete, "members": seen}).encode()
+        rewritten = list(map(view.rewrite, members))
+        body = json.dumps({"revision": revision, "complete": complete, "members": rewritten}).encode()
         writer.write(response(200, body))
--- a/standins/errands.py
+++ b/standins/errands.py
@@ -1,4 +1,4 @@
-"""Work that stand-ins begin and wait for at their end."""
+"""Background tasks of the stand-ins."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Errands:
-    """Tasks under way; each is let go when it has ended."""
+    """A set of running background tasks; a task is removed when it ends."""
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
@@ -19,6 +19,6 @@
         task.add_done_callback(self.tasks.discard)
 
     async def settle(self) -> None:
-        """Wait until all have ended, also those that are begun meanwhile."""
+        """Wait until all tasks have ended, including those started during the wait."""
         while self.tasks:
             await asyncio.gather(*list(self.tasks))
--- a/standins/failing_calls.c
+++ b/standins/failing_calls.c
@@ -1,14 +1,14 @@
-/* Makes system calls of one process fail, and steps its wall clock; loaded with LD_PRELOAD.
+/* Injects failures into the system calls of a process and steps its wall clock; loaded with LD_PRELOAD.
  *
- * FAILING_CALLS   rules CALL:ERRNO:FROM_MS:TO_MS:PER_MILLE, set apart by ';'; times run from the load. CALL is
- *                 accept, connect, socket, read or write; ERRNO 0 means a short read or write; any other one
- *                 of a read or write breaks the connection.
- * CLOCK_STEPS     steps AT_MS:SECONDS of CLOCK_REALTIME, set apart by ';'; the sum of those that have come.
- * FAILING_SEED    of what is drawn.
- * FAILING_COUNTS  a file of 64-bit counters, one for each rule and one for readings of a stepped clock.
+ * FAILING_CALLS   rules CALL:ERRNO:FROM_MS:TO_MS:PER_MILLE, separated by ';'; times count from the load. CALL
+ *                 is accept, connect, socket, read or write; ERRNO 0 makes a read or write short, any other
+ *                 ERRNO of a read or write breaks the connection.
+ * CLOCK_STEPS     steps AT_MS:SECONDS of CLOCK_REALTIME, separated by ';'; the steps that are due add up.
+ * FAILING_SEED    seed of the random numbers.
+ * FAILING_COUNTS  file of 64-bit counters, one for each rule and one for reads of a stepped clock.
  *
- * Only sockets of AF_INET are touched, and only connections that this process made itself are broken: one of a
- * client that breaks leaves the client in doubt, whatever this process does. */
+ * Only AF_INET sockets are affected, and only connections opened by this process are broken: a client whose
+ * connection breaks cannot tell whether its request ran, whatever this process does. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -24,7 +24,7 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { MAX_RULES = 16, MAX_STEPS = 8, MAX_PARTS = 64, MAX_FILES = 65536 };
+enum { MAX_RULES = 16, MAX_STEPS = 8, MAX_IOVECS = 64, MAX_DESCRIPTORS = 65536 };
 
 struct rule { char call[16]; int error; long from_ms, to_ms, per_mille; };
 struct step { long at_ms; long seconds; };
@@ -33,42 +33,42 @@
 static struct step steps[MAX_STEPS];
 static int rule_count, step_count;
 static uint64_t *counts;
-static unsigned char made_here[MAX_FILES];
-static uint64_t drawn = 1;
+static unsigned char opened_here[MAX_DESCRIPTORS];
+static uint64_t random_state = 1;
 static struct timespec loaded_at;
-static int (*real_clock)(clockid_t, struct timespec *);
+static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
 static long now_ms(void) {
     struct timespec now;
-    real_clock(CLOCK_MONOTONIC, &now);
+    real_clock_gettime(CLOCK_MONOTONIC, &now);
     return (now.tv_sec - loaded_at.tv_sec) * 1000 + (now.tv_nsec - loaded_at.tv_nsec) / 1000000;
 }
 
 __attribute__((constructor)) static void load(void) {
-    real_clock = dlsym(RTLD_NEXT, "clock_gettime");
-    real_clock(CLOCK_MONOTONIC, &loaded_at);
-    char *text = getenv("FAILING_CALLS"), *save = NULL;
-    for (char *part = text ? strtok_r(strdup(text), ";", &save) : NULL; part && rule_count < MAX_RULES;
-         part = strtok_r(NULL, ";", &save)) {
-        struct rule *one = &rules[rule_count];
-        if (sscanf(part, "%15[^:]:%d:%ld:%ld:%ld", one->call, &one->error, &one->from_ms, &one->to_ms,
-                   &one->per_mille) != 5) abort();
+    real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
+    real_clock_gettime(CLOCK_MONOTONIC, &loaded_at);
+    char *text = getenv("FAILING_CALLS"), *position = NULL;
+    for (char *part = text ? strtok_r(strdup(text), ";", &position) : NULL; part && rule_count < MAX_RULES;
+         part = strtok_r(NULL, ";", &position)) {
+        struct rule *rule = &rules[rule_count];
+        if (sscanf(part, "%15[^:]:%d:%ld:%ld:%ld", rule->call, &rule->error, &rule->from_ms, &rule->to_ms,
+                   &rule->per_mille) != 5) abort();
         rule_count++;
     }
     text = getenv("CLOCK_STEPS");
-    for (char *part = text ? strtok_r(strdup(text), ";", &save) : NULL; part && step_count < MAX_STEPS;
-         part = strtok_r(NULL, ";", &save)) {
+    for (char *part = text ? strtok_r(strdup(text), ";", &position) : NULL; part && step_count < MAX_STEPS;
+         part = strtok_r(NULL, ";", &position)) {
         if (sscanf(part, "%ld:%ld", &steps[step_count].at_ms, &steps[step_count].seconds) != 2) abort();
         step_count++;
     }
     text = getenv("FAILING_SEED");
-    drawn = (text ? strtoull(text, NULL, 10) : 0) * 2654435761u + 88172645463325252u;
-    int file = open(getenv("FAILING_COUNTS"), O_RDWR | O_CREAT, 0600);
+    random_state = (text ? strtoull(text, NULL, 10) : 0) * 2654435761u + 88172645463325252u;
+    int counts_fd = open(getenv("FAILING_COUNTS"), O_RDWR | O_CREAT, 0600);
     size_t size = sizeof(uint64_t) * (MAX_RULES + 1);
-    if (file < 0 || ftruncate(file, size) != 0) abort();
-    counts = mmap(NULL, size, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    if (counts_fd < 0 || ftruncate(counts_fd, size) != 0) abort();
+    counts = mmap(NULL, size, PROT_READ | PROT_WRITE, MAP_SHARED, counts_fd, 0);
     if (counts == MAP_FAILED) abort();
-    close(file);
+    close(counts_fd);
 }
 
 static int is_inet(int fd) {
@@ -77,102 +77,105 @@
     return getsockname(fd, (struct sockaddr *)&name, &size) == 0 && name.ss_family == AF_INET;
 }
 
-/* The rule that strikes this call now, counted; NULL: none. */
-static struct rule *strikes(const char *call, int may_break) {
+/* Returns the rule that applies to this call now and counts its use, or NULL. */
+static struct rule *match_rule(const char *call, int may_break) {
     for (int i = 0; counts && i < rule_count; i++) {
-        struct rule *one = &rules[i];
-        if (strcmp(one->call, call) != 0 || (one->error && !may_break)) continue;
+        struct rule *rule = &rules[i];
+        if (strcmp(rule->call, call) != 0 || (rule->error && !may_break)) continue;
         long now = now_ms();
-        if (now < one->from_ms || now >= one->to_ms) continue;
-        drawn ^= drawn << 13; drawn ^= drawn >> 7; drawn ^= drawn << 17;
-        if ((long)(drawn % 1000) >= one->per_mille) continue;
+        if (now < rule->from_ms || now >= rule->to_ms) continue;
+        random_state ^= random_state << 13;
+        random_state ^= random_state >> 7;
+        random_state ^= random_state << 17;
+        if ((long)(random_state % 1000) >= rule->per_mille) continue;
         __atomic_add_fetch(&counts[i], 1, __ATOMIC_RELAXED);
-        return one;
+        return rule;
     }
     return NULL;
 }
 
-static int fails(const char *call) {
-    struct rule *one = strikes(call, 1);
-    if (one) errno = one->error;
-    return one != NULL;
+static int inject_failure(const char *call) {
+    struct rule *rule = match_rule(call, 1);
+    if (rule) errno = rule->error;
+    return rule != NULL;
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-static int taken(int fd) {
-    if (fd >= 0 && fd < MAX_FILES) made_here[fd] = 0;
+static int mark_accepted(int fd) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) opened_here[fd] = 0;
     return fd;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
-    if (is_inet(fd) && fails("accept")) return -1;
-    return taken(REAL(accept4)(fd, address, size, flags));
+    if (is_inet(fd) && inject_failure("accept")) return -1;
+    return mark_accepted(REAL(accept4)(fd, address, size, flags));
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *size) {
-    if (is_inet(fd) && fails("accept")) return -1;
-    return taken(REAL(accept)(fd, address, size));
+    if (is_inet(fd) && inject_failure("accept")) return -1;
+    return mark_accepted(REAL(accept)(fd, address, size));
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
-    if (address->sa_family == AF_INET && fails("connect")) return -1;
-    if (fd < MAX_FILES) made_here[fd] = 1;
+    if (address->sa_family == AF_INET && inject_failure("connect")) return -1;
+    if (fd < MAX_DESCRIPTORS) opened_here[fd] = 1;
     return REAL(connect)(fd, address, size);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (domain == AF_INET && fails("socket")) return -1;
+    if (domain == AF_INET && inject_failure("socket")) return -1;
     return REAL(socket)(domain, type, protocol);
 }
 
-/* How many bytes a call may move: 0 where it fails, with errno set. */
-static size_t room(int fd, const char *call, size_t wanted) {
-    struct rule *one = wanted > 1 && is_inet(fd) ? strikes(call, fd < MAX_FILES && made_here[fd]) : NULL;
-    if (!one) return wanted;
-    if (!one->error) return wanted > 4096 ? 4096 : (wanted + 1) / 2;
+/* Returns how many bytes a call may transfer, or 0 with errno set if the call fails. */
+static size_t allowed_bytes(int fd, const char *call, size_t requested) {
+    struct rule *rule =
+        requested > 1 && is_inet(fd) ? match_rule(call, fd < MAX_DESCRIPTORS && opened_here[fd]) : NULL;
+    if (!rule) return requested;
+    if (!rule->error) return requested > 4096 ? 4096 : (requested + 1) / 2;
     shutdown(fd, SHUT_RDWR);
-    errno = one->error;
+    errno = rule->error;
     return 0;
 }
 
 ssize_t read(int fd, void *data, size_t size) {
-    size_t most = room(fd, "read", size);
-    return size && !most ? -1 : REAL(read)(fd, data, most);
+    size_t allowed = allowed_bytes(fd, "read", size);
+    return size && !allowed ? -1 : REAL(read)(fd, data, allowed);
 }
 
 ssize_t recv(int fd, void *data, size_t size, int flags) {
-    size_t most = flags & MSG_PEEK ? size : room(fd, "read", size);
-    return size && !most ? -1 : REAL(recv)(fd, data, most, flags);
+    size_t allowed = flags & MSG_PEEK ? size : allowed_bytes(fd, "read", size);
+    return size && !allowed ? -1 : REAL(recv)(fd, data, allowed, flags);
 }
 
 ssize_t write(int fd, const void *data, size_t size) {
-    size_t most = room(fd, "write", size);
-    return size && !most ? -1 : REAL(write)(fd, data, most);
+    size_t allowed = allowed_bytes(fd, "write", size);
+    return size && !allowed ? -1 : REAL(write)(fd, data, allowed);
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
-    size_t most = room(fd, "write", size);
-    return size && !most ? -1 : REAL(send)(fd, data, most, flags);
+    size_t allowed = allowed_bytes(fd, "write", size);
+    return size && !allowed ? -1 : REAL(send)(fd, data, allowed, flags);
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
-    size_t all = 0;
-    for (int i = 0; i < count; i++) all += parts[i].iov_len;
-    size_t most = room(fd, "write", all);
-    if (all && !most) return -1;
-    if (most == all || count > MAX_PARTS) return REAL(writev)(fd, parts, count);
-    struct iovec cut[MAX_PARTS];
+ssize_t writev(int fd, const struct iovec *vectors, int count) {
+    size_t total = 0;
+    for (int i = 0; i < count; i++) total += vectors[i].iov_len;
+    size_t allowed = allowed_bytes(fd, "write", total);
+    if (total && !allowed) return -1;
+    if (allowed == total || count > MAX_IOVECS) return REAL(writev)(fd, vectors, count);
+    struct iovec shortened[MAX_IOVECS];
     int used = 0;
-    for (; used < count && most; used++) {
-        cut[used] = parts[used];
-        if (cut[used].iov_len > most) cut[used].iov_len = most;
-        most -= cut[used].iov_len;
+    for (; used < count && allowed; used++) {
+        shortened[used] = vectors[used];
+        if (shortened[used].iov_len > allowed) shortened[used].iov_len = allowed;
+        allowed -= shortened[used].iov_len;
     }
-    return REAL(writev)(fd, cut, used);
+    return REAL(writev)(fd, shortened, used);
 }
 
-static long stepped(void) {
+static long clock_offset_s(void) {
     long seconds = 0, now = step_count ? now_ms() : 0;
     for (int i = 0; i < step_count; i++)
         if (now >= steps[i].at_ms) seconds += steps[i].seconds;
@@ -181,14 +184,15 @@
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    if (!real_clock) real_clock = dlsym(RTLD_NEXT, "clock_gettime");
-    int result = real_clock(clock, now);
-    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) now->tv_sec += stepped();
+    if (!real_clock_gettime) real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
+    int result = real_clock_gettime(clock, now);
+    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+        now->tv_sec += clock_offset_s();
     return result;
 }
 
 int gettimeofday(struct timeval *now, void *zone) {
     int result = REAL(gettimeofday)(now, zone);
-    if (result == 0) now->tv_sec += stepped();
+    if (result == 0) now->tv_sec += clock_offset_s();
     return result;
 }
--- a/standins/failing_calls.py
+++ b/standins/failing_calls.py
@@ -1,6 +1,7 @@
-"""System calls of the real program that fail, and its stepped wall clock; by an interposer in C.
+"""Fault injection into the real program by an interposer in C: failing system calls and wall-clock steps.
 
-`python -m standins.failing_calls` builds it (a step of `.ci/run`). Its environment goes to the program alone.
+`python -m standins.failing_calls` builds the interposer (a step of `.ci/run`). Only the program gets its
+environment variables.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 SOURCE = Path(__file__).with_suffix(".c")
 LIBRARY = Path(sys.prefix) / "lib" / "failing_calls.so"
-MAX_RULES = 16  # as the interposer has it
+MAX_RULES = 16  # equals MAX_RULES in failing_calls.c
 COUNTER = struct.Struct("Q")
 
 
 def build() -> Path:
-    """The interposer, compiled where it is older than its source; raises CalledProcessError or OSError."""
+    """Compile the interposer if its source is newer; raises CalledProcessError or OSError."""
     if not LIBRARY.is_file() or LIBRARY.stat().st_mtime < SOURCE.stat().st_mtime:
         command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(LIBRARY), str(SOURCE), "-ldl"]
         subprocess.run(command, check=True)
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True)
 class FailingCall:
-    """One call fails with `error` in a share of its uses, from `from_s` to `to_s` after the program's start.
+    """A rule: a share of the uses of `call` fails with errno `error`, from `from_s` to `to_s` after start.
 
     `call` is accept, connect, socket, read or write; `error` 0 makes a read or write short.
     """
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True)
 class FaultPlan:
-    """What becomes of one program's calls and clock; `steps` are (seconds after the start, step)."""
+    """The faults of one program. `steps` are wall-clock steps: (seconds after the start, step in seconds)."""
 
     folder: Path
     calls: list[FailingCall] = field(default_factory=list)
@@ -62,7 +63,7 @@
         }
 
     def injected(self) -> list[int]:
-        """How often each failing call struck; and last how often a stepped clock was read."""
+        """How often each rule was applied, followed by how often the stepped clock was read."""
         data = (self.folder / "counts").read_bytes()
         counts = [number for (number,) in COUNTER.iter_unpack(data)]
         return [*counts[: len(self.calls)], counts[MAX_RULES]]
--- a/standins/grpc_client.py
+++ b/standins/grpc_client.py
@@ -1,4 +1,4 @@
-"""A gRPC application on grpcio: open-loop calls, each with one final outcome, and its trailers compared."""
+"""A gRPC application on grpcio: sends open-loop calls, records the final outcomes and checks trailers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class GrpcApplication:
-    """`run` sends; all calls have ended after `settle`. A refused call is tried again at once.
+    """`run` sends calls, and `settle` waits until all of them have ended.
 
-    `retries` times.
+    A refused call is retried at once, up to `retries` times.
     """
 
     numbers = count()
@@ -55,35 +55,35 @@
         await self.channel.close()
 
     async def one(self, call_id: str) -> None:
-        """A call from its taking to its one final outcome."""
+        """Make a call, with its retries, and record its final outcome."""
         sent = self.ledger.sends(call_id, call_id, time.monotonic(), self.budget_s, True)
         final: Final = "refused"
         mark = ""
-        for again in range(self.retries + 1):
-            left = sent.at + self.budget_s - time.monotonic()
-            if left <= 0.05:
+        for attempt in range(self.retries + 1):
+            left_s = sent.at + self.budget_s - time.monotonic()
+            if left_s <= 0.05:
                 break
-            final, mark = await self._try(call_id, left, again)
+            final, mark = await self._try(call_id, left_s, attempt)
             if final != "refused":
                 break
         self.ledger.answered(call_id, final, time.monotonic(), mark)
 
-    async def _try(self, call_id: str, left: float, again: int) -> tuple[Final, str]:
+    async def _try(self, call_id: str, left_s: float, previous_attempts: int) -> tuple[Final, str]:
         metadata = [("x-call-id", call_id), ("idempotency-key", call_id), ("x-caller", "t0")]
-        if again:
-            metadata.append(("grpc-previous-rpc-attempts", str(again)))
-        call = self.channel.unary_unary(RUN)(b"{}", timeout=left, metadata=metadata)
+        if previous_attempts:
+            metadata.append(("grpc-previous-rpc-attempts", str(previous_attempts)))
+        call = self.channel.unary_unary(RUN)(b"{}", timeout=left_s, metadata=metadata)
         try:
             body = await call
         except grpc.aio.AioRpcError as error:
             return ("refused" if error.code() in REFUSED else "failed"), ""
         trailers = dict(await call.trailing_metadata())
         self.trailers_changed += trailers.get("x-mark") != body.decode()
-        told_id, _, mark = body.decode().partition(" ")
-        return "served", mark if told_id == call_id else ""
+        answered_id, _, mark = body.decode().partition(" ")
+        return "served", mark if answered_id == call_id else ""
 
     async def status(self, code: int) -> tuple[int, str, str]:
-        """The status that a call gets whose server says `code`; its message and its mark."""
+        """Make a call that the server answers with status `code`; return its status, message and mark."""
         call = self.channel.unary_unary(STATUS)(b"%d" % code, timeout=5.0)
         try:
             await call
@@ -93,7 +93,7 @@
         return 0, "", str(dict(await call.trailing_metadata()).get("x-mark", ""))
 
     async def stream(self, messages: int, gap_s: float) -> None:
-        """One bidirectional stream; each message must come back as it was."""
+        """Run one bidirectional stream; each message must be echoed unchanged."""
         self.streams += 1
         call = self.channel.stream_stream(ECHO)(timeout=20.0)
         try:
--- a/standins/grpc_server.py
+++ b/standins/grpc_server.py
@@ -1,8 +1,7 @@
-"""A check server that speaks gRPC beside HTTP/1.1, on grpcio: one queue, one rack and one book for both.
+"""A check server that serves gRPC, on grpcio, besides HTTP/1.1; both share its queue, rack and ledger.
 
-Its gRPC port is its HTTP/1.1 port and `OFFSET`. `/check.Checks/Run` is the ordinary call,
-`/check.Checks/Status` answers with the status that its request names, `/check.Checks/Echo` sends back what
-comes.
+Its gRPC port is its HTTP/1.1 port plus `OFFSET`. `/check.Checks/Run` is the ordinary call,
+`/check.Checks/Status` answers with the status given in its request, `/check.Checks/Echo` echoes messages.
 """
 
 from __future__ import annotations
@@ -20,11 +19,13 @@
 from standins.ledger import Ledger
 
 OFFSET = 7
-TRIES = 50
+MAX_PORT_TRIES = 50
 CODES = {code.value[0]: code for code in grpc.StatusCode}
 
 
 class GrpcCheckServer(CheckServer):
+    """A check server with a second port for gRPC."""
+
     def __init__(
         self, name: str, rack: Rack, ledger: Ledger, rng: random.Random, work_s: float, ramp_s: float
     ) -> None:
@@ -36,7 +37,7 @@
     async def start(self, cold: bool = False) -> GrpcCheckServer:
         if self.ending is not None:
             await self.ending
-        for _ in range(TRIES):
+        for _ in range(MAX_PORT_TRIES):
             await super().start(cold)
             server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
             server.add_generic_rpc_handlers(
@@ -46,12 +47,12 @@
                 server.add_insecure_port(f"127.0.0.1:{self.port + OFFSET}")
             except RuntimeError:
                 super().crash()
-                self.port = 0  # its neighbour is taken: another pair
+                self.port = 0  # the gRPC port is in use: take another pair of ports
                 continue
             await server.start()
             self.grpc = server
             return self
-        raise RuntimeError("no pair of free ports")
+        raise RuntimeError("no pair of free ports for HTTP/1.1 and gRPC")
 
     def _methods(self) -> dict[str, Any]:
         return {
@@ -72,9 +73,9 @@
             await self.ending
 
     async def _run_call(self, request: bytes, context: Any) -> bytes:
-        told = dict(context.invocation_metadata() or ())
-        call_id = told.get("x-call-id", "")
-        status, body = await self.receive(call_id, told.get("idempotency-key", ""), time.monotonic())
+        metadata = dict(context.invocation_metadata() or ())
+        call_id = metadata.get("x-call-id", "")
+        status, body = await self.receive(call_id, metadata.get("idempotency-key", ""), time.monotonic())
         if status == 200:
             context.set_trailing_metadata((("x-mark", body.decode()),))
             return body
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -109,13 +109,11 @@
         self.sent: dict[str, Sent] = {}
         self.answers: dict[str, int] = defaultdict(int)
         self.ran: dict[str, list[Execution]] = defaultdict(list)
-        self.made: dict[str, set[str]] = defaultdict(
-            set
-        )  # marks of the answers that servers produced, by request id
+        # Marks of the answers that servers produced, by request id.
+        self.made: dict[str, set[str]] = defaultdict(set)
         self.wrong_answers: list[str] = []
-        self.ended_at: dict[
-            tuple[str, str], float
-        ] = {}  # by (program, server): when the program was informed
+        # When the program was informed of the server's end, by program and server.
+        self.ended_at: dict[tuple[str, str], float] = {}
         self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_sends: list[tuple[str, str, float]] = []
         self.own_ways: set[str] = set()  # requests that a proxy forwarded without a decision
@@ -198,7 +196,9 @@
             )
             sent = self.sent.get(call_id)
             refused = (
-                sent is not None and sent.final == "refused" and any(run.at <= sent.final_at for run in runs)
+                sent is not None
+                and sent.final == "refused"
+                and any(execution.at <= sent.final_at for execution in runs)
             )
             if not_deduplicated or refused:
                 violations.append(call_id)
--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -1,7 +1,6 @@
-"""A check server whose connections fail: closed early, dropped in silence, reset under a request, capped.
+"""A check server with connection faults: early idle close, silent drop, reset during a request.
 
-It keeps the book of its connections: when each was opened, when it was first used, and which requests came
-on one that was dead already.
+It records when each connection was opened and first used, and which requests arrived on a dead connection.
 """
 
 from __future__ import annotations
@@ -17,37 +16,37 @@
 
 @dataclass(slots=True)
 class Opened:
-    """One connection, as the server saw it."""
+    """One accepted connection: when it was opened and first used."""
 
     at: float
     used_at: float | None = None
 
 
 class FaultyServer(CheckServer):
-    """`idle_close_s` and `drops_idle_s` are 0 where the fault is off; see the module's text."""
+    """A check server with connection faults; 0 or False turns a fault off."""
 
-    idle_close_s = 0.0  # closes a connection that stood idle for so long, sooner than told
-    drops_idle_s = 0.0  # something in between drops it in silence: what comes then is never seen
-    closes_after = False  # closes after each answer, without saying so
-    resets_kept = 0.0  # share of requests on kept connections that are reset before they are read
+    idle_close_s = 0.0  # closes a connection after this idle time, earlier than announced
+    drops_idle_s = 0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
+    closes_after = False  # closes after each answer without `Connection: close`
+    resets_kept = 0.0  # share of requests on reused connections that are answered by a reset
 
-    def __init__(self, *words: object, **settings: object) -> None:
-        super().__init__(*words, **settings)  # type: ignore[arg-type]
+    def __init__(self, *arguments: object, **options: object) -> None:
+        super().__init__(*arguments, **options)  # type: ignore[arg-type]
         self.book: list[Opened] = []
-        self.swallowed: list[tuple[str, float]] = []  # requests that came on a dead connection, and when
-        self.idle_closes = 0
+        self.swallowed: list[tuple[str, float]] = []  # requests on a dead connection: call id, arrival time
+        self.idle_close_count = 0
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         opened = Opened(time.monotonic())
         self.book.append(opened)
         while True:
             idle_from = time.monotonic()
-            used = opened.used_at is not None
+            reused = opened.used_at is not None
             try:
-                limit = self.idle_close_s if used and self.idle_close_s else None
-                message = await asyncio.wait_for(read_message(reader), limit)
+                timeout_s = self.idle_close_s if reused and self.idle_close_s else None
+                message = await asyncio.wait_for(read_message(reader), timeout_s)
             except TimeoutError:
-                self.idle_closes += 1
+                self.idle_close_count += 1
                 return
             if message is None:
                 return
@@ -55,14 +54,14 @@
             if opened.used_at is None:
                 opened.used_at = now
             call_id = message.headers.get("x-call-id", "")
-            if used and self.drops_idle_s and now - idle_from > self.drops_idle_s:
+            if reused and self.drops_idle_s and now - idle_from > self.drops_idle_s:
                 self.swallowed.append((call_id, now))
-                await reader.read()  # nobody is there, until the other side gives up
+                await reader.read()  # no answer until the peer closes the connection
                 return
-            if used and self.rng.random() < self.resets_kept:
+            if reused and self.rng.random() < self.resets_kept:
                 self.swallowed.append((call_id, now))
-                return  # the connection is reset, with the request unread
-            answer = await self._unless_gone(self._answer(message), reader)
+                return  # resets the connection without handling the request
+            answer = await self._unless_closed(self._answer(message), reader)
             if answer is None:
                 return
             writer.write(answer)
@@ -71,5 +70,5 @@
                 return
 
     def opens_peak(self, since: float, until: float) -> int:
-        """The most connections that were opened within any second of a span."""
-        return peak([one.at for one in self.book if since <= one.at < until], 1.0)
+        """The highest number of connections opened within any second of a time span."""
+        return peak([opened.at for opened in self.book if since <= opened.at < until], 1.0)
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,15 +1,15 @@
-"""A link between two parties that talk over TCP: a relay whose ways can be held, dropped, delayed or cut.
+"""A TCP relay between two processes with faults per direction: hold, drop, delay; and cut for both.
 
-Each way has its own fault, so that a link can let through one way only. What a link does:
+Each direction has its own fault, so that a link can be faulty in one direction only:
 
-| fault | on that way | when it ends |
+| fault | effect on the direction | when the fault ends |
 | --- | --- | --- |
-| hold | bytes wait | they are passed on, in order |
-| drop | bytes are thrown away, as by a network that is cut | connections that lost some are reset |
-| delay | bytes come so much later, in order | |
+| hold | bytes are buffered | they are forwarded in order |
+| drop | bytes are discarded, as in a network partition | connections that lost bytes are reset |
+| delay | bytes are forwarded later by a fixed time, in order | |
 
-`cut` ends all connections at once and refuses new ones until `mend`; `shut` and `open` do the same without
-any fault, for a target that does not listen: a dial that the target would refuse must be refused here too.
+`cut` resets all connections and refuses new ones until `mend`. `shut` and `open` do the same when the target
+stops and starts listening: a dial that the target would refuse must be refused by the link, too.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 class Way(Enum):
-    OUT = 0  # from who dials
-    BACK = 1
+    OUT = 0  # from the dialing side to the target
+    BACK = 1  # from the target to the dialing side
 
 
 @dataclass(slots=True)
 class Fault:
-    """What one way of a link does with bytes."""
+    """The fault of one direction of a link."""
 
     held: bool = False
     dropped: bool = False
@@ -40,147 +40,150 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pair:
-    """One relayed connection: the side that dialled and the side that was dialled."""
+class RelayedConnection:
+    """One relayed connection: a transport to the dialing side and one to the target."""
 
     link: Link
-    sides: dict[Way, asyncio.Transport] = field(default_factory=dict)  # by the way of what comes there
-    kept: dict[Way, deque[bytes]] = field(default_factory=lambda: {way: deque() for way in Way})
-    lost: bool = False  # bytes of it were thrown away
-    over: bool = False
+    sides: dict[Way, asyncio.Transport] = field(default_factory=dict)  # by the direction of received bytes
+    buffered: dict[Way, deque[bytes]] = field(default_factory=lambda: {way: deque() for way in Way})
+    lost_bytes: bool = False  # bytes of this connection were discarded
+    ended: bool = False
 
-    def came(self, way: Way, data: bytes) -> None:
-        """Bytes came on a way."""
+    def received(self, way: Way, data: bytes) -> None:
+        """Forward, buffer or discard bytes received in a direction."""
         fault = self.link.faults[way]
         if fault.dropped:
-            self.lost = True
+            self.lost_bytes = True
             return
-        self.kept[way].append(data)
+        self.buffered[way].append(data)
         if fault.delay_s:
             asyncio.get_running_loop().call_later(fault.delay_s, self.flush, way)
         else:
             self.flush(way)
 
     def flush(self, way: Way) -> None:
-        """Pass on what waits, where the other side is there and nothing holds it."""
-        onto = self.sides.get(Way.BACK if way is Way.OUT else Way.OUT)
-        if onto is None or self.over or self.link.faults[way].held:
+        """Forward the buffered bytes if the other side is connected and the direction is not held."""
+        destination = self.sides.get(Way.BACK if way is Way.OUT else Way.OUT)
+        if destination is None or self.ended or self.link.faults[way].held:
             return
-        while self.kept[way]:
-            onto.write(self.kept[way].popleft())
+        while self.buffered[way]:
+            destination.write(self.buffered[way].popleft())
 
     def end(self) -> None:
         """Reset both sides."""
-        if not self.over:
-            self.over = True
-            self.link.pairs.discard(self)
+        if not self.ended:
+            self.ended = True
+            self.link.connections.discard(self)
             for transport in self.sides.values():
                 transport.abort()
 
 
-class Side(asyncio.Protocol):
-    """One end of a pair; bytes that come here go on `way`."""
+class RelayProtocol(asyncio.Protocol):
+    """One end of a relayed connection; bytes received here travel in direction `way`."""
 
-    def __init__(self, pair: Pair, way: Way) -> None:
-        self.pair = pair
+    def __init__(self, connection: RelayedConnection, way: Way) -> None:
+        self.connection = connection
         self.way = way
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        if self.pair.over:
+        if self.connection.ended:
             transport.abort()
             return
-        self.pair.sides[self.way] = transport
+        self.connection.sides[self.way] = transport
         if self.way is Way.OUT:
-            self.pair.link.dialled(self.pair)
+            self.connection.link.dialled(self.connection)
         else:
-            self.pair.flush(Way.OUT)
+            self.connection.flush(Way.OUT)
 
     def data_received(self, data: bytes) -> None:
-        self.pair.came(self.way, data)
+        self.connection.received(self.way, data)
 
     def eof_received(self) -> bool:
-        self.pair.end()
+        self.connection.end()
         return False
 
     def connection_lost(self, problem: Exception | None) -> None:
-        fault = self.pair.link.faults[self.way]
+        fault = self.connection.link.faults[self.way]
         if fault.held or fault.dropped:
-            return  # nor does its end come through
-        self.pair.end()
+            return  # the end of the connection is not forwarded either
+        self.connection.end()
 
 
 class Link:
-    """From `name` to a target port; listens on a port of its own from `open` on."""
+    """A link to a target port on loopback; it listens on its own port from `open` on."""
 
     def __init__(self, name: str, target: int) -> None:
         self.name = name
         self.target = target
         self.port = PORTS.take()
         self.faults = {way: Fault() for way in Way}
-        self.pairs: set[Pair] = set()
+        self.connections: set[RelayedConnection] = set()
         self.dial_times: list[float] = []
         self.is_cut = False
-        self.wanted = False
+        self.should_listen = False
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> Link:
         """Listen, unless the link is cut."""
-        self.wanted = True
+        self.should_listen = True
         if self.server is None and not self.is_cut:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
-                lambda: Side(Pair(self), Way.OUT), "127.0.0.1", self.port, backlog=BACKLOG
+                lambda: RelayProtocol(RelayedConnection(self), Way.OUT),
+                "127.0.0.1",
+                self.port,
+                backlog=BACKLOG,
             )
         return self
 
     def shut(self) -> None:
-        """Refuse dials and reset what is open."""
-        self.wanted = False
+        """Refuse dials and reset open connections."""
+        self.should_listen = False
         self._stop()
 
     def _stop(self) -> None:
         if self.server is not None:
             self.server.close()
             self.server = None
-        for pair in list(self.pairs):
-            pair.end()
+        for connection in list(self.connections):
+            connection.end()
 
     def cut(self) -> None:
         self.is_cut = True
         self._stop()
 
     async def mend(self) -> None:
-        """End all faults: what was held goes on, connections that lost bytes are reset."""
+        """End all faults: forward held bytes, and reset connections that lost bytes."""
         self.faults = {way: Fault() for way in Way}
-        for pair in list(self.pairs):
-            gone = any(transport.is_closing() for transport in pair.sides.values())
-            if pair.lost or gone:
-                pair.end()
+        for connection in list(self.connections):
+            one_side_closed = any(transport.is_closing() for transport in connection.sides.values())
+            if connection.lost_bytes or one_side_closed:
+                connection.end()
             else:
                 for way in Way:
-                    pair.flush(way)
+                    connection.flush(way)
         if self.is_cut:
             self.is_cut = False
-            if self.wanted:
+            if self.should_listen:
                 await self.open()
 
-    def dialled(self, pair: Pair) -> None:
-        """Somebody has connected: connect to the target, whose refusal is passed on."""
-        self.pairs.add(pair)
+    def dialled(self, connection: RelayedConnection) -> None:
+        """Connect to the target for a new connection; a refusal resets the connection."""
+        self.connections.add(connection)
         self.dial_times.append(asyncio.get_running_loop().time())
-        task = asyncio.create_task(self._connect(pair))
+        task = asyncio.create_task(self._connect(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _connect(self, pair: Pair) -> None:
+    async def _connect(self, connection: RelayedConnection) -> None:
         loop = asyncio.get_running_loop()
-        dial = loop.create_connection(lambda: Side(pair, Way.BACK), "127.0.0.1", self.target)
+        dial = loop.create_connection(lambda: RelayProtocol(connection, Way.BACK), "127.0.0.1", self.target)
         try:
             await asyncio.wait_for(dial, CONNECT_S)
         except (OSError, TimeoutError):
-            pair.end()
+            connection.end()
 
     async def close(self) -> None:
         self.shut()
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's part: the program's configuration, its start, its signals and its end."""
+"""Stand-in of the platform: writes the program's configuration and starts, signals and stops it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).parent.parent
 READY_S = 20.0
-END_S = 10.0
+STOP_TIMEOUT_S = 10.0
 AIM_S = 1.0
 WINDOW_S = 6.0
 GRACE_S = 0.5
@@ -27,12 +27,12 @@
 FALL_MULTIPLE = 3.0
 FALL_S = 3.0
 NS = 1_000_000_000
-SEED_STEP = 0x9E3779B9  # between the seeds of two lives
+SEED_STEP = 0x9E3779B9  # difference between the seeds of two successive starts
 
 
 def settings(fleet_size: int = 3, ramp_s: float = 6.0, retry_after: bool = False) -> dict[str, Any]:
     """The settings object of a small deployment with one keyed class."""
-    grade = {
+    request_class = {
         "name": "check",
         "aimNs": int(AIM_S * NS),
         "deadlineNs": 3 * NS,
@@ -49,7 +49,7 @@
         "zones": ["a"],
         "hostTypes": ["m"],
         "membershipMode": "ask",
-        "grades": [grade],
+        "grades": [request_class],
         "tenants": [{"name": "t0", "share": 1.0, "allowancePerS": 1000.0}],
         "limits": {
             "maxAttempts": 5,
@@ -69,11 +69,11 @@
     }
 
 
-MEMORY = Path("/dev/shm")  # as TMPDIR on the platform counts as memory; one disk would stall all programs
+MEMORY = Path("/dev/shm")  # the platform counts TMPDIR as memory; a shared disk would stall all programs
 
 
 class Program:
-    """The real program as a process of its own, with a configuration file that can be changed."""
+    """The real program as a separate process, with a configuration file that can be changed."""
 
     def __init__(
         self,
@@ -87,10 +87,10 @@
         name: str = "n0",
     ) -> None:
         self.seed = seed
-        self.root = root  # of the checkout that is run
+        self.root = root  # root folder of the checkout to run
         self.folder = tempfile.TemporaryDirectory(prefix="rig-", dir=MEMORY if MEMORY.is_dir() else None)
         self.path = Path(self.folder.name) / "config.json"
-        self.state = Path(self.folder.name) / "tmp"  # TMPDIR, which outlives a process where it is told to
+        self.state = Path(self.folder.name) / "tmp"  # TMPDIR of the program; kept across restarts
         self.state.mkdir()
         self.log = Path(self.folder.name) / "log"
         self.port = PORTS.take()
@@ -99,14 +99,14 @@
             "name": name,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{discovery_port}",
-            "seed": "",  # new with each start
+            "seed": "",  # set at each start
             "limits": {"cores": 1.0, "memory_mb": 80, "sockets": sockets},
             "known": known,
             "settings": facts,
         }
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        atexit.register(self.cleanup)  # a rig that ends by an error must leave no program behind
+        atexit.register(self.cleanup)  # a rig that ends with an error must not leave a process behind
 
     async def start(self) -> Program:
         self.told["seed"] = f"{(self.seed + SEED_STEP * self.starts) & 0xFFFFFFFF:x}"
@@ -128,8 +128,8 @@
         return self
 
     async def _ready(self) -> None:
-        end = time.monotonic() + READY_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + READY_S
+        while time.monotonic() < deadline:
             assert self.process is not None
             if self.process.returncode is not None:
                 raise RuntimeError(f"the program ended at its start with code {self.process.returncode}")
@@ -148,36 +148,36 @@
         self.process.send_signal(number)
 
     def reload(self, **changes: Any) -> None:
-        """Write the configuration anew and say so."""
+        """Rewrite the configuration with these changes and send SIGHUP."""
         self.told |= changes
         self.path.write_text(json.dumps(self.told))
         self.signal(signal.SIGHUP)
 
     async def restart(self) -> None:
-        """A planned restart."""
+        """Stop with SIGTERM and start again."""
         await self.stop()
         await self.start()
 
     async def stop(self) -> int:
-        """End it as planned; its exit code."""
+        """Send SIGTERM, or SIGKILL after `STOP_TIMEOUT_S`; return the exit code."""
         assert self.process is not None
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.wait_for(self.process.wait(), END_S)
+            return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             return await self.process.wait()
 
     async def kill(self) -> None:
-        """End it as a machine does that loses its power."""
+        """Send SIGKILL, as if the machine lost power."""
         assert self.process is not None
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for a while, as a machine does that is short of everything."""
+        """Suspend the process for a while, as on a machine without free resources."""
         self.signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
@@ -185,8 +185,9 @@
             self.signal(signal.SIGCONT)
 
     def cleanup(self) -> None:
+        """Kill the process if it runs, and delete its folder."""
         atexit.unregister(self.cleanup)
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.process.pid, signal.SIGKILL)  # also where its loop has been closed
+                os.kill(self.process.pid, signal.SIGKILL)  # works after the event loop has been closed, too
         self.folder.cleanup()
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,9 +1,9 @@
-"""Ports that stay free for who comes back to them.
+"""Ports for listeners that close and later listen on the same port again.
 
-A port of the system's own choice is from the range that it also gives to connections that are dialled:
-whoever stops listening there may find it taken by some connection when it comes back. So those that listen
-again choose from below that range. Several rigs at once: each process holds a block of its own, by listening
-at its first port. One that plays many times comes round: a port is given again after all others of the block.
+A port chosen by the kernel comes from the ephemeral range, which outgoing connections use as well, so it may
+be taken when a listener returns to it. These ports are therefore below that range. Several rigs can run at
+the same time: each process reserves a block by listening on its first port. Ports of a block are used in
+rotation, so a port is reused only after all others of the block.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 
 
 class Ports:
-    """One process's block; made when it is first asked for a port."""
+    """The port block of one process, reserved at the first call of `take`."""
 
     def __init__(self) -> None:
-        self.holder: socket.socket | None = None
+        self.reservation: socket.socket | None = None
         self.block = range(0)
-        self.turns: Iterator[int] = iter(())
+        self.rotation: Iterator[int] = iter(())
 
     def take(self) -> int:
-        """A port that nobody listens on; raises OSError where the whole block is taken."""
-        if self.holder is None:
-            self._take_block()
+        """The next free port; raises OSError if all ports of the block are in use."""
+        if self.reservation is None:
+            self._reserve_block()
         for _ in self.block:
-            port = next(self.turns)
-            sock = _bound(port)
+            port = next(self.rotation)
+            sock = _bind(port)
             if sock is not None:
                 sock.close()
                 return port
         raise OSError("all ports of this process are taken")
 
-    def _take_block(self) -> None:
+    def _reserve_block(self) -> None:
         blocks = (LAST - FIRST) // BLOCK
-        for turn in range(blocks):
-            base = FIRST + (os.getpid() + turn) % blocks * BLOCK
-            self.holder = _bound(base)
-            if self.holder is not None:
-                self.holder.listen(1)
+        for offset in range(blocks):
+            base = FIRST + (os.getpid() + offset) % blocks * BLOCK
+            self.reservation = _bind(base)
+            if self.reservation is not None:
+                self.reservation.listen(1)
                 self.block = range(base + 1, base + BLOCK)
-                self.turns = cycle(self.block)
+                self.rotation = cycle(self.block)
                 return
         raise OSError("every block of ports is taken")
 
 
-def _bound(port: int) -> socket.socket | None:
-    """A socket bound there; None where the port is taken."""
+def _bind(port: int) -> socket.socket | None:
+    """A socket bound to the port, or None if the port is in use."""
     sock = socket.socket()
     try:
         sock.bind(("127.0.0.1", port))
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,7 +1,7 @@
-"""A proxy that calls an external processor once a request, after the published `ext_proc` protocol.
+"""Stand-in of a proxy that calls an external processor for each request over the public `ext_proc` protocol.
 
-It speaks with grpcio's client, sends requests to the check servers itself, comes again as its settings say,
-and counts one final outcome for each request. What it does not know to have failed it never calls refused.
+It uses the client of grpcio, sends requests to the check servers, retries as configured, and records one
+final outcome for each request. A request that may have run never counts as refused.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 
 @dataclass(slots=True)
 class Ways:
-    """How a proxy behaves. `keeps_tokens`: whether it gives back the token of an earlier decision."""
+    """Settings of a proxy. `keeps_tokens`: whether retries carry the token of an earlier decision."""
 
     tries: int = 3
     message_timeout_s: float = 1.0
     budget_s: float = 3.0
     keeps_tokens: bool = True
-    gives_up: float = 0.0  # share of requests whose client leaves after a moment
-    holds: float = 0.0  # share of decisions that wait here for longer than they are valid
+    gives_up: float = 0.0  # share of requests whose client disconnects after at most 60 ms
+    holds: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
     hold_s: float = 0.4
-    forges: float = 0.0  # share of tokens that are changed before they are given back
-    fails_open: tuple[str, ...] = ()  # where requests go that the processor decides nothing for; none: closed
+    forges: float = 0.0  # share of tokens that are altered before a retry sends them
+    fails_open: tuple[str, ...] = ()  # addresses used without a decision; empty: fail closed
 
 
 @dataclass(slots=True)
 class Decision:
-    """What the processor said: an address, or a status."""
+    """A decision of the processor: an address to send to, or a status to answer with."""
 
     address: str = ""
     status: int = 0
@@ -57,42 +57,42 @@
     valid_s: float = 0.0
     at: float = 0.0
     details: str = ""
-    checked: str = ""  # what the processor says of the token that it was given back
+    checked: str = ""  # result of the processor's check of the token of an earlier decision
 
 
 def headers_message(headers: dict[str, str]) -> pb.HttpHeaders:
-    told = [HeaderValue(key=name, raw_value=value.encode()) for name, value in headers.items()]
-    return pb.HttpHeaders(headers=HeaderMap(headers=told), end_of_stream=False)
+    values = [HeaderValue(key=name, raw_value=value.encode()) for name, value in headers.items()]
+    return pb.HttpHeaders(headers=HeaderMap(headers=values), end_of_stream=False)
 
 
 def read_decision(answer: pb.ProcessingResponse) -> Decision:
-    """The decision of an answer to request headers."""
+    """Parse the decision from an answer to request headers."""
     now = time.monotonic()
     if answer.WhichOneof("response") == "immediate_response":
-        told = answer.immediate_response
-        _, _, checked = told.details.partition(" (token ")
+        response = answer.immediate_response
+        _, _, checked = response.details.partition(" (token ")
         return Decision(
-            status=int(told.status.code), details=told.details, checked=checked.rstrip(")"), at=now
+            status=int(response.status.code), details=response.details, checked=checked.rstrip(")"), at=now
         )
     options = answer.request_headers.response.header_mutation.set_headers
-    found = {option.header.key: option.header.raw_value.decode() for option in options}
+    values = {option.header.key: option.header.raw_value.decode() for option in options}
     return Decision(
-        address=found[DESTINATION],
-        token=found.get(TOKEN, ""),
-        valid_s=int(found[VALID]) / 1000,
-        checked=found.get(CHECKED, ""),
+        address=values[DESTINATION],
+        token=values.get(TOKEN, ""),
+        valid_s=int(values[VALID]) / 1000,
+        checked=values.get(CHECKED, ""),
         at=now,
     )
 
 
 class Asked:
-    """One stream to the processor."""
+    """One `ext_proc` stream to the processor."""
 
     def __init__(self, call: Any) -> None:
         self.call = call
 
     async def decide(self, headers: dict[str, str], timeout_s: float) -> Decision | None:
-        """The decision, or None where the processor is gone or too late."""
+        """The decision, or None if the processor is unreachable or does not answer in time."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self.call.write(pb.ProcessingRequest(request_headers=headers_message(headers)))
@@ -105,7 +105,7 @@
         return read_decision(answer)
 
     async def report(self, headers: dict[str, str], timeout_s: float) -> None:
-        """Tell the response's headers and end the stream."""
+        """Send the response's headers to the processor and end the stream."""
         with contextlib.suppress(TimeoutError, grpc.aio.AioRpcError, asyncio.InvalidStateError):
             async with asyncio.timeout(timeout_s):
                 await self.call.write(pb.ProcessingRequest(response_headers=headers_message(headers)))
@@ -119,7 +119,7 @@
 
 
 class Proxy:
-    """One proxy; `run` sends, and all its requests have ended after `settle`."""
+    """One proxy; `run` sends requests, and `settle` waits until all of them have ended."""
 
     numbers = count()
 
@@ -143,13 +143,13 @@
         )
         self.errands = Errands()
         self.decided_s: list[float] = []
-        self.tokens: dict[str, int] = {}  # tokens given back, by what the processor said of them
-        self.opened = 0  # requests that were sent on without a decision
-        self.stale = 0  # decisions that waited here for longer than they were valid
+        self.tokens: dict[str, int] = {}  # tokens sent with retries, by the result of the processor's check
+        self.opened = 0  # requests forwarded without a decision
+        self.stale = 0  # decisions that expired before use
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
     async def run(self, rate: float, seconds: float) -> None:
-        """First tries at random moments, so many a second on the average."""
+        """Send first tries as a Poisson process of `rate` per second."""
         end = due = time.monotonic()
         end += seconds
         while due < end:
@@ -161,8 +161,8 @@
         await self.errands.settle()
 
     async def close(self) -> None:
-        for lines in self.idle.values():
-            for _, writer in lines:
+        for connections in self.idle.values():
+            for _, writer in connections:
                 writer.close()
         await self.channel.close()
 
@@ -172,46 +172,46 @@
     # One request
 
     async def one(self, call_id: str) -> None:
-        """A request from its taking to its one final outcome."""
+        """Handle a request from its arrival to its final outcome."""
         key = f"key-{call_id}"
         sent = self.ledger.sends(call_id, key, time.monotonic(), self.ways.budget_s, True)
         if self.rng.random() < self.ways.gives_up:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self.rng.uniform(0.0, 0.06)):
-                    await self._final(call_id, key, sent.at)
+                    await self._finish(call_id, key, sent.at)
             sent.gone = sent.final is None
             return
-        await self._final(call_id, key, sent.at)
+        await self._finish(call_id, key, sent.at)
 
-    async def _final(self, call_id: str, key: str, began: float) -> None:
-        final, mark = await self._tries(call_id, key, began)
+    async def _finish(self, call_id: str, key: str, started_at: float) -> None:
+        final, mark = await self._tries(call_id, key, started_at)
         self.ledger.answered(call_id, final, time.monotonic(), mark)
 
-    async def _tries(self, call_id: str, key: str, began: float) -> tuple[Final, str]:
+    async def _tries(self, call_id: str, key: str, started_at: float) -> tuple[Final, str]:
         token, may_have_run, unused = "", False, False
         last: Final = "failed"
         for _ in range(self.ways.tries):
-            left = began + self.ways.budget_s - time.monotonic()
-            if left <= 0.05:
+            left_s = started_at + self.ways.budget_s - time.monotonic()
+            if left_s <= 0.05:
                 break
-            headers = self._headers(call_id, key, left)
+            headers = self._headers(call_id, key, left_s)
             if may_have_run or unused:
                 headers[ATTEMPTS] = "2"
                 if token:
-                    headers[TOKEN] = self._given_back(token)
+                    headers[TOKEN] = self._retry_token(token)
                 if unused and not may_have_run:
                     headers[UNUSED] = "1"
-            asked = self.ask()
+            stream = self.ask()
             try:
-                began_asking = time.monotonic()
-                decision = await asked.decide(headers, min(left, self.ways.message_timeout_s))
-                if decision is None:  # the processor is gone: nothing was sent for this decision
+                asked_at = time.monotonic()
+                decision = await stream.decide(headers, min(left_s, self.ways.message_timeout_s))
+                if decision is None:  # no decision: nothing was sent to a check server
                     if self.ways.fails_open and not may_have_run:
-                        return await self._without_decision(call_id, key, left)
+                        return await self._without_decision(call_id, key, left_s)
                     last = "failed" if may_have_run else "refused"
                     await asyncio.sleep(0.1)
                     continue
-                self.decided_s.append(decision.at - began_asking)
+                self.decided_s.append(decision.at - asked_at)
                 if decision.checked:
                     self.tokens[decision.checked] = self.tokens.get(decision.checked, 0) + 1
                 if decision.status:
@@ -223,9 +223,9 @@
                     if not may_have_run:
                         token, unused = decision.token, True
                     continue
-                answer = await self._send(decision.address, call_id, key, left)
+                answer = await self._send(decision.address, call_id, key, left_s)
                 if isinstance(answer, Message):
-                    await asked.report(self._told(answer), self.ways.message_timeout_s)
+                    await stream.report(self._response_headers(answer), self.ways.message_timeout_s)
                     if answer.status == 200:
                         return "served", self._mark(answer, call_id)
                     ran = answer.headers.get("x-rejected") != "1"
@@ -237,33 +237,35 @@
                     token = decision.token if self.ways.keeps_tokens else ""
                 last = "failed" if may_have_run else "refused"
             finally:
-                asked.cancel()
+                stream.cancel()
         return last, ""
 
-    async def _without_decision(self, call_id: str, key: str, left: float) -> tuple[Final, str]:
-        """Fail open: one try at a place of the proxy's own choice, which no rule of the processor's binds."""
+    async def _without_decision(self, call_id: str, key: str, left_s: float) -> tuple[Final, str]:
+        """Fail open: one try at a server chosen by the proxy, to which the processor's rules do not apply."""
         self.opened += 1
         self.ledger.own_ways.add(call_id)
-        answer = await self._send(self.rng.choice(self.ways.fails_open), call_id, key, left)
+        answer = await self._send(self.rng.choice(self.ways.fails_open), call_id, key, left_s)
         if isinstance(answer, Message) and answer.status == 200:
             return "served", self._mark(answer, call_id)
-        ran = answer is True or (isinstance(answer, Message) and answer.headers.get("x-rejected") != "1")
-        return ("failed" if ran else "refused"), ""
+        may_have_run = answer is True or (
+            isinstance(answer, Message) and answer.headers.get("x-rejected") != "1"
+        )
+        return ("failed" if may_have_run else "refused"), ""
 
-    def _given_back(self, token: str) -> str:
-        """The token, or one that somebody has changed."""
+    def _retry_token(self, token: str) -> str:
+        """The token, or an altered one for a share of `forges`."""
         if self.rng.random() >= self.ways.forges:
             return token
-        place = self.rng.randrange(len(token) // 2)
-        return token[:place] + ("A" if token[place] != "A" else "B") + token[place + 1 :]
+        index = self.rng.randrange(len(token) // 2)
+        return token[:index] + ("A" if token[index] != "A" else "B") + token[index + 1 :]
 
     @staticmethod
     def _mark(answer: Message, call_id: str) -> str:
-        """The part of a served body that names its making, where it is this request's."""
-        told_id, _, mark = answer.body.decode("latin-1").partition(" ")
-        return mark if told_id == call_id else ""
+        """The execution mark in a served body, or an empty string if the body is of another request."""
+        answered_id, _, mark = answer.body.decode("latin-1").partition(" ")
+        return mark if answered_id == call_id else ""
 
-    def _headers(self, call_id: str, key: str, left: float) -> dict[str, str]:
+    def _headers(self, call_id: str, key: str, left_s: float) -> dict[str, str]:
         return {
             ":method": "POST",
             ":path": f"/api?user={key}",
@@ -271,35 +273,35 @@
             "x-call-class": "check",
             "x-caller": "t0",
             "idempotency-key": key,
-            "x-budget-ms": str(max(1, int(left * 1000))),
+            "x-budget-ms": str(max(1, int(left_s * 1000))),
         }
 
     @staticmethod
-    def _told(answer: Message) -> dict[str, str]:
-        told = {":status": str(answer.status)}
+    def _response_headers(answer: Message) -> dict[str, str]:
+        headers = {":status": str(answer.status)}
         if "x-rejected" in answer.headers:
-            told["x-rejected"] = answer.headers["x-rejected"]
-        return told
+            headers["x-rejected"] = answer.headers["x-rejected"]
+        return headers
 
-    async def _send(self, address: str, call_id: str, key: str, left: float) -> Message | bool:
-        """The check server's answer, or whether the request may have run."""
+    async def _send(self, address: str, call_id: str, key: str, left_s: float) -> Message | bool:
+        """The check server's answer, or, if there is none, whether the request may have run."""
         headers = {"Host": "backend.local", "X-Call-Id": call_id, "Idempotency-Key": key}
-        text = request("POST", "/api", headers, b"{}")
+        data = request("POST", "/api", headers, b"{}")
         host, _, port = address.rpartition(":")
-        lines = self.idle.setdefault(address, [])
-        line = None
-        while lines and line is None:
-            line = lines.pop()
-            if line[0].at_eof() or line[1].is_closing():
-                line = None
+        idle_connections = self.idle.setdefault(address, [])
+        connection = None
+        while idle_connections and connection is None:
+            connection = idle_connections.pop()
+            if connection[0].at_eof() or connection[1].is_closing():
+                connection = None
         try:
-            async with asyncio.timeout(max(0.0, left)):
-                reader, writer = line or await asyncio.open_connection(host, int(port))
+            async with asyncio.timeout(max(0.0, left_s)):
+                reader, writer = connection or await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError):
             return False
         try:
-            async with asyncio.timeout(max(0.0, left)):
-                writer.write(text)
+            async with asyncio.timeout(max(0.0, left_s)):
+                writer.write(data)
                 answer = await read_message(reader)
         except (OSError, TimeoutError, WireError, asyncio.IncompleteReadError):
             answer = None
@@ -309,5 +311,5 @@
         if answer is None:
             writer.transport.abort()
             return True
-        lines.append((reader, writer))
+        idle_connections.append((reader, writer))
         return answer
--- a/standins/weather.py
+++ b/standins/weather.py
@@ -1,9 +1,9 @@
-"""Links that carry datagrams: a relay for each pair of members, under one weather.
+"""Datagram relays between members, one for each pair of sender and receiver, under shared network conditions.
 
-A member knows every other by the address of its own link to it, so each datagram passes a relay that knows
-who sends and who is meant. What becomes of it is looked up by that pair, in this order: a pair that is cut
-passes nothing; of the others a share is lost, a share comes twice, and each is late by `delay_s` and up to
-`jitter_s` more, drawn for each, so that order is not kept.
+A member addresses every other member through its own link to it, so the relay of a datagram determines its
+sender and receiver. Conditions apply in this order: a partitioned pair passes nothing; of the other datagrams
+a share is lost, a share is duplicated, and each copy is delayed by `delay_s` plus a random time up to
+`jitter_s`, so that datagrams may be reordered.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 
 @dataclass
 class Weather:
-    """What becomes of datagrams, for all links at once; `cut` holds pairs of sender and receiver."""
+    """Network conditions of all links. `cut`: partitioned pairs of sender and receiver.
+
+    `loss` and `repeat` are the shares of datagrams that are lost and duplicated.
+    """
 
     rng: Random
     loss: float = 0.0
@@ -31,8 +34,8 @@
     carried: int = 0
     lost: int = 0
 
-    def fates(self, sender: str, receiver: str) -> list[float]:
-        """After how many seconds this datagram arrives, once for each time that it does."""
+    def delays(self, sender: str, receiver: str) -> list[float]:
+        """Delays in seconds of the copies of a datagram that arrive; empty if it is lost."""
         if (sender, receiver) in self.cut or self.rng.random() < self.loss:
             self.lost += 1
             return []
@@ -41,8 +44,8 @@
         return [self.delay_s + self.jitter_s * self.rng.random() for _ in range(times)]
 
 
-class _Side(asyncio.DatagramProtocol):
-    """One socket of a link."""
+class _RelayProtocol(asyncio.DatagramProtocol):
+    """One socket of a link; `answers` is True for the one that receives the target's answers."""
 
     def __init__(self, link: DatagramLink, answers: bool) -> None:
         self.link = link
@@ -50,17 +53,17 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own, of no common class
+        self.transport = cast(asyncio.DatagramTransport, transport)  # event loops share no base class for it
 
     def datagram_received(self, data: bytes, source: Source) -> None:
-        self.link.came(data, source, self.answers)
+        self.link.received(data, source, self.answers)
 
     def error_received(self, problem: Exception) -> None:
-        pass  # nobody listens there now: the datagram is lost, as on any network
+        pass  # the port is closed: the datagram is lost, as on a real network
 
 
 class DatagramLink:
-    """From one member to another's port: its questions go out by it, and their answers come back."""
+    """A relay from one member to the port of another: forwards requests, and their answers back."""
 
     def __init__(self, weather: Weather, sender: str, receiver: str, target: int) -> None:
         self.weather = weather
@@ -69,35 +72,35 @@
         self.target = target
         self.port = PORTS.take()
         self.source: Source | None = None
-        self.bytes = {False: 0, True: 0}  # that came, by whether they were answers
-        self.sides: dict[bool, _Side] = {}
+        self.bytes = {False: 0, True: 0}  # received, by whether they belong to answers
+        self.sides: dict[bool, _RelayProtocol] = {}
 
     async def open(self) -> DatagramLink:
         loop = asyncio.get_running_loop()
-        for answers, at in ((False, ("127.0.0.1", self.port)), (True, ("127.0.0.1", 0))):
+        for answers, address in ((False, ("127.0.0.1", self.port)), (True, ("127.0.0.1", 0))):
             _, side = await loop.create_datagram_endpoint(
-                lambda answers=answers: _Side(self, answers),  # type: ignore[misc]
-                local_addr=at,
+                lambda answers=answers: _RelayProtocol(self, answers),  # type: ignore[misc]
+                local_addr=address,
             )
             self.sides[answers] = side
         return self
 
-    def came(self, data: bytes, source: Source, answers: bool) -> None:
+    def received(self, data: bytes, source: Source, answers: bool) -> None:
         self.bytes[answers] += len(data)
         if not answers:
             self.source = source
         pair = (self.receiver, self.sender) if answers else (self.sender, self.receiver)
-        for delay_s in self.weather.fates(*pair):
+        for delay_s in self.weather.delays(*pair):
             if delay_s > 0.0:
-                asyncio.get_running_loop().call_later(delay_s, self._pass_on, data, answers)
+                asyncio.get_running_loop().call_later(delay_s, self._forward, data, answers)
             else:
-                self._pass_on(data, answers)
+                self._forward(data, answers)
 
-    def _pass_on(self, data: bytes, answers: bool) -> None:
+    def _forward(self, data: bytes, answers: bool) -> None:
         side = self.sides.get(not answers)
-        onto = self.source if answers else ("127.0.0.1", self.target)
-        if side is not None and side.transport is not None and onto is not None:
-            side.transport.sendto(data, onto)
+        destination = self.source if answers else ("127.0.0.1", self.target)
+        if side is not None and side.transport is not None and destination is not None:
+            side.transport.sendto(data, destination)
 
     def close(self) -> None:
         for side in self.sides.values():
--- a/standins/wire.py
+++ b/standins/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the stand-ins read and write them; strict, for both sides are ours to judge."""
+"""Reads and writes HTTP/1.1 messages; strict, so that malformed messages of the program are detected."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class WireError(Exception):
-    """What came is no HTTP/1.1 message."""
+    """The received bytes are not a valid HTTP/1.1 message."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A request or a response: its first line in three parts, headers with lower-case names, the body."""
+    """A request or response: the three parts of its first line, headers by lower-case name, and the body."""
 
     first: tuple[str, str, str]
     headers: dict[str, str] = field(default_factory=dict)
@@ -30,9 +30,9 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """The next whole message, or None where the connection ended between two.
+    """The next message, or None if the connection ends between two messages.
 
-    Raises WireError for what cannot be read, IncompleteReadError for an end within a message.
+    Raises WireError for a malformed message and IncompleteReadError for an end within a message.
     """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -41,20 +41,20 @@
             return None
         raise
     except asyncio.LimitOverrunError:
-        raise WireError("a head without end") from None
+        raise WireError("the message head exceeds the size limit") from None
     first, *lines = head[:-4].decode("latin-1").split("\r\n")
     parts = first.split(" ", 2)
     if len(parts) != 3:
-        raise WireError(f"no first line: {first[:80]!r}")
+        raise WireError(f"malformed first line: {first[:80]!r}")
     headers: dict[str, str] = {}
     for line in lines:
-        name, mark, value = line.partition(":")
-        if not mark:
-            raise WireError(f"no header: {line[:80]!r}")
+        name, colon, value = line.partition(":")
+        if not colon:
+            raise WireError(f"malformed header line: {line[:80]!r}")
         headers[name.lower()] = value.strip()
     length = headers.get("content-length", "0")
     if not length.isdigit():
-        raise WireError(f"no length: {length[:80]!r}")
+        raise WireError(f"malformed content-length: {length[:80]!r}")
     body = await reader.readexactly(int(length)) if int(length) else b""
     return Message((parts[0], parts[1], parts[2]), headers, body)
 
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -1,4 +1,4 @@
-"""A link: what goes through it with each fault on either way, and how it refuses."""
+"""A link forwards, holds, delays and drops bytes per direction, and refuses connections when cut."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from standins.link import Link, Way
 
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -29,36 +29,36 @@
         server.close()
 
 
-async def says(ends: Ends, text: bytes) -> bytes:
-    ends[1].write(text)
-    return await asyncio.wait_for(ends[0].readexactly(len(text)), 2.0)
+async def exchange(streams: Streams, text: bytes) -> bytes:
+    streams[1].write(text)
+    return await asyncio.wait_for(streams[0].readexactly(len(text)), 2.0)
 
 
 def test_it_passes_on_holds_and_delays_in_order() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with linked() as (link, _):
-            ends = await asyncio.open_connection("127.0.0.1", link.port)
-            assert await says(ends, b"one") == b"ONE"
+            streams = await asyncio.open_connection("127.0.0.1", link.port)
+            assert await exchange(streams, b"one") == b"ONE"
             link.faults[Way.BACK].held = True
-            ends[1].write(b"two")
+            streams[1].write(b"two")
             with pytest.raises(TimeoutError):
-                await asyncio.wait_for(ends[0].read(1), 0.1)
+                await asyncio.wait_for(streams[0].read(1), 0.1)
             await link.mend()
-            assert await asyncio.wait_for(ends[0].readexactly(3), 2.0) == b"TWO"
+            assert await asyncio.wait_for(streams[0].readexactly(3), 2.0) == b"TWO"
             link.faults[Way.OUT].delay_s = 0.1
             before = asyncio.get_running_loop().time()
-            assert await says(ends, b"three") == b"THREE"
+            assert await exchange(streams, b"three") == b"THREE"
             assert asyncio.get_running_loop().time() - before >= 0.099
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_connection_that_lost_bytes_is_reset_when_the_fault_ends_and_others_go_on() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with linked() as (link, _):
             lost = await asyncio.open_connection("127.0.0.1", link.port)
             kept = await asyncio.open_connection("127.0.0.1", link.port)
-            assert await says(lost, b"a") == await says(kept, b"a") == b"A"
+            assert await exchange(lost, b"a") == await exchange(kept, b"a") == b"A"
             link.faults[Way.OUT].dropped = True
             lost[1].write(b"gone")
             with pytest.raises(TimeoutError):
@@ -66,37 +66,37 @@
             await link.mend()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await asyncio.wait_for(lost[0].readexactly(1), 2.0)
-            assert await says(kept, b"b") == b"B"
+            assert await exchange(kept, b"b") == b"B"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_cut_resets_and_refuses_until_it_is_mended_at_the_same_port() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with linked() as (link, _):
-            ends = await asyncio.open_connection("127.0.0.1", link.port)
-            assert await says(ends, b"a") == b"A"
+            streams = await asyncio.open_connection("127.0.0.1", link.port)
+            assert await exchange(streams, b"a") == b"A"
             link.cut()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await asyncio.wait_for(ends[0].readexactly(1), 2.0)
+                await asyncio.wait_for(streams[0].readexactly(1), 2.0)
             with pytest.raises(ConnectionError):
                 await asyncio.open_connection("127.0.0.1", link.port)
             await link.mend()
-            assert await says(await asyncio.open_connection("127.0.0.1", link.port), b"b") == b"B"
+            assert await exchange(await asyncio.open_connection("127.0.0.1", link.port), b"b") == b"B"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_who_does_not_listen_is_not_reached_through_it_either() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with linked() as (link, server):
             server.close()
             await server.wait_closed()
-            ends = await asyncio.open_connection("127.0.0.1", link.port)
+            streams = await asyncio.open_connection("127.0.0.1", link.port)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await asyncio.wait_for(ends[0].readexactly(1), 2.0)
+                await asyncio.wait_for(streams[0].readexactly(1), 2.0)
             link.shut()
             with pytest.raises(ConnectionError):
                 await asyncio.open_connection("127.0.0.1", link.port)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for those that listen again: never two holders of one, below the dialled range, coming round."""
+"""Ports come in rotation from a block of one process below the ephemeral range; ports in use are skipped."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     first = [ports.take() for _ in range(BLOCK // 2)]
     assert len(set(first)) == len(first) and all(FIRST <= port < LAST for port in first)
     assert other.take() not in range(ports.block.start - 1, ports.block.stop)
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", first[0]))
-        held.listen(1)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", first[0]))
+        listener.listen(1)
         rest = [ports.take() for _ in range(2 * BLOCK)]
         assert first[0] not in rest
     assert set(first[1:]) <= set(rest)
