--- a/standins/zookeeper/__init__.py
+++ b/standins/zookeeper/__init__.py
@@ -1,1 +1,1 @@
-"""A ZooKeeper ensemble in play: the published client protocol over one shared tree, with scripted faults."""
+"""Stand-in of a ZooKeeper ensemble: the public client protocol over one shared tree, with scripted faults."""
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -1,15 +1,17 @@
-"""Three hosts, or as many as are wanted, on loopback ports, that share one tree and its sessions.
-
-Faults, by script:
-
-- `expire(session)`: the session ends now, as after a silence; its nodes go, its connections are cut.
-- `host.cut()` ends a host's connections and `host.stop()` also refuses new ones, until `host.start()`.
-- `host.stalled = True` accepts and reads but says nothing; `host.lag_s` delays all that it says.
-- `host.loses_events = True` cuts a connection in place of telling it an event: the event is lost with it.
-- `host.fall_behind()` freezes what it serves; `answers_old` lets it serve clients that have seen newer,
-  which a sound host refuses.
-- `host.cut_off = True` partitions it from the others: it ends its connections and serves nobody.
-- `host.read_only = True` answers only clients that take a read-only server.
+"""An ensemble of hosts on loopback ports, three by default, that share one tree and its sessions.
+
+Faults:
+
+- `expire(session)`: the session ends now, as after a timeout; its ephemeral nodes are deleted and its
+  connections are reset.
+- `host.cut()` resets a host's connections; `host.stop()` also refuses new ones, until `host.start()`.
+- `host.stalled = True`: the host accepts and reads but sends nothing.
+- `host.lag_s`: the host delays all messages that it sends.
+- `host.loses_events = True`: the host resets a connection instead of sending it an event, which is lost.
+- `host.fall_behind()`: the host serves the current state from now on; with `answers_old` it also serves
+  clients that have seen a newer state, which a correct host rejects.
+- `host.cut_off = True`: the host is partitioned from the others; it closes connections and serves no client.
+- `host.read_only = True`: the host serves only clients that accept a read-only server.
 """
 
 from __future__ import annotations
@@ -27,39 +29,42 @@
 from standins.zookeeper.sessions import Session
 from standins.zookeeper.tree import EPHEMERAL, Change, Tree, Who
 
-LOOK_S = 0.02
-TIMEOUT_LEAST_MS, TIMEOUT_MOST_MS = 200, 40_000
+EXPIRY_CHECK_S = 0.02
+MIN_TIMEOUT_MS, MAX_TIMEOUT_MS = 200, 40_000
 
 
 class Ensemble:
-    """`on_told(session, kind, path, at)` is called after an event's bytes have been written to a client, and
-    `on_listed(session, path, names, at)` after a reply that tells a node's children."""
+    """A ZooKeeper ensemble with hooks on what it writes to clients.
+
+    `on_told(session, kind, path, at)` is called after an event has been written to a client, and
+    `on_listed(session, path, names, at)` after a reply with the children of a node.
+    """
 
     def __init__(self, hosts: int = 3, tls: ssl.SSLContext | None = None) -> None:
         self.tree = Tree(lambda: int(time.time() * 1000))
         self.sessions: dict[int, Session] = {}
-        self.numbers = itertools.count((int(time.time() * 1000) << 24 & 0x00FFFFFFFFFFFFFF) + 1)
+        self.session_ids = itertools.count((int(time.time() * 1000) << 24 & 0x00FFFFFFFFFFFFFF) + 1)
         self.hosts = [Host(self, tls) for _ in range(hosts)]
         self.on_told: Callable[[int, Kind, str, float], None] = lambda session, kind, path, at: None
         self.on_listed: Callable[[int, str, list[str], float], None] = lambda session, path, names, at: None
         self.expired: list[int] = []
-        self.looking: asyncio.Task[None] | None = None
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> Ensemble:
         for host in self.hosts:
             await host.start()
-        self.looking = asyncio.create_task(self._look())
+        self.expiry_task = asyncio.create_task(self._expire_sessions())
         return self
 
     async def close(self) -> None:
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.expiry_task is not None:
+            self.expiry_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.looking
+                await self.expiry_task
         for host in self.hosts:
             host.stop()
         for host in self.hosts:
-            await host.tasks_ended()
+            await host.wait_for_tasks()
 
     @property
     def members(self) -> list[Host]:
@@ -68,10 +73,10 @@
     def addresses(self) -> list[str]:
         return [f"127.0.0.1:{host.port}" for host in self.hosts]
 
-    # Short ways for those who play servers
+    # Writes for tests that play servers
 
     def make(self, path: str, data: bytes = b"", session: Session | None = None) -> None:
-        """A node, ephemeral where a session owns it; raises RequestError."""
+        """Create a node, ephemeral if a session is given; raises RequestError."""
         who = Who(session.id if session is not None else 0)
         with self.tree.write() as changes:
             self.tree.create(path, data, ANYONE, EPHEMERAL if session is not None else 0, who)
@@ -90,21 +95,21 @@
     # Sessions
 
     def begin(self, timeout_ms: int) -> Session:
-        timeout = max(TIMEOUT_LEAST_MS, min(TIMEOUT_MOST_MS, timeout_ms))
-        session = Session(next(self.numbers), os.urandom(16), timeout)
+        timeout = max(MIN_TIMEOUT_MS, min(MAX_TIMEOUT_MS, timeout_ms))
+        session = Session(next(self.session_ids), os.urandom(16), timeout)
         self.sessions[session.id] = session
         return session
 
     def resume(self, session: int, password: bytes) -> Session | None:
-        """The session, where it lives and the password is its own."""
-        known = self.sessions.get(session)
-        if known is None or known.password != password:
+        """The session, or None if it does not exist or the password is wrong."""
+        found = self.sessions.get(session)
+        if found is None or found.password != password:
             return None
-        known.heard_at = time.monotonic()
-        return known
+        found.heard_at = time.monotonic()
+        return found
 
     def expire(self, session: int) -> None:
-        """End a session: its ephemeral nodes vanish in one write, and its connections are cut."""
+        """End a session: reset its connections and delete its ephemeral nodes in one write."""
         if self.sessions.pop(session, None) is None:
             return
         self.expired.append(session)
@@ -114,18 +119,19 @@
             self.tree.end_session(session)
         self.changed(list(changes))
 
-    def ended(self, session: int) -> None:
-        """The client has closed it; its nodes are gone already."""
+    def session_closed(self, session: int) -> None:
+        """Remove a session that the client has closed; its ephemeral nodes are deleted already."""
         self.sessions.pop(session, None)
 
     def changed(self, changes: list[Change]) -> None:
-        """A write has been done: every host tells those that watch there."""
+        """Notify the watchers on every host of the changes of a write."""
         for host in self.hosts:
             host.tell(changes)
 
-    async def _look(self) -> None:
+    async def _expire_sessions(self) -> None:
+        """Expire sessions whose clients have been silent for longer than their timeout."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(EXPIRY_CHECK_S)
             now = time.monotonic()
             for session in list(self.sessions.values()):
                 if now > session.heard_at + session.timeout_ms / 1000:
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -1,4 +1,4 @@
-"""One host of the ensemble: its port, its connections, its watches and its faults."""
+"""One host of the ensemble, with its port, connections, watches and faults."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from standins.zookeeper import records
 from standins.zookeeper.records import BOOL, INT, LONG, REPLY, Code, Kind, Op, Reader, RequestError, frame
-from standins.zookeeper.requests import WRITES, Asked, answer, with_identity
-from standins.zookeeper.sessions import Keeper, Session
+from standins.zookeeper.requests import WRITES, RequestContext, answer, with_identity
+from standins.zookeeper.sessions import EnsembleProtocol, Session
 from standins.zookeeper.tree import Change, Tree, Who
 from standins.zookeeper.watches import Watches
 
 EVENT_XID = -1
 CONNECTED = 3
-BUFFER_MOST = 4 * 1024 * 1024  # that a client which does not read may leave with us
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # a client that leaves more unread is disconnected
 
 
-class Line:
-    """One client's connection to this host."""
+class ClientConnection:
+    """A client connection to a host."""
 
     def __init__(self, host: Host, writer: asyncio.StreamWriter) -> None:
         self.host = host
@@ -30,9 +30,9 @@
         self.who = Who()
         self.read_only = False
 
-    def say(self, message: bytes) -> None:
-        """Write a frame, now or after the host's lag, in order."""
-        if self.writer.transport.get_write_buffer_size() > BUFFER_MOST:
+    def send(self, message: bytes) -> None:
+        """Send a message in order, delayed by the lag of the host."""
+        if self.writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
             self.cut()
             return
         if self.host.stalled or self.writer.is_closing():
@@ -46,12 +46,13 @@
         if not self.writer.is_closing() and not self.host.stalled:
             self.writer.write(frame(message))
 
-    def tell(self, kind: Kind, path: str) -> None:
+    def send_event(self, kind: Kind, path: str) -> None:
+        """Send a watch event, or close the connection if the host loses events."""
         if self.host.loses_events:
             self.cut()
             return
         message = REPLY.pack(EVENT_XID, -1, 0) + INT.pack(kind) + INT.pack(CONNECTED) + records.string(path)
-        self.say(message)
+        self.send(message)
         if self.session is not None and not self.host.stalled:
             at = time.monotonic() + self.host.lag_s
             self.host.ensemble.on_told(self.session.id, kind, path, at)
@@ -61,19 +62,21 @@
 
 
 class Host:
-    def __init__(self, ensemble: Keeper, tls: ssl.SSLContext | None) -> None:
+    """A server of the ensemble; the module ensemble.py describes its faults."""
+
+    def __init__(self, ensemble: EnsembleProtocol, tls: ssl.SSLContext | None) -> None:
         self.ensemble = ensemble
         self.tls = tls
         self.port = 0
         self.server: asyncio.Server | None = None
-        self.lines: set[Line] = set()
+        self.lines: set[ClientConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.watches = Watches()
         self.stalled = self.loses_events = self.cut_off = self.read_only = self.answers_old = False
         self.lag_s = 0.0
-        self.old: Tree | None = None  # what it serves while it lags behind
-        self.connects: list[float] = []  # when clients connected
-        self.refused_newer = 0  # clients that had seen more than this host
+        self.stale_tree: Tree | None = None  # the outdated tree that it serves after `fall_behind`
+        self.connects: list[float] = []  # monotonic times of client connections
+        self.rejected_newer_clients = 0  # clients rejected because they have seen a newer zxid
         self.requests = 0
 
     async def start(self) -> Host:
@@ -90,184 +93,192 @@
         self.cut()
 
     def cut(self, session: int | None = None) -> None:
-        """End all connections, or those of one session."""
-        for line in list(self.lines):
-            if session is None or (line.session is not None and line.session.id == session):
-                line.cut()
+        """Reset all connections, or those of one session."""
+        for connection in list(self.lines):
+            if session is None or (connection.session is not None and connection.session.id == session):
+                connection.cut()
 
-    async def tasks_ended(self) -> None:
+    async def wait_for_tasks(self) -> None:
         while self.tasks:
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def fall_behind(self) -> None:
-        self.old = self.ensemble.tree.frozen()
+        """Serve the current state from now on, whatever is written later."""
+        self.stale_tree = self.ensemble.tree.snapshot()
 
     def catch_up(self) -> None:
-        self.old = None
+        self.stale_tree = None
 
     def tree(self) -> Tree:
-        return self.old or self.ensemble.tree
+        return self.stale_tree or self.ensemble.tree
 
     def tell(self, changes: list[Change]) -> None:
-        """A write has been done somewhere."""
-        if self.old is not None or self.cut_off:
+        """Notify the watchers on this host of the changes of a write."""
+        if self.stale_tree is not None or self.cut_off:
             return
         for kind, path in changes:
-            for line in list(self.watches.fired(kind, path)):
-                if isinstance(line, Line):
-                    line.tell(kind, path)
+            for connection in list(self.watches.triggered(kind, path)):
+                if isinstance(connection, ClientConnection):
+                    connection.send_event(kind, path)
 
     # One connection
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        line = Line(self, writer)
+        connection = ClientConnection(self, writer)
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        self.lines.add(line)
+        self.lines.add(connection)
         self.connects.append(time.monotonic())
         try:
             with contextlib.suppress(
                 ConnectionError, asyncio.IncompleteReadError, RequestError, struct.error
             ):
-                await self._converse(line, reader)
+                await self._serve_connection(connection, reader)
         except asyncio.CancelledError:
             pass
         finally:
             self.tasks.discard(task)
-            self.lines.discard(line)
-            self.watches.forget(line)
+            self.lines.discard(connection)
+            self.watches.remove_all(connection)
             with contextlib.suppress(ConnectionError):
                 if not writer.is_closing():
                     await writer.drain()
             writer.close()
 
-    async def _converse(self, line: Line, reader: asyncio.StreamReader) -> None:
+    async def _serve_connection(self, connection: ClientConnection, reader: asyncio.StreamReader) -> None:
         head = await reader.readexactly(4)
         if head.isalpha():
-            line.writer.write(self._word(head.decode()).encode())
+            connection.writer.write(self._answer_command(head.decode()).encode())
             return
-        if not await self._connect(line, await self._message(head, reader)):
+        if not await self._handle_connect(connection, await self._message(head, reader)):
             return
         while not self.cut_off:
             message = await self._message(await reader.readexactly(4), reader)
             self.requests += 1
-            if line.session is None or line.session.id not in self.ensemble.sessions:
+            if connection.session is None or connection.session.id not in self.ensemble.sessions:
                 return
             if self.stalled:
                 continue
-            line.session.heard_at = time.monotonic()
-            if not self._request(line, message):
+            connection.session.heard_at = time.monotonic()
+            if not self._handle_request(connection, message):
                 return
 
     async def _message(self, head: bytes, reader: asyncio.StreamReader) -> bytes:
         (length,) = INT.unpack(head)
-        if not 0 <= length <= records.MOST:
+        if not 0 <= length <= records.MAX_MESSAGE_BYTES:
             raise RequestError(Code.MARSHALLING)
         return await reader.readexactly(length)
 
-    async def _connect(self, line: Line, message: bytes) -> bool:
-        read = Reader(message)
-        read.number()
-        seen, timeout, session_id, password = read.long(), read.number(), read.long(), read.buffer()
-        line.read_only = read.flag() if read.more() else False
+    async def _handle_connect(self, connection: ClientConnection, message: bytes) -> bool:
+        reader = Reader(message)
+        reader.number()
+        last_zxid, requested_timeout_ms, session_id, password = (
+            reader.long(),
+            reader.number(),
+            reader.long(),
+            reader.buffer(),
+        )
+        connection.read_only = reader.flag() if reader.has_more() else False
         while self.stalled:
             await asyncio.sleep(0.02)
-        if self.cut_off or (self.read_only and not line.read_only):
+        if self.cut_off or (self.read_only and not connection.read_only):
             return False
-        if seen > self.tree().zxid and not self.answers_old:
-            self.refused_newer += 1
+        if last_zxid > self.tree().zxid and not self.answers_old:
+            self.rejected_newer_clients += 1
             return False
         ensemble = self.ensemble
         if session_id:
             session = ensemble.resume(session_id, password)
             if session is not None:
                 for host in ensemble.members:
-                    host.cut(session_id)  # it has moved here
+                    host.cut(session_id)  # the session has moved to this connection
         else:
-            session = ensemble.begin(timeout)
-        told = session.timeout_ms if session else 0
-        who, secret = (session.id, session.password) if session else (0, bytes(16))
-        answer = INT.pack(0) + INT.pack(told) + LONG.pack(who) + records.buffer(secret)
-        line.say(answer + BOOL.pack(self.read_only))
-        if session is None:  # it has expired
+            session = ensemble.begin(requested_timeout_ms)
+        timeout_ms = session.timeout_ms if session else 0
+        answered_id, answered_password = (session.id, session.password) if session else (0, bytes(16))
+        answer = (
+            INT.pack(0) + INT.pack(timeout_ms) + LONG.pack(answered_id) + records.buffer(answered_password)
+        )
+        connection.send(answer + BOOL.pack(self.read_only))
+        if session is None:  # the session has expired
             await asyncio.sleep(self.lag_s)
             return False
-        line.session = session
-        line.who = Who(session.id)
+        connection.session = session
+        connection.who = Who(session.id)
         return True
 
-    def _request(self, line: Line, message: bytes) -> bool:
-        """Answer one request; false where the connection ends by it."""
-        read = Reader(message)
-        xid, op = read.number(), read.number()
+    def _handle_request(self, connection: ClientConnection, message: bytes) -> bool:
+        """Answer one request; return False if the connection ends with it."""
+        reader = Reader(message)
+        xid, op = reader.number(), reader.number()
         tree = self.tree()
         if op == Op.PING:
-            line.say(REPLY.pack(xid, tree.zxid, 0))
+            connection.send(REPLY.pack(xid, tree.zxid, 0))
             return True
         if op == Op.AUTH:
-            return self._auth(line, xid, read)
+            return self._auth(connection, xid, reader)
         if op == Op.SYNC and not self.answers_old:
             self.catch_up()
-        asked = Asked(line.who, tree, self.watches, line, read)
+        context = RequestContext(connection.who, tree, self.watches, connection, reader)
         try:
             if op in WRITES:
                 if self.read_only:
                     raise RequestError(Code.NOT_READ_ONLY)
-                self.catch_up()  # a write goes through the leader, and this host sees it
-                asked.tree = tree = self.ensemble.tree
-            body, code = answer(op, asked), Code.OK
-        except RequestError as flaw:
-            body, code = b"", flaw.code
+                self.catch_up()  # writes go through the leader, so this host has its state afterwards
+                context.tree = tree = self.ensemble.tree
+            body, code = answer(op, context), Code.OK
+        except RequestError as error:
+            body, code = b"", error.code
         except RecursionError:
             body, code = b"", Code.MARSHALLING
-        self.ensemble.changed(asked.changes)  # events come before the reply of the write that made them
-        line.say(REPLY.pack(xid, tree.zxid, code) + body)
-        assert line.session is not None
-        if asked.told_listing is not None and not self.stalled:
-            path, names = asked.told_listing
-            self.ensemble.on_listed(line.session.id, path, names, time.monotonic() + self.lag_s)
-        for kind, path in asked.missed:
-            line.tell(kind, path)
+        self.ensemble.changed(context.changes)  # the events of a write precede its reply
+        connection.send(REPLY.pack(xid, tree.zxid, code) + body)
+        assert connection.session is not None
+        if context.listing is not None and not self.stalled:
+            path, names = context.listing
+            self.ensemble.on_listed(connection.session.id, path, names, time.monotonic() + self.lag_s)
+        for kind, path in context.missed_events:
+            connection.send_event(kind, path)
         if op == Op.CLOSE:
-            self.ensemble.ended(line.session.id)
+            self.ensemble.session_closed(connection.session.id)
             return False
         return True
 
-    def _auth(self, line: Line, xid: int, read: Reader) -> bool:
-        read.number()
-        scheme, credential = read.string(), read.buffer()
+    def _auth(self, connection: ClientConnection, xid: int, reader: Reader) -> bool:
+        reader.number()
+        scheme, credential = reader.string(), reader.buffer()
         try:
-            line.who = with_identity(line.who, scheme, credential)
-        except RequestError as flaw:
-            line.say(REPLY.pack(xid, 0, flaw.code))
+            connection.who = with_identity(connection.who, scheme, credential)
+        except RequestError as error:
+            connection.send(REPLY.pack(xid, 0, error.code))
             return False
-        line.say(REPLY.pack(xid, 0, 0))
+        connection.send(REPLY.pack(xid, 0, 0))
         return True
 
-    def _word(self, word: str) -> str:
-        """The four-letter words that monitors ask."""
+    def _answer_command(self, command: str) -> str:
+        """The answer to a four-letter monitoring command."""
         tree = self.tree()
         if self.cut_off:
             return "This ZooKeeper instance is not currently serving requests\n"
-        if word == "ruok":
+        if command == "ruok":
             return "imok"
-        if word in ("srvr", "stat"):
+        if command in ("srvr", "stat"):
             mode = "read-only" if self.read_only else "standalone"
             return (
                 f"Zookeeper version: 3.9.0-standin\nConnections: {len(self.lines)}\n"
                 f"Zxid: 0x{tree.zxid:x}\nMode: {mode}\nNode count: {len(tree.nodes)}\n"
             )
-        if word == "mntr":
+        if command == "mntr":
             return (
                 f"zk_version\t3.9.0-standin\nzk_num_alive_connections\t{len(self.lines)}\n"
                 f"zk_znode_count\t{len(tree.nodes)}\nzk_watch_count\t{self.watches.count()}\n"
-                f"zk_ephemerals_count\t{sum(map(len, tree.owned.values()))}\n"
+                f"zk_ephemerals_count\t{sum(map(len, tree.ephemerals.values()))}\n"
             )
-        if word == "wchs":
+        if command == "wchs":
             return f"{len(self.lines)} connections watching\nTotal watches:{self.watches.count()}\n"
-        if word == "isro":
+        if command == "isro":
             return "ro" if self.read_only else "rw"
-        if word == "envi":
+        if command == "envi":
             return "Environment:\nzookeeper.version=3.9.0-standin\n"
-        return f"{word} is not executed because it is not in the whitelist.\n"
+        return f"{command} is not executed because it is not in the whitelist.\n"
--- a/standins/zookeeper/records.py
+++ b/standins/zookeeper/records.py
@@ -1,4 +1,4 @@
-"""The protocol's records: how numbers, strings, buffers, lists, ACLs and stats are read and written."""
+"""Encoding and decoding of the protocol's records: numbers, strings, buffers, lists, ACLs and stats."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 BOOL = struct.Struct(">?")
 STAT = struct.Struct(">qqqqiiiqiiq")
 REPLY = struct.Struct(">iqi")  # xid, zxid, error
-MOST = 2 * 1024 * 1024  # bytes of one message
+MAX_MESSAGE_BYTES = 2 * 1024 * 1024  # of one message
 
 
 class Op(IntEnum):
+    """Operation codes of requests."""
+
     CREATE = 1
     DELETE = 2
     EXISTS = 3
@@ -39,7 +41,7 @@
 
 
 class Code(IntEnum):
-    """Errors that a reply may carry."""
+    """Error codes of replies."""
 
     OK = 0
     RUNTIME_INCONSISTENCY = -2
@@ -60,7 +62,7 @@
 
 
 class Kind(IntEnum):
-    """Events that a watch may tell."""
+    """Event types of watches."""
 
     CREATED = 1
     DELETED = 2
@@ -69,7 +71,7 @@
 
 
 PERMISSIONS = {"READ": 1, "WRITE": 2, "CREATE": 4, "DELETE": 8, "ADMIN": 16}
-ALL = 31
+ALL_PERMISSIONS = 31
 
 
 class RequestError(Exception):
@@ -87,7 +89,7 @@
     id: str
 
 
-ANYONE = (Acl(ALL, "world", "anyone"),)
+ANYONE = (Acl(ALL_PERMISSIONS, "world", "anyone"),)
 
 
 @dataclass(slots=True)
@@ -104,7 +106,7 @@
     children: int = 0
     pzxid: int = 0
 
-    def written(self) -> bytes:
+    def packed(self) -> bytes:
         return STAT.pack(
             self.czxid,
             self.mzxid,
@@ -121,37 +123,37 @@
 
 
 class Reader:
-    """Takes a request's fields in order; raises RequestError where they are not there."""
+    """Decodes the fields of a request in order; raises RequestError for missing or malformed data."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def _take(self, form: struct.Struct) -> int:
+    def _unpack(self, layout: struct.Struct) -> int:
         try:
-            (value,) = form.unpack_from(self.data, self.at)
+            (value,) = layout.unpack_from(self.data, self.offset)
         except struct.error:
             raise RequestError(Code.MARSHALLING) from None
-        self.at += form.size
+        self.offset += layout.size
         return int(value)
 
     def number(self) -> int:
-        return self._take(INT)
+        return self._unpack(INT)
 
     def long(self) -> int:
-        return self._take(LONG)
+        return self._unpack(LONG)
 
     def flag(self) -> bool:
-        return bool(self._take(BOOL))
+        return bool(self._unpack(BOOL))
 
     def buffer(self) -> bytes:
         length = self.number()
         if length < 0:
             return b""
-        if length > len(self.data) - self.at:
+        if length > len(self.data) - self.offset:
             raise RequestError(Code.MARSHALLING)
-        self.at += length
-        return self.data[self.at - length : self.at]
+        self.offset += length
+        return self.data[self.offset - length : self.offset]
 
     def string(self) -> str:
         try:
@@ -166,8 +168,8 @@
         count = max(0, self.number())
         return tuple(Acl(self.number(), self.string(), self.string()) for _ in range(count))
 
-    def more(self) -> bool:
-        return self.at < len(self.data)
+    def has_more(self) -> bool:
+        return self.offset < len(self.data)
 
 
 def buffer(value: bytes) -> bytes:
@@ -183,8 +185,8 @@
 
 
 def acls(values: tuple[Acl, ...]) -> bytes:
-    told = [INT.pack(one.permissions) + string(one.scheme) + string(one.id) for one in values]
-    return INT.pack(len(values)) + b"".join(told)
+    entries = [INT.pack(acl.permissions) + string(acl.scheme) + string(acl.id) for acl in values]
+    return INT.pack(len(values)) + b"".join(entries)
 
 
 def frame(message: bytes) -> bytes:
--- a/standins/zookeeper/requests.py
+++ b/standins/zookeeper/requests.py
@@ -1,4 +1,4 @@
-"""What each request does to the tree and what it is answered with; one table for all hosts. No I/O."""
+"""The handlers of requests: each applies a request to the tree and encodes the reply. No I/O."""
 
 from __future__ import annotations
 
@@ -12,199 +12,202 @@
 from standins.zookeeper.watches import Watches
 
 WRITES = frozenset({Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.SET_ACL, Op.MULTI, Op.CLOSE})
-LAST = INT.pack(-1) + BOOL.pack(True) + INT.pack(-1)  # the end of a multi's list
+MULTI_END = INT.pack(-1) + BOOL.pack(True) + INT.pack(-1)  # end of the list of a multi request or reply
 
 
 @dataclass
-class Asked:
-    """One request: by whom, of which tree, and what came of it."""
+class RequestContext:
+    """One request: its sender, tree and fields, and the changes and events that result from it."""
 
     who: Who
     tree: Tree
     watches: Watches
     watcher: object
-    read: Reader
+    reader: Reader
     changes: list[Change] = field(default_factory=list)
-    missed: list[Change] = field(default_factory=list)  # to be told after the reply
-    told_listing: tuple[str, list[str]] | None = None  # the children that the reply tells
+    missed_events: list[Change] = field(default_factory=list)  # events to send after the reply
+    listing: tuple[str, list[str]] | None = None  # path and child names of the reply
 
 
-def answer(op: int, asked: Asked) -> bytes:
-    """The reply's body; raises RequestError for an error."""
-    do = HANDLERS.get(op)
-    if do is None:
+def answer(op: int, context: RequestContext) -> bytes:
+    """Handle a request and return the body of the reply; raises RequestError for an error reply."""
+    handler = HANDLERS.get(op)
+    if handler is None:
         raise RequestError(Code.UNIMPLEMENTED)
     if op in WRITES and op != Op.MULTI:
-        with asked.tree.write() as changes:
-            body = do(asked)
-        asked.changes = list(changes)
+        with context.tree.write() as changes:
+            body = handler(context)
+        context.changes = list(changes)
         return body
-    return do(asked)
+    return handler(context)
 
 
-def _create(asked: Asked) -> bytes:
-    read = asked.read
-    path, data, acl, flags = read.string(), read.buffer(), read.acls(), read.number()
-    return records.string(asked.tree.create(path, data, acl, flags, asked.who))
+def _create(context: RequestContext) -> bytes:
+    reader = context.reader
+    path, data, acl, flags = reader.string(), reader.buffer(), reader.acls(), reader.number()
+    return records.string(context.tree.create(path, data, acl, flags, context.who))
 
 
-def _create2(asked: Asked) -> bytes:
-    read = asked.read
-    path, data, acl, flags = read.string(), read.buffer(), read.acls(), read.number()
-    made = asked.tree.create(path, data, acl, flags, asked.who)
-    return records.string(made) + asked.tree.node(made).stat.written()
+def _create2(context: RequestContext) -> bytes:
+    reader = context.reader
+    path, data, acl, flags = reader.string(), reader.buffer(), reader.acls(), reader.number()
+    made = context.tree.create(path, data, acl, flags, context.who)
+    return records.string(made) + context.tree.node(made).stat.packed()
 
 
-def _delete(asked: Asked) -> bytes:
-    asked.tree.delete(asked.read.string(), asked.read.number(), asked.who)
+def _delete(context: RequestContext) -> bytes:
+    context.tree.delete(context.reader.string(), context.reader.number(), context.who)
     return b""
 
 
-def _set_data(asked: Asked) -> bytes:
-    read = asked.read
-    path, data, version = read.string(), read.buffer(), read.number()
-    return asked.tree.set_data(path, data, version, asked.who).written()
+def _set_data(context: RequestContext) -> bytes:
+    reader = context.reader
+    path, data, version = reader.string(), reader.buffer(), reader.number()
+    return context.tree.set_data(path, data, version, context.who).packed()
 
 
-def _set_acl(asked: Asked) -> bytes:
-    read = asked.read
-    path, acl, version = read.string(), read.acls(), read.number()
-    return asked.tree.set_acl(path, acl, version, asked.who).written()
+def _set_acl(context: RequestContext) -> bytes:
+    reader = context.reader
+    path, acl, version = reader.string(), reader.acls(), reader.number()
+    return context.tree.set_acl(path, acl, version, context.who).packed()
 
 
-def _check(asked: Asked) -> bytes:
-    asked.tree.check(asked.read.string(), asked.read.number())
+def _check(context: RequestContext) -> bytes:
+    context.tree.check(context.reader.string(), context.reader.number())
     return b""
 
 
-def _exists(asked: Asked) -> bytes:
-    path, watch = asked.read.string(), asked.read.flag()
+def _exists(context: RequestContext) -> bytes:
+    path, watch = context.reader.string(), context.reader.flag()
     if watch:
-        asked.watches.data[path].add(asked.watcher)  # also where there is none: its creation is told
-    return asked.tree.node(path).stat.written()
+        # Set even if the node does not exist: its creation triggers the watch.
+        context.watches.data[path].add(context.watcher)
+    return context.tree.node(path).stat.packed()
 
 
-def _get_data(asked: Asked) -> bytes:
-    path, watch = asked.read.string(), asked.read.flag()
-    node = asked.tree.allowed(path, "READ", asked.who)
+def _get_data(context: RequestContext) -> bytes:
+    path, watch = context.reader.string(), context.reader.flag()
+    node = context.tree.authorized_node(path, "READ", context.who)
     if watch:
-        asked.watches.data[path].add(asked.watcher)
-    return records.buffer(node.data) + node.stat.written()
+        context.watches.data[path].add(context.watcher)
+    return records.buffer(node.data) + node.stat.packed()
 
 
-def _children(asked: Asked) -> tuple[list[str], Stat]:
-    path, watch = asked.read.string(), asked.read.flag()
-    node = asked.tree.allowed(path, "READ", asked.who)
+def _children(context: RequestContext) -> tuple[list[str], Stat]:
+    path, watch = context.reader.string(), context.reader.flag()
+    node = context.tree.authorized_node(path, "READ", context.who)
     if watch:
-        asked.watches.children[path].add(asked.watcher)
+        context.watches.children[path].add(context.watcher)
     names = sorted(node.children)
-    asked.told_listing = (path, names)
+    context.listing = (path, names)
     return names, node.stat
 
 
-def _get_children(asked: Asked) -> bytes:
-    return records.strings(_children(asked)[0])
+def _get_children(context: RequestContext) -> bytes:
+    return records.strings(_children(context)[0])
 
 
-def _get_children2(asked: Asked) -> bytes:
-    names, stat = _children(asked)
-    return records.strings(names) + stat.written()
+def _get_children2(context: RequestContext) -> bytes:
+    names, stat = _children(context)
+    return records.strings(names) + stat.packed()
 
 
-def _get_acl(asked: Asked) -> bytes:
-    node = asked.tree.node(asked.read.string())
-    return records.acls(node.acl) + node.stat.written()
+def _get_acl(context: RequestContext) -> bytes:
+    node = context.tree.node(context.reader.string())
+    return records.acls(node.acl) + node.stat.packed()
 
 
-def _sync(asked: Asked) -> bytes:
-    return records.string(asked.read.string())
+def _sync(context: RequestContext) -> bytes:
+    return records.string(context.reader.string())
 
 
-def _get_ephemerals(asked: Asked) -> bytes:
-    prefix = asked.read.string()
-    owned = asked.tree.owned.get(asked.who.session, set())
-    return records.strings(sorted(path for path in owned if path.startswith(prefix)))
+def _get_ephemerals(context: RequestContext) -> bytes:
+    prefix = context.reader.string()
+    ephemerals = context.tree.ephemerals.get(context.who.session, set())
+    return records.strings(sorted(path for path in ephemerals if path.startswith(prefix)))
 
 
-def _add_watch(asked: Asked) -> bytes:
-    asked.watches.add(asked.read.string(), asked.read.number(), asked.watcher)
+def _add_watch(context: RequestContext) -> bytes:
+    context.watches.add(context.reader.string(), context.reader.number(), context.watcher)
     return INT.pack(0)
 
 
-def _remove_watches(asked: Asked) -> bytes:
-    asked.watches.remove(asked.read.string(), asked.read.number(), asked.watcher)
+def _remove_watches(context: RequestContext) -> bytes:
+    context.watches.remove(context.reader.string(), context.reader.number(), context.watcher)
     return b""
 
 
-def _set_watches(asked: Asked) -> bytes:
-    read = asked.read
-    since, data, exist, children = read.long(), read.strings(), read.strings(), read.strings()
-    lasting = (read.strings(), read.strings()) if read.more() else ([], [])
-    asked.missed = asked.watches.renew(asked.tree, since, data, exist, children, lasting, asked.watcher)
+def _set_watches(context: RequestContext) -> bytes:
+    reader = context.reader
+    since, data, exist, children = reader.long(), reader.strings(), reader.strings(), reader.strings()
+    persistent = (reader.strings(), reader.strings()) if reader.has_more() else ([], [])
+    context.missed_events = context.watches.restore(
+        context.tree, since, data, exist, children, persistent, context.watcher
+    )
     return b""
 
 
-def _close(asked: Asked) -> bytes:
-    asked.tree.end_session(asked.who.session)
+def _close(context: RequestContext) -> bytes:
+    context.tree.end_session(context.who.session)
     return b""
 
 
-def _multi(asked: Asked) -> bytes:
-    """All or nothing: on an error each part is told its code, and none has happened."""
+def _multi(context: RequestContext) -> bytes:
+    """Apply all operations or none; on an error the reply has an error code for each operation."""
     parts: list[tuple[int, bytes]] = []
-    steps = 0
+    started = 0
     try:
-        with asked.tree.write() as changes:
+        with context.tree.write() as changes:
             while True:
-                op, done = asked.read.number(), asked.read.flag()
-                asked.read.number()
-                if done:
+                op, is_end = context.reader.number(), context.reader.flag()
+                context.reader.number()
+                if is_end:
                     break
-                steps += 1
+                started += 1
                 if op not in MULTI:
                     raise RequestError(Code.UNIMPLEMENTED)
-                body = MULTI[op](asked)
+                body = MULTI[op](context)
                 parts.append((op, body))
-            found = list(changes)
-    except RequestError as flaw:
-        left = _count_left(asked.read)
-        codes = [Code.OK] * (steps - 1) + [flaw.code] + [Code.RUNTIME_INCONSISTENCY] * left
+            multi_changes = list(changes)
+    except RequestError as error:
+        remaining = _count_remaining(context.reader)
+        codes = [Code.OK] * (started - 1) + [error.code] + [Code.RUNTIME_INCONSISTENCY] * remaining
         failed = INT.pack(-1) + BOOL.pack(False)
-        return b"".join(failed + INT.pack(code) + INT.pack(code) for code in codes) + LAST
-    asked.changes = found
-    told = [INT.pack(op) + BOOL.pack(False) + INT.pack(0) + body for op, body in parts]
-    return b"".join(told) + LAST
+        return b"".join(failed + INT.pack(code) + INT.pack(code) for code in codes) + MULTI_END
+    context.changes = multi_changes
+    results = [INT.pack(op) + BOOL.pack(False) + INT.pack(0) + body for op, body in parts]
+    return b"".join(results) + MULTI_END
 
 
-def _count_left(read: Reader) -> int:
-    """The parts after the one that failed; where they can't be read they are none."""
-    left = 0
+def _count_remaining(reader: Reader) -> int:
+    """The number of operations after the failed one; those after malformed data do not count."""
+    remaining = 0
     try:
         while True:
-            op, done = read.number(), read.flag()
-            read.number()
-            if done:
-                return left
-            left += 1
-            read.string()
+            op, is_end = reader.number(), reader.flag()
+            reader.number()
+            if is_end:
+                return remaining
+            remaining += 1
+            reader.string()
             if op in (Op.CREATE, Op.CREATE2):
-                read.buffer()
-                read.acls()
+                reader.buffer()
+                reader.acls()
             elif op == Op.SET_DATA:
-                read.buffer()
-            read.number()
+                reader.buffer()
+            reader.number()
     except RequestError:
-        return left
+        return remaining
 
 
-MULTI: dict[int, Callable[[Asked], bytes]] = {
+MULTI: dict[int, Callable[[RequestContext], bytes]] = {
     Op.CREATE: _create,
     Op.CREATE2: _create2,
     Op.DELETE: _delete,
     Op.SET_DATA: _set_data,
     Op.CHECK: _check,
 }
-HANDLERS: dict[int, Callable[[Asked], bytes]] = MULTI | {
+HANDLERS: dict[int, Callable[[RequestContext], bytes]] = MULTI | {
     Op.EXISTS: _exists,
     Op.GET_DATA: _get_data,
     Op.GET_ACL: _get_acl,
@@ -223,9 +226,9 @@
 
 
 def with_identity(who: Who, scheme: str, credential: bytes) -> Who:
-    """Who it is after one more proof; raises RequestError for a scheme that is not known."""
+    """The identity with one more credential; raises RequestError for an unsupported scheme."""
     if scheme != "digest" or b":" not in credential:
         raise RequestError(Code.AUTH_FAILED)
-    known = copy.copy(who)
-    known.ids = who.ids | {(scheme, digest_id(credential))}
-    return known
+    extended = copy.copy(who)
+    extended.ids = who.ids | {(scheme, digest_id(credential))}
+    return extended
--- a/standins/zookeeper/sessions.py
+++ b/standins/zookeeper/sessions.py
@@ -1,4 +1,4 @@
-"""What hosts ask of the ensemble that they belong to, and a client's session in it."""
+"""Client sessions, and the interface of the ensemble to its hosts."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 @dataclass
 class Session:
+    """A client session; `heard_at` is the monotonic time of its last request."""
+
     id: int
     password: bytes
     timeout_ms: int
@@ -20,13 +22,13 @@
 
 
 class Member(Protocol):
-    """A host, as the others see it."""
+    """The interface of a host to the other hosts."""
 
     def cut(self, session: int) -> None: ...
 
 
-class Keeper(Protocol):
-    """The ensemble, as a host sees it."""
+class EnsembleProtocol(Protocol):
+    """The interface of the ensemble to its hosts."""
 
     tree: Tree
     sessions: dict[int, Session]
@@ -37,5 +39,5 @@
     def members(self) -> Sequence[Member]: ...
     def begin(self, timeout_ms: int) -> Session: ...
     def resume(self, session: int, password: bytes) -> Session | None: ...
-    def ended(self, session: int) -> None: ...
+    def session_closed(self, session: int) -> None: ...
     def changed(self, changes: list[Change]) -> None: ...
--- a/standins/zookeeper/tree.py
+++ b/standins/zookeeper/tree.py
@@ -1,7 +1,7 @@
-"""The tree that all hosts share: nodes, versions, ephemeral owners and access. No I/O; times are given.
+"""The node tree shared by all hosts: data, versions, ephemeral owners and ACLs. No I/O; time is a parameter.
 
-Every write has a zxid of its own, in order, and tells which paths changed and how; who watches them is the
-hosts' matter (watches.py). A write that fails leaves nothing behind, `multi` as a whole.
+Each write gets the next zxid and lists the changed paths with the kinds of change; the hosts notify the
+watchers (watches.py). A failed write is rolled back, a `multi` as a whole.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from standins.zookeeper.records import ANYONE, PERMISSIONS, Acl, Code, Kind, RequestError, Stat
 
-DATA_MOST = 1024 * 1024  # bytes of one node, as the published default
+MAX_DATA_BYTES = 1024 * 1024  # of one node; the default of ZooKeeper
 EPHEMERAL, SEQUENTIAL = 1, 2
 
 Change = tuple[Kind, str]
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True)
 class Who:
-    """On whose behalf a request is done."""
+    """The identity of a request: its session and the authenticated (scheme, id) pairs."""
 
     session: int = 0
     ids: frozenset[tuple[str, str]] = frozenset()
 
 
 def digest_id(credential: bytes) -> str:
-    """The id of a user and password, as published: only the password is hashed into it."""
+    """The ACL id of a credential `user:password` in the digest scheme: the user and a hash of both."""
     user = credential.partition(b":")[0].decode("latin-1")
     return f"{user}:{base64.b64encode(hashlib.sha1(credential).digest()).decode()}"
 
@@ -52,16 +52,16 @@
         self.now_ms = now_ms
         self.zxid = 0
         self.nodes: dict[str, Node] = {"/": Node(b"", ANYONE, Stat())}
-        self.owned: dict[int, set[str]] = {}  # ephemeral paths by session
-        self.changes: list[Change] = []  # of the write under way
+        self.ephemerals: dict[int, set[str]] = {}  # paths of ephemeral nodes by session
+        self.changes: list[Change] = []  # changes of the current write
 
-    def frozen(self) -> Tree:
-        """A copy as it is now, as a host has it that lags."""
+    def snapshot(self) -> Tree:
+        """A copy of the current state, for a host that lags behind."""
         return copy.deepcopy(self)
 
     @contextmanager
     def write(self) -> Iterator[list[Change]]:
-        """One write with a zxid of its own; undone where it raises RequestError."""
+        """Run one write with the next zxid; roll it back if it raises RequestError."""
         self.changes = []
         undo: list[Callable[[], None]] = []
         self.undo = undo
@@ -84,27 +84,27 @@
             raise RequestError(Code.NO_NODE)
         return node
 
-    def allowed(self, path: str, permission: str, who: Who) -> Node:
-        """The node, where the one who asks may do this with it."""
+    def authorized_node(self, path: str, permission: str, who: Who) -> Node:
+        """The node, if its ACL grants the permission; raises RequestError otherwise."""
         node = self.node(path)
-        wanted = PERMISSIONS[permission]
+        required = PERMISSIONS[permission]
         for acl in node.acl:
-            if acl.permissions & wanted and (acl.scheme == "world" or (acl.scheme, acl.id) in who.ids):
+            if acl.permissions & required and (acl.scheme == "world" or (acl.scheme, acl.id) in who.ids):
                 return node
         raise RequestError(Code.NO_AUTH)
 
-    # Writes, each within `write`
+    # Writes; call them only inside `write`
 
     def create(self, path: str, data: bytes, acl: tuple[Acl, ...], flags: int, who: Who) -> str:
-        """The path that was made, which a sequential one is told."""
+        """Create a node and return its path, which has a counter appended if sequential."""
         if not path.startswith("/") or "//" in path or (path != "/" and path.endswith("/")):
             raise RequestError(Code.BAD_ARGUMENTS)
-        if len(data) > DATA_MOST:
+        if len(data) > MAX_DATA_BYTES:
             raise RequestError(Code.BAD_ARGUMENTS)
         if flags not in (0, 1, 2, 3):
             raise RequestError(Code.UNIMPLEMENTED)
-        above = parent_of(path)
-        parent = self.allowed(above, "CREATE", who)
+        parent_path = parent_of(path)
+        parent = self.authorized_node(parent_path, "CREATE", who)
         if parent.stat.owner:
             raise RequestError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if flags & SEQUENTIAL:
@@ -114,36 +114,36 @@
         now = self.now_ms()
         owner = who.session if flags & EPHEMERAL else 0
         stat = Stat(self.zxid, self.zxid, now, now, owner=owner, length=len(data), pzxid=self.zxid)
-        self.nodes[path] = Node(data, self._kept_acl(acl, who), stat)
+        self.nodes[path] = Node(data, self._resolve_acl(acl, who), stat)
         if owner:
-            self.owned.setdefault(owner, set()).add(path)
+            self.ephemerals.setdefault(owner, set()).add(path)
         self.undo.append(lambda: self._drop(path))
-        self._count(above, parent, path, added=True)
-        self.changes += [(Kind.CREATED, path), (Kind.CHILDREN, above)]
+        self._update_parent(parent_path, parent, path, added=True)
+        self.changes += [(Kind.CREATED, path), (Kind.CHILDREN, parent_path)]
         return path
 
     def delete(self, path: str, version: int, who: Who) -> None:
         node = self.node(path)
-        above = parent_of(path)
-        parent = self.allowed(above, "DELETE", who)
+        parent_path = parent_of(path)
+        parent = self.authorized_node(parent_path, "DELETE", who)
         if path == "/":
             raise RequestError(Code.BAD_ARGUMENTS)
         self.check(path, version)
         if node.children:
             raise RequestError(Code.NOT_EMPTY)
-        self._remove(path, node, above, parent)
+        self._remove(path, node, parent_path, parent)
 
     def set_data(self, path: str, data: bytes, version: int, who: Who) -> Stat:
-        node = self.allowed(path, "WRITE", who)
+        node = self.authorized_node(path, "WRITE", who)
         self.check(path, version)
-        if len(data) > DATA_MOST:
+        if len(data) > MAX_DATA_BYTES:
             raise RequestError(Code.BAD_ARGUMENTS)
-        old, stat = node.data, copy.copy(node.stat)
+        old_data, old_stat = node.data, copy.copy(node.stat)
 
-        def back() -> None:
-            node.data, node.stat = old, stat
+        def restore() -> None:
+            node.data, node.stat = old_data, old_stat
 
-        self.undo.append(back)
+        self.undo.append(restore)
         node.data = data
         node.stat.version += 1
         node.stat.mzxid, node.stat.mtime, node.stat.length = self.zxid, self.now_ms(), len(data)
@@ -151,16 +151,16 @@
         return copy.copy(node.stat)
 
     def set_acl(self, path: str, acl: tuple[Acl, ...], version: int, who: Who) -> Stat:
-        node = self.allowed(path, "ADMIN", who)
+        node = self.authorized_node(path, "ADMIN", who)
         if version not in (-1, node.stat.aversion):
             raise RequestError(Code.BAD_VERSION)
-        old, aversion = node.acl, node.stat.aversion
+        old_acl, old_aversion = node.acl, node.stat.aversion
 
-        def back() -> None:
-            node.acl, node.stat.aversion = old, aversion
+        def restore() -> None:
+            node.acl, node.stat.aversion = old_acl, old_aversion
 
-        self.undo.append(back)
-        node.acl = self._kept_acl(acl, who)
+        self.undo.append(restore)
+        node.acl = self._resolve_acl(acl, who)
         node.stat.aversion += 1
         return copy.copy(node.stat)
 
@@ -169,54 +169,54 @@
             raise RequestError(Code.BAD_VERSION)
 
     def end_session(self, session: int) -> None:
-        """Its ephemeral nodes go with it, in one write."""
-        for path in sorted(self.owned.get(session, ()), reverse=True):
-            above = parent_of(path)
-            self._remove(path, self.nodes[path], above, self.nodes[above])
-        self.owned.pop(session, None)
+        """Delete the ephemeral nodes of a session."""
+        for path in sorted(self.ephemerals.get(session, ()), reverse=True):
+            parent_path = parent_of(path)
+            self._remove(path, self.nodes[path], parent_path, self.nodes[parent_path])
+        self.ephemerals.pop(session, None)
 
     # Parts of writes
 
-    def _kept_acl(self, acl: tuple[Acl, ...], who: Who) -> tuple[Acl, ...]:
-        kept: list[Acl] = []
-        for one in acl:
-            if one.scheme == "auth":  # everyone that this session is
+    def _resolve_acl(self, acl: tuple[Acl, ...], who: Who) -> tuple[Acl, ...]:
+        resolved: list[Acl] = []
+        for entry in acl:
+            if entry.scheme == "auth":  # stands for all authenticated ids of the session
                 if not who.ids:
                     raise RequestError(Code.INVALID_ACL)
-                kept += [Acl(one.permissions, scheme, its) for scheme, its in sorted(who.ids)]
-            elif one.scheme in ("world", "digest", "ip"):
-                kept.append(one)
+                resolved += [Acl(entry.permissions, scheme, identity) for scheme, identity in sorted(who.ids)]
+            elif entry.scheme in ("world", "digest", "ip"):
+                resolved.append(entry)
             else:
                 raise RequestError(Code.INVALID_ACL)
-        if not kept:
+        if not resolved:
             raise RequestError(Code.INVALID_ACL)
-        return tuple(kept)
+        return tuple(resolved)
 
-    def _remove(self, path: str, node: Node, above: str, parent: Node) -> None:
+    def _remove(self, path: str, node: Node, parent_path: str, parent: Node) -> None:
         self._drop(path)
 
-        def back() -> None:
+        def restore() -> None:
             self.nodes[path] = node
             if node.stat.owner:
-                self.owned.setdefault(node.stat.owner, set()).add(path)
+                self.ephemerals.setdefault(node.stat.owner, set()).add(path)
 
-        self.undo.append(back)
-        self._count(above, parent, path, added=False)
-        self.changes += [(Kind.DELETED, path), (Kind.CHILDREN, above)]
+        self.undo.append(restore)
+        self._update_parent(parent_path, parent, path, added=False)
+        self.changes += [(Kind.DELETED, path), (Kind.CHILDREN, parent_path)]
 
     def _drop(self, path: str) -> None:
         node = self.nodes.pop(path)
         if node.stat.owner:
-            self.owned.get(node.stat.owner, set()).discard(path)
+            self.ephemerals.get(node.stat.owner, set()).discard(path)
 
-    def _count(self, above: str, parent: Node, path: str, added: bool) -> None:
-        name, stat = path.rpartition("/")[2], copy.copy(parent.stat)
+    def _update_parent(self, parent_path: str, parent: Node, path: str, added: bool) -> None:
+        name, old_stat = path.rpartition("/")[2], copy.copy(parent.stat)
 
-        def back() -> None:
-            parent.stat = stat
+        def restore() -> None:
+            parent.stat = old_stat
             (parent.children.discard if added else parent.children.add)(name)
 
-        self.undo.append(back)
+        self.undo.append(restore)
         (parent.children.add if added else parent.children.discard)(name)
         parent.stat.cversion += 1
         parent.stat.pzxid = self.zxid
--- a/standins/zookeeper/watches.py
+++ b/standins/zookeeper/watches.py
@@ -1,4 +1,4 @@
-"""Who watches what, for one host: one-shot watches, persistent ones and recursive ones. No I/O."""
+"""The watches of one host by path: one-shot, persistent and recursive. No I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 
 
 class Watches:
+    """The watchers of data and children by path; `persistent` has those of modes PERSISTENT and RECURSIVE."""
+
     def __init__(self) -> None:
-        self.data: dict[str, set[Watcher]] = defaultdict(set)  # also of nodes that are not there yet
+        self.data: dict[str, set[Watcher]] = defaultdict(set)  # also of nodes that do not exist yet
         self.children: dict[str, set[Watcher]] = defaultdict(set)
-        self.lasting: tuple[dict[str, set[Watcher]], dict[str, set[Watcher]]] = (
+        self.persistent: tuple[dict[str, set[Watcher]], dict[str, set[Watcher]]] = (
             defaultdict(set),
             defaultdict(set),
         )
@@ -24,55 +26,62 @@
     def add(self, path: str, mode: int, watcher: Watcher) -> None:
         if mode not in (PERSISTENT, RECURSIVE):
             raise RequestError(Code.BAD_ARGUMENTS)
-        self.lasting[mode][path].add(watcher)
+        self.persistent[mode][path].add(watcher)
 
     def remove(self, path: str, kind: int, watcher: Watcher) -> None:
-        """One kind of watch, as published: 1 children, 2 data, 3 any."""
-        tables = {1: (self.children,), 2: (self.data,)}.get(kind, (self.children, self.data, *self.lasting))
-        found = [table for table in tables if watcher in table.get(path, ())]
-        if not found:
+        """Remove the watches of a kind, as defined by the protocol: 1 children, 2 data, 3 any."""
+        tables = {1: (self.children,), 2: (self.data,)}.get(
+            kind, (self.children, self.data, *self.persistent)
+        )
+        matching_tables = [table for table in tables if watcher in table.get(path, ())]
+        if not matching_tables:
             raise RequestError(Code.NO_WATCHER)
-        for table in found:
+        for table in matching_tables:
             table[path].discard(watcher)
 
-    def forget(self, watcher: Watcher) -> None:
-        for table in (self.data, self.children, *self.lasting):
+    def remove_all(self, watcher: Watcher) -> None:
+        """Remove all watches of a closed connection."""
+        for table in (self.data, self.children, *self.persistent):
             for path in [path for path, watchers in table.items() if watcher in watchers]:
                 table[path].discard(watcher)
                 if not table[path]:
                     del table[path]
 
     def count(self) -> int:
-        return sum(len(of) for table in (self.data, self.children, *self.lasting) for of in table.values())
+        return sum(
+            len(watchers)
+            for table in (self.data, self.children, *self.persistent)
+            for watchers in table.values()
+        )
 
-    def fired(self, kind: Kind, path: str) -> Iterator[Watcher]:
-        """Who is told of a change; one-shot watches end by it."""
-        told: set[Watcher] = set()
+    def triggered(self, kind: Kind, path: str) -> Iterator[Watcher]:
+        """The watchers to notify of a change; one-shot watches are removed."""
+        notified: set[Watcher] = set()
         if kind is not Kind.CHILDREN:
-            told |= self.data.pop(path, set())
+            notified |= self.data.pop(path, set())
         if kind in (Kind.CHILDREN, Kind.DELETED):
-            told |= self.children.pop(path, set())
-        told |= self.lasting[PERSISTENT].get(path, set())
-        if kind is not Kind.CHILDREN:  # a recursive watch is told of the nodes themselves
-            above = path
+            notified |= self.children.pop(path, set())
+        notified |= self.persistent[PERSISTENT].get(path, set())
+        if kind is not Kind.CHILDREN:  # recursive watches get events of nodes, not of child lists
+            ancestor = path
             while True:
-                told |= self.lasting[RECURSIVE].get(above, set())
-                if above == "/":
+                notified |= self.persistent[RECURSIVE].get(ancestor, set())
+                if ancestor == "/":
                     break
-                above = parent_of(above)
-        yield from told
+                ancestor = parent_of(ancestor)
+        yield from notified
 
-    def renew(
+    def restore(
         self,
         tree: Tree,
         since: int,
         data: list[str],
         exist: list[str],
         children: list[str],
-        lasting: tuple[list[str], list[str]],
+        persistent: tuple[list[str], list[str]],
         watcher: Watcher,
     ) -> list[tuple[Kind, str]]:
-        """A client that comes back sets its watches anew; what it missed of the one-shot ones is told."""
+        """Restore the watches of a reconnected client; return the events that its one-shot watches missed."""
         missed: list[tuple[Kind, str]] = []
         for path in data:
             node = tree.nodes.get(path)
@@ -95,7 +104,7 @@
                 missed.append((Kind.CHILDREN, path))
             else:
                 self.children[path].add(watcher)
-        for mode, paths in enumerate(lasting):
+        for mode, paths in enumerate(persistent):
             for path in paths:
-                self.lasting[mode][path].add(watcher)
+                self.persistent[mode][path].add(watcher)
         return missed
--- a/tests/standins/test_zookeeper.py
+++ b/tests/standins/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""The registry stand-in, judged by kazoo: its client and its recipes run against it as against a real one."""
+"""The ZooKeeper stand-in serves the client and the recipes of kazoo as a real ensemble does."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 logging.getLogger("kazoo").setLevel(logging.CRITICAL)
 
 
-def judged(case: Callable[[Ensemble, Callable[..., KazooClient]], Any]) -> None:
-    """Run `case` in a thread, beside an ensemble; it gets a maker of clients that are started."""
+def run_case(case: Callable[[Ensemble, Callable[..., KazooClient]], Any]) -> None:
+    """Run `case` in a thread against an ensemble; its second argument creates started clients."""
 
     async def main() -> None:
         ensemble = await Ensemble().start()
@@ -67,9 +67,9 @@
 
 
 def until(condition: Callable[[], bool]) -> None:
-    end = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + WAIT_S
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.01)
 
 
@@ -101,7 +101,7 @@
         one.delete("/a", recursive=True)
         assert one.exists("/a") is None
 
-    judged(case)
+    run_case(case)
 
 
 def test_transactions_are_all_or_nothing() -> None:
@@ -119,13 +119,13 @@
         bad.delete("/t1")
         bad.create("/t2", b"")
         bad.create("/t3", b"")
-        told = [type(result) for result in bad.commit()]
-        assert told == [RolledBackError, RolledBackError, NodeExistsError, RuntimeInconsistency]
+        errors = [type(result) for result in bad.commit()]
+        assert errors == [RolledBackError, RolledBackError, NodeExistsError, RuntimeInconsistency]
         assert one.get_children("/") == ["t1"]
         assert one.get("/t1")[0] == b"2"
         assert ensemble.tree.zxid == before
 
-    judged(case)
+    run_case(case)
 
 
 def test_recipes_for_watching() -> None:
@@ -144,7 +144,7 @@
         other.delete("/w/d")
         until(lambda: lists[-1:] == [[]] and values[-1] is None)
 
-    judged(case)
+    run_case(case)
 
 
 def test_locks_parties_and_counters() -> None:
@@ -158,8 +158,8 @@
         Party(other, "/party", "two").join()
         assert sorted(party) == ["one", "two"]
         order: list[str] = []
-        held = one.Lock("/lock", "one")
-        held.acquire()
+        lock = one.Lock("/lock", "one")
+        lock.acquire()
 
         def wait() -> None:
             with other.Lock("/lock", "two"):
@@ -169,11 +169,11 @@
         waiting.start()
         until(lambda: len(one.get_children("/lock")) == 2)
         order.append("one")
-        held.release()
+        lock.release()
         waiting.join(WAIT_S)
         assert order == ["one", "two"]
 
-    judged(case)
+    run_case(case)
 
 
 def test_access_is_kept_by_digest() -> None:
@@ -195,7 +195,7 @@
         with pytest.raises(NoAuthError):
             owner.set("/mine", b"y")
 
-    judged(case)
+    run_case(case)
 
 
 def test_a_session_moves_to_another_host_with_its_nodes_and_watches_and_expires() -> None:
@@ -205,7 +205,7 @@
         session = one.client_id[0]
         seen: list[Any] = []
         one.get("/mine", watch=seen.append)
-        loop = ensemble.looking.get_loop()  # type: ignore[union-attr]
+        loop = ensemble.expiry_task.get_loop()  # type: ignore[union-attr]
         for host in ensemble.hosts[:2]:
             loop.call_soon_threadsafe(host.stop)
         until(lambda: one.connected and any(line.session for line in ensemble.hosts[2].lines))
@@ -214,7 +214,7 @@
         until(lambda: other.connected and other.retry(other.exists, "/mine") is None)
         until(lambda: one.connected and one.client_id[0] not in (session, 0))
 
-    judged(case)
+    run_case(case)
 
 
 def test_words_for_monitors() -> None:
@@ -226,7 +226,7 @@
         assert one.command(b"isro") == "rw"
         assert "not executed" in one.command(b"kill")
 
-    judged(case)
+    run_case(case)
 
 
 def test_a_failed_write_leaves_nothing_behind() -> None:
@@ -234,14 +234,14 @@
     who = Who(5)
     with tree.write():
         tree.create("/a", b"1", ANYONE, 0, who)
-    before = tree.frozen()
+    before = tree.snapshot()
     with pytest.raises(RequestError) as raised, tree.write():
         tree.create("/a/e", b"", ANYONE, 1, who)
         tree.set_data("/a", b"2", -1, who)
         tree.delete("/a/e", -1, who)
         tree.delete("/none", -1, who)
     assert raised.value.code is Code.NO_NODE
-    assert (tree.zxid, tree.nodes, tree.owned.get(5, set())) == (before.zxid, before.nodes, set())
+    assert (tree.zxid, tree.nodes, tree.ephemerals.get(5, set())) == (before.zxid, before.nodes, set())
     with tree.write() as changes:
         tree.create("/a/e", b"", ANYONE, 1, who)
     assert changes == [(Kind.CREATED, "/a/e"), (Kind.CHILDREN, "/a")]
