--- a/standins/consul/__init__.py
+++ b/standins/consul/__init__.py
@@ -1,1 +1,1 @@
-"""A Consul cluster on loopback, as far as followers and registrants see it."""
+"""Stand-in of a Consul cluster on loopback: the API for clients that watch and register services."""
--- a/standins/consul/catalog.py
+++ b/standins/consul/catalog.py
@@ -1,4 +1,4 @@
-"""What a Consul cluster holds: services with checks, keys, and an index that counts all changes. No I/O."""
+"""The state of a Consul cluster: services with checks, keys, and an index that counts changes. No I/O."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 
 @dataclass
 class Check:
+    """A health check; `heard_at` is the monotonic time of its last heartbeat."""
+
     status: str = "passing"
-    ttl_s: float = 0.0  # 0: nothing has to keep it alive
+    ttl_s: float = 0.0  # 0: needs no heartbeats
     heard_at: float = 0.0
 
 
 @dataclass
 class Instance:
+    """A registered service instance with its checks by check id."""
+
     node: str
     id: str
     name: str
@@ -28,8 +32,8 @@
     modified: int
     checks: dict[str, Check] = field(default_factory=dict)
 
-    def told(self) -> dict[str, Any]:
-        """As `/v1/health/service` tells it."""
+    def health_entry(self) -> dict[str, Any]:
+        """The entry of the instance in a response of `/v1/health/service`."""
         return {
             "Node": {"Node": self.node, "Address": "127.0.0.1"},
             "Service": {
@@ -53,19 +57,21 @@
 
 
 class Catalog:
+    """Service instances by id, and keys; each change increments the index."""
+
     def __init__(self) -> None:
         self.index = 10
         self.instances: dict[str, Instance] = {}
         self.keys: dict[str, Key] = {}
 
     def begin_anew(self) -> None:
-        """The index starts again from its beginning, with all that is there, as after a restored snapshot."""
+        """Reset the index to its start and keep the data, as after the restore of a snapshot."""
         self.index = 10
 
     def backup(self) -> Catalog:
         return copy.deepcopy(self)
 
-    def _next(self) -> int:
+    def _next_index(self) -> int:
         self.index += 1
         return self.index
 
@@ -74,84 +80,87 @@
     def register(
         self, name: str, id: str, address: str, port: int, meta: dict[str, str], ttl_s: float = 0.0
     ) -> None:
-        at = self._next()
-        before = self.instances.get(id)
-        created = before.created if before is not None else at
+        index = self._next_index()
+        previous = self.instances.get(id)
+        created = previous.created if previous is not None else index
         status = "critical" if ttl_s else "passing"
         checks = {f"service:{id}": Check(status, ttl_s, time.monotonic())}
-        self.instances[id] = Instance("node", id, name, address, port, meta, created, at, checks)
+        self.instances[id] = Instance("node", id, name, address, port, meta, created, index, checks)
 
     def deregister(self, *ids: str) -> None:
-        gone = [self.instances.pop(id) for id in ids if id in self.instances]
-        if gone:
-            self._next()
+        removed = [self.instances.pop(id) for id in ids if id in self.instances]
+        if removed:
+            self._next_index()
 
     def set_check(self, id: str, check: str, status: str | None) -> None:
-        """Set a check of an instance, or take one away."""
+        """Set the status of a check of an instance, or remove the check if `status` is None."""
         instance = self.instances[id]
         if status is None:
             instance.checks.pop(check, None)
         else:
             instance.checks.setdefault(check, Check()).status = status
-        self._next()
+        self._next_index()
 
-    def hears(self, check_id: str) -> bool:
-        """A sign of life for a check; whether there is one."""
+    def heartbeat(self, check_id: str) -> bool:
+        """Record a heartbeat of a check; return whether the check exists."""
         for instance in self.instances.values():
             check = instance.checks.get(check_id)
             if check is not None:
                 check.heard_at = time.monotonic()
                 if check.status != "passing":
                     check.status = "passing"
-                    self._next()
+                    self._next_index()
                 return True
         return False
 
     def expire(self, now: float) -> bool:
-        """Checks that were not kept alive become critical; whether any did."""
-        ended = [
+        """Set checks without a heartbeat within their time to live to critical; return whether any was."""
+        expired = [
             check
             for instance in self.instances.values()
             for check in instance.checks.values()
             if check.ttl_s and check.status == "passing" and now > check.heard_at + check.ttl_s
         ]
-        for check in ended:
+        for check in expired:
             check.status = "critical"
-        if ended:
-            self._next()
-        return bool(ended)
+        if expired:
+            self._next_index()
+        return bool(expired)
 
     # Keys
 
     def put(self, key: str, value: bytes) -> None:
-        at = self._next()
-        before = self.keys.get(key)
-        self.keys[key] = Key(value, before.created if before is not None else at, at)
+        index = self._next_index()
+        previous = self.keys.get(key)
+        self.keys[key] = Key(value, previous.created if previous is not None else index, index)
 
     def delete(self, *keys: str) -> None:
-        gone = [self.keys.pop(key) for key in keys if key in self.keys]
-        if gone:
-            self._next()
+        removed = [self.keys.pop(key) for key in keys if key in self.keys]
+        if removed:
+            self._next_index()
 
-    # As the API tells it
+    # API responses
 
     def service(self, name: str, passing: bool) -> list[dict[str, Any]]:
+        """The instances of a service; with `passing` only those whose checks all pass."""
         return [
-            one.told()
-            for one in self.instances.values()
-            if one.name == name and (not passing or all(c.status == "passing" for c in one.checks.values()))
+            instance.health_entry()
+            for instance in self.instances.values()
+            if instance.name == name
+            and (not passing or all(check.status == "passing" for check in instance.checks.values()))
         ]
 
-    def under(self, prefix: str) -> list[dict[str, Any]]:
+    def keys_with_prefix(self, prefix: str) -> list[dict[str, Any]]:
+        """The keys with a prefix, in order."""
         return [
             {
                 "Key": key,
-                "Value": base64.b64encode(one.value).decode(),
-                "CreateIndex": one.created,
-                "ModifyIndex": one.modified,
+                "Value": base64.b64encode(entry.value).decode(),
+                "CreateIndex": entry.created,
+                "ModifyIndex": entry.modified,
                 "LockIndex": 0,
                 "Flags": 0,
             }
-            for key, one in sorted(self.keys.items())
+            for key, entry in sorted(self.keys.items())
             if key.startswith(prefix)
         ]
--- a/standins/consul/cluster.py
+++ b/standins/consul/cluster.py
@@ -1,7 +1,7 @@
-"""Agents over one catalog, each on a port of its own, with faults by script.
+"""A Consul cluster: agents on separate ports that share one catalog, with faults.
 
-`on_listed(names, at)` is called after an answer that tells all instances or keys was written to a follower:
-the names of those that it tells as usable.
+`on_listed(names, at)` is called after a response with instances or keys has been written to a client; `names`
+are the ids of the passing instances, or the keys.
 """
 
 from __future__ import annotations
@@ -17,23 +17,25 @@
 from standins.consul.catalog import Catalog
 from standins.wire import Message, WireError, read_message, response
 
-LOOK_S = 0.02
+EXPIRY_CHECK_S = 0.02
 
 
-def seconds(text: str) -> float:
-    """A duration as the API tells it: `10s`, `250ms`, `1m`."""
+def parse_duration_s(text: str) -> float:
+    """Parse a duration of the API, such as `10s`, `250ms` or `1m`."""
     for unit, factor in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
         if text.endswith(unit):
             return float(text.removesuffix(unit)) * factor
-    raise WireError(f"no duration: {text!r}")
+    raise WireError(f"invalid duration: {text!r}")
 
 
-def lowered(told: dict[str, Any]) -> dict[str, Any]:
-    """The API takes its fields' names in any case."""
-    return {name.lower(): value for name, value in told.items()}
+def with_lowercase_names(fields: dict[str, Any]) -> dict[str, Any]:
+    """The fields with lower-case names; the API accepts names in any case."""
+    return {name.lower(): value for name, value in fields.items()}
 
 
 class Cluster:
+    """The cluster; with a `token`, requests need it."""
+
     def __init__(self, agents: int = 2, token: str = "") -> None:
         self.catalog = Catalog()
         self.token = token
@@ -41,17 +43,17 @@
         self.agents = [Agent(self) for _ in range(agents)]
         self.on_listed: Callable[[set[str], float], None] = lambda names, at: None
         self.queries_cut = 0
-        self.looking: asyncio.Task[None] | None = None
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> Cluster:
         for agent in self.agents:
             await agent.start()
-        self.looking = asyncio.create_task(self._look())
+        self.expiry_task = asyncio.create_task(self._expire_checks())
         return self
 
     async def close(self) -> None:
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.expiry_task is not None:
+            self.expiry_task.cancel()
         for agent in self.agents:
             agent.stop()
 
@@ -59,24 +61,29 @@
         return [f"127.0.0.1:{agent.port}" for agent in self.agents]
 
     async def tell(self) -> None:
-        """The catalog has changed: queries that wait are answered."""
+        """Wake the pending blocking queries after a change of the catalog."""
         async with self.changed:
             self.changed.notify_all()
 
     async def restore(self, backup: Catalog) -> None:
-        """An older copy takes the catalog's place: the index goes back."""
+        """Restore the catalog from a backup: the index goes back."""
         self.catalog = backup.backup()
         await self.tell()
 
-    async def _look(self) -> None:
+    async def _expire_checks(self) -> None:
+        """Expire checks without heartbeats."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(EXPIRY_CHECK_S)
             if self.catalog.expire(time.monotonic()):
                 await self.tell()
 
 
 class Agent:
-    """`status`: answered in place of everything. `frozen`: it has lost its leader and tells what it knew."""
+    """An agent and its faults.
+
+    `status`: the status of all responses, if not 0. `frozen`: the outdated catalog of an agent that has lost
+    its leader.
+    """
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -84,7 +91,7 @@
         self.status = 0
         self.frozen: Catalog | None = None
         self.knows_leader = True
-        self.index_told = ""  # in place of the true one
+        self.index_told = ""  # replaces the true index in responses, if not empty
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
@@ -95,7 +102,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Go, and cut all connections."""
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -124,7 +131,7 @@
                 if names is not None:
                     self.cluster.on_listed(names, time.monotonic())
         except (ConnectionError, WireError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the client's end, or ours
+            pass  # closed by the client or by a fault
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -152,13 +159,13 @@
             return 500, b"No cluster leader", {}, None
         if "stale" not in query and self.frozen is not None:
             return 500, b"No cluster leader", {}, None
-        wanted = int(query.get("index", "0"))
-        if wanted:
+        known_index = int(query.get("index", "0"))
+        if known_index:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(seconds(query.get("wait", "5m"))), self.cluster.changed:
-                    await self.cluster.changed.wait_for(lambda: self.catalog.index != wanted)
+                async with asyncio.timeout(parse_duration_s(query.get("wait", "5m"))), self.cluster.changed:
+                    await self.cluster.changed.wait_for(lambda: self.catalog.index != known_index)
         catalog = self.catalog
-        told, names = self._told(catalog, path, query)
+        entries, names = self._read(catalog, path, query)
         headers = {
             "X-Consul-Index": self.index_told or str(catalog.index),
             "X-Consul-KnownLeader": str(self.knows_leader).lower(),
@@ -166,26 +173,26 @@
             "Content-Type": "application/json",
         }
         return (
-            (200 if told or path.startswith("/v1/health") else 404),
-            json.dumps(told).encode(),
+            (200 if entries or path.startswith("/v1/health") else 404),
+            json.dumps(entries).encode(),
             headers,
             names,
         )
 
-    def _told(self, catalog: Catalog, path: str, query: dict[str, str]) -> tuple[list[Any], set[str]]:
+    def _read(self, catalog: Catalog, path: str, query: dict[str, str]) -> tuple[list[Any], set[str]]:
         if path.startswith("/v1/health/service/"):
-            told = catalog.service(path.removeprefix("/v1/health/service/"), "passing" in query)
-            good = {
-                one["Service"]["ID"]
-                for one in told
-                if all(check["Status"] == "passing" for check in one["Checks"])
+            entries = catalog.service(path.removeprefix("/v1/health/service/"), "passing" in query)
+            passing = {
+                entry["Service"]["ID"]
+                for entry in entries
+                if all(check["Status"] == "passing" for check in entry["Checks"])
             }
-            return told, good
+            return entries, passing
         key = path.removeprefix("/v1/kv/")
-        told = catalog.under(key)
+        entries = catalog.keys_with_prefix(key)
         if "recurse" not in query:
-            told = [one for one in told if one["Key"] == key]
-        return told, {one["Key"] for one in told}
+            entries = [entry for entry in entries if entry["Key"] == key]
+        return entries, {entry["Key"] for entry in entries}
 
     @property
     def catalog(self) -> Catalog:
@@ -195,25 +202,29 @@
         catalog = self.cluster.catalog
         name = path.rpartition("/")[2]
         if method == "PUT" and path == "/v1/agent/service/register":
-            told = lowered(json.loads(body))
-            ttl = seconds(lowered(told.get("check") or {}).get("ttl") or "0s")
-            id, meta = told.get("id") or told["name"], told.get("meta") or {}
-            catalog.register(told["name"], id, told.get("address", ""), told.get("port", 0), meta, ttl)
+            fields = with_lowercase_names(json.loads(body))
+            ttl_s = parse_duration_s(with_lowercase_names(fields.get("check") or {}).get("ttl") or "0s")
+            id, meta = fields.get("id") or fields["name"], fields.get("meta") or {}
+            catalog.register(
+                fields["name"], id, fields.get("address", ""), fields.get("port", 0), meta, ttl_s
+            )
             return 200, b""
         if method == "PUT" and path.startswith("/v1/agent/service/deregister/"):
             catalog.deregister(name)
             return 200, b""
         if method == "PUT" and path.startswith("/v1/agent/check/pass/"):
-            return (200, b"") if catalog.hears(name) else (404, b"Unknown check ID")
+            return (200, b"") if catalog.heartbeat(name) else (404, b"Unknown check ID")
         if path.startswith("/v1/kv/"):
             key = path.removeprefix("/v1/kv/")
             if method == "PUT":
                 catalog.put(key, body)
                 return 200, b"true"
             if method == "DELETE":
-                there = [
-                    one for one in catalog.keys if one == key or ("recurse" in query and one.startswith(key))
+                existing = [
+                    existing_key
+                    for existing_key in catalog.keys
+                    if existing_key == key or ("recurse" in query and existing_key.startswith(key))
                 ]
-                catalog.delete(*there)
+                catalog.delete(*existing)
                 return 200, b"true"
         return 404, b""
--- a/standins/etcd/__init__.py
+++ b/standins/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""An etcd cluster on loopback, as far as followers and registrants see it."""
+"""Stand-in of an etcd cluster on loopback: the API for clients that watch and register services."""
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -1,7 +1,7 @@
-"""Members of a cluster over one store, each on a port of its own, with faults by script.
+"""An etcd cluster: members on separate ports that share one store, with faults.
 
-What was written to the program is noted as it leaves: `on_told(key, ended, at)` for each change that a watch
-told, `on_listed(prefix, keys, at)` for each whole read.
+Hooks are called for what is sent to the program: `on_told(key, ended, at)` after each change written to a
+watch, `on_listed(prefix, keys, at)` for each range read.
 """
 
 from __future__ import annotations
@@ -18,34 +18,36 @@
 from aetcd.rpc import rpc_pb2_grpc
 
 from standins.errands import Errands
-from standins.etcd.store import DELETE, Compacted, Lease, Store, within
+from standins.etcd.store import DELETE, Compacted, Lease, Store, in_range
 
-LOOK_S = 0.02
-MESSAGE_MOST = 64 * 1024 * 1024
+EXPIRY_CHECK_S = 0.02
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
 class Cluster:
+    """The cluster; with a `user` ("name:password") calls need a token, and `credentials` enable TLS."""
+
     def __init__(self, members: int = 3, user: str = "", credentials: Any = None) -> None:
         self.store = Store()
         self.user = user
         self.tokens: set[str] = set()
-        self.numbers = itertools.count(1)
+        self.ids = itertools.count(1)
         self.members = [Member(self, credentials) for _ in range(members)]
         self.on_told: Callable[[str, bool, float], None] = lambda key, ended, at: None
         self.on_listed: Callable[[str, set[str], float], None] = lambda prefix, keys, at: None
         self.watches_cut = self.compactions = 0
-        self.fragment_most = 0  # events in one answer; 0: no bound
-        self.looking: asyncio.Task[None] | None = None
+        self.fragment_most = 0  # maximum number of events in a response; 0: unlimited
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> Cluster:
         for member in self.members:
             await member.start()
-        self.looking = asyncio.create_task(self._look())
+        self.expiry_task = asyncio.create_task(self._expire_leases())
         return self
 
     async def close(self) -> None:
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.expiry_task is not None:
+            self.expiry_task.cancel()
         for member in self.members:
             await member.close()
 
@@ -61,18 +63,18 @@
         self._changed(self.store.delete([key.encode() for key in keys]))
 
     def compact(self) -> None:
-        """Forget all history up to now."""
+        """Compact the history up to the current revision."""
         self.compactions += 1
         self.store.compact(self.store.revision)
 
     def restore(self, backup: Store) -> None:
-        """The cluster is set up anew from an older copy: all watches end, revisions go back."""
+        """Restore the cluster from a backup: all watches end, and the revision goes back."""
         self.store = backup.backup()
         for member in self.members:
             member.cut()
 
     def expire_tokens(self) -> None:
-        """All tokens end now, in the middle of whatever uses them."""
+        """Expire all tokens now, and cancel the watches that use them."""
         self.tokens.clear()
         for member in self.members:
             for watch in list(member.watches):
@@ -82,18 +84,19 @@
         for member in self.members:
             if member.frozen is None:
                 for watch in list(member.watches):
-                    watch.tell(events)
+                    watch.send_changes(events)
 
-    async def _look(self) -> None:
-        """End leases that nobody keeps alive."""
+    async def _expire_leases(self) -> None:
+        """Revoke leases whose time to live has passed without a keep-alive."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(EXPIRY_CHECK_S)
             now = time.monotonic()
             for lease in list(self.store.leases.values()):
                 if now > lease.heard_at + lease.ttl_s:
                     self.end_lease(lease.id)
 
     def end_lease(self, lease: int) -> None:
+        """Remove a lease and delete its keys."""
         ended = self.store.leases.pop(lease, None)
         if ended is not None:
             self._changed(self.store.delete(sorted(ended.keys)))
@@ -106,7 +109,11 @@
     rpc_pb2_grpc.AuthServicer,  # type: ignore[misc]
     rpc_pb2_grpc.MaintenanceServicer,  # type: ignore[misc]
 ):
-    """`down`: turns all calls away. `silent`: watches tell nothing, not even signs. `frozen`: lags."""
+    """A member and its faults.
+
+    `down`: rejects all calls. `silent`: watches send no responses, not even progress notifications.
+    `frozen`: the outdated store that the member serves.
+    """
 
     def __init__(self, cluster: Cluster, credentials: Any) -> None:
         self.cluster = cluster
@@ -124,8 +131,8 @@
     async def start(self) -> None:
         self.server = grpc.aio.server(
             options=[
-                ("grpc.max_send_message_length", MESSAGE_MOST),
-                ("grpc.max_receive_message_length", MESSAGE_MOST),
+                ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
+                ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
                 ("grpc.so_reuseport", 0),
             ]
         )
@@ -144,38 +151,39 @@
             await self.server.stop(0.0)
 
     def cut(self) -> None:
-        """End all watches, as a member does that goes."""
+        """End all watches, as a member that shuts down does."""
         for watch in list(self.watches):
             self.cluster.watches_cut += 1
             watch.end("")
 
     def go(self) -> None:
+        """End all watches and reject calls from now on."""
         self.down = True
         self.cut()
 
     def fall_behind(self) -> None:
-        """Serve the state of now from here on, whatever changes."""
+        """Serve the current state from now on, whatever is written later."""
         self.frozen = self.cluster.store.backup()
 
     def header(self) -> rpc.ResponseHeader:
         return rpc.ResponseHeader(cluster_id=1, member_id=self.port, revision=self.store.revision)
 
-    async def _admit(self, context: Any) -> None:
+    async def _authorize(self, context: Any) -> None:
         if self.down:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
-        told = dict(context.invocation_metadata() or ())
-        if self.cluster.user and told.get("token") not in self.cluster.tokens:
+        metadata = dict(context.invocation_metadata() or ())
+        if self.cluster.user and metadata.get("token") not in self.cluster.tokens:
             await context.abort(grpc.StatusCode.UNAUTHENTICATED, "etcdserver: invalid auth token")
 
-    # The API. Its names are the published ones.
+    # The gRPC API; method names are those of etcd.
 
     async def Authenticate(self, request: Any, context: Any) -> Any:  # noqa: N802
         if self.down:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
         if f"{request.name}:{request.password}" != self.cluster.user:
-            said = "etcdserver: authentication failed, invalid user ID or password"
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, said)
-        token = f"token.{next(self.cluster.numbers)}"
+            message = "etcdserver: authentication failed, invalid user ID or password"
+            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, message)
+        token = f"token.{next(self.cluster.ids)}"
         self.cluster.tokens.add(token)
         return rpc.AuthenticateResponse(header=self.header(), token=token)
 
@@ -183,8 +191,8 @@
         return rpc.StatusResponse(header=self.header(), version="3.5.0", leader=1)
 
     async def Range(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
-        if self.frozen is not None and not request.serializable:  # it can't reach its leader
+        await self._authorize(context)
+        if self.frozen is not None and not request.serializable:  # the member cannot reach its leader
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: request timed out")
         found = self.store.between(request.key, request.range_end)
         prefix = request.key.decode("utf-8", "replace")
@@ -194,37 +202,37 @@
         return answer
 
     async def Put(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
+        await self._authorize(context)
         if request.lease and request.lease not in self.cluster.store.leases:
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
         self.cluster._changed([self.cluster.store.put(request.key, request.value, request.lease)])
         return rpc.PutResponse(header=self.header())
 
     async def DeleteRange(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
-        keys = [key for key in self.cluster.store.keys if within(key, request.key, request.range_end)]
+        await self._authorize(context)
+        keys = [key for key in self.cluster.store.keys if in_range(key, request.key, request.range_end)]
         events = self.cluster.store.delete(sorted(keys))
         self.cluster._changed(events)
         return rpc.DeleteRangeResponse(header=self.header(), deleted=len(events))
 
     async def Compact(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
+        await self._authorize(context)
         self.cluster.store.compact(request.revision)
         return rpc.CompactionResponse(header=self.header())
 
     async def LeaseGrant(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
-        lease = Lease(request.ID or next(self.cluster.numbers) + 1_000, request.TTL)
+        await self._authorize(context)
+        lease = Lease(request.ID or next(self.cluster.ids) + 1_000, request.TTL)
         self.cluster.store.leases[lease.id] = lease
         return rpc.LeaseGrantResponse(header=self.header(), ID=lease.id, TTL=lease.ttl_s)
 
     async def LeaseRevoke(self, request: Any, context: Any) -> Any:  # noqa: N802
-        await self._admit(context)
+        await self._authorize(context)
         self.cluster.end_lease(request.ID)
         return rpc.LeaseRevokeResponse(header=self.header())
 
     async def LeaseKeepAlive(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:  # noqa: N802
-        await self._admit(context)
+        await self._authorize(context)
         async for request in requests:
             lease = self.cluster.store.leases.get(request.ID)
             if lease is not None:
@@ -233,30 +241,30 @@
             yield rpc.LeaseKeepAliveResponse(header=self.header(), ID=request.ID, TTL=ttl)
 
     async def Watch(self, requests: AsyncIterator[Any], context: Any) -> None:  # noqa: N802
-        await self._admit(context)
+        await self._authorize(context)
         stream = WatchStream(self, context)
         self.watches.add(stream)
-        errands = Errands()
-        errands.begin(stream.read(requests))
+        background = Errands()
+        background.begin(stream.read(requests))
         try:
             await stream.write()
         finally:
             self.watches.discard(stream)
-            for task in list(errands.tasks):
+            for task in list(background.tasks):
                 task.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
 
 
 class WatchStream:
-    """One stream of watches; answers leave in the order in which they were made."""
+    """One stream of watches; responses are sent in the order of their creation."""
 
     def __init__(self, member: Member, context: Any) -> None:
         self.member = member
         self.context = context
-        self.out: asyncio.Queue[Any] = asyncio.Queue()
-        self.ranges: dict[int, Any] = {}
-        self.numbers = itertools.count(0)
+        self.responses: asyncio.Queue[Any] = asyncio.Queue()
+        self.watches: dict[int, Any] = {}
+        self.watch_ids = itertools.count(0)
 
     async def read(self, requests: AsyncIterator[Any]) -> None:
         async for request in requests:
@@ -265,54 +273,58 @@
                 self._create(request.create_request)
             elif kind == "cancel_request":
                 watch_id = request.cancel_request.watch_id
-                self.ranges.pop(watch_id, None)
-                self._say(watch_id=watch_id, canceled=True)
+                self.watches.pop(watch_id, None)
+                self._send_response(watch_id=watch_id, canceled=True)
             elif kind == "progress_request":
-                self._say(watch_id=-1)
-        self.out.put_nowait(None)
+                self._send_response(watch_id=-1)
+        self.responses.put_nowait(None)
 
-    def _create(self, wanted: Any) -> None:
-        watch_id = next(self.numbers)
-        self._say(watch_id=watch_id, created=True)
-        start = wanted.start_revision or self.member.store.revision + 1
+    def _create(self, request: Any) -> None:
+        watch_id = next(self.watch_ids)
+        self._send_response(watch_id=watch_id, created=True)
+        start_revision = request.start_revision or self.member.store.revision + 1
         try:
-            missed = self.member.store.since(start, wanted.key, wanted.range_end)
+            missed_events = self.member.store.events_since(start_revision, request.key, request.range_end)
         except Compacted:
-            self._say(watch_id=watch_id, canceled=True, compact_revision=self.member.store.compacted)
+            self._send_response(
+                watch_id=watch_id, canceled=True, compact_revision=self.member.store.compacted
+            )
             return
-        self.ranges[watch_id] = wanted
-        for _, events in itertools.groupby(missed, key=lambda event: event.kv.mod_revision):
-            self._send(watch_id, wanted, list(events))
-
-    def tell(self, events: list[rpc.Event]) -> None:
-        for watch_id, wanted in self.ranges.items():
-            meant = [event for event in events if within(event.kv.key, wanted.key, wanted.range_end)]
-            if meant:
-                self._send(watch_id, wanted, meant)
-
-    def _send(self, watch_id: int, wanted: Any, events: list[rpc.Event]) -> None:
-        most = self.member.cluster.fragment_most if wanted.fragment else 0
-        step = most or len(events)
-        for at in range(0, len(events), step):
-            last = at + step >= len(events)
-            self._say(watch_id=watch_id, events=events[at : at + step], fragment=not last)
-
-    def _say(self, **fields: Any) -> None:
-        self.out.put_nowait(rpc.WatchResponse(header=self.member.header(), **fields))
+        self.watches[watch_id] = request
+        for _, events in itertools.groupby(missed_events, key=lambda event: event.kv.mod_revision):
+            self._send_events(watch_id, request, list(events))
+
+    def send_changes(self, events: list[rpc.Event]) -> None:
+        for watch_id, watch in self.watches.items():
+            matching = [event for event in events if in_range(event.kv.key, watch.key, watch.range_end)]
+            if matching:
+                self._send_events(watch_id, watch, matching)
+
+    def _send_events(self, watch_id: int, watch: Any, events: list[rpc.Event]) -> None:
+        max_events = self.member.cluster.fragment_most if watch.fragment else 0
+        step = max_events or len(events)
+        for offset in range(0, len(events), step):
+            is_last = offset + step >= len(events)
+            self._send_response(
+                watch_id=watch_id, events=events[offset : offset + step], fragment=not is_last
+            )
+
+    def _send_response(self, **fields: Any) -> None:
+        self.responses.put_nowait(rpc.WatchResponse(header=self.member.header(), **fields))
 
     def end(self, reason: str) -> None:
-        """With a reason the watch is canceled by it, else the stream ends as a lost connection does."""
+        """End the stream, like a lost connection or, with a `reason`, after a cancellation of the watch."""
         if reason:
-            self._say(watch_id=0, canceled=True, cancel_reason=reason)
-        self.out.put_nowait(None)
+            self._send_response(watch_id=0, canceled=True, cancel_reason=reason)
+        self.responses.put_nowait(None)
 
     async def write(self) -> None:
-        while (answer := await self.out.get()) is not None:
+        while (response := await self.responses.get()) is not None:
             if self.member.silent:
                 continue
-            await self.context.write(answer)
+            await self.context.write(response)
             at = time.monotonic()
-            for event in answer.events:
+            for event in response.events:
                 key = event.kv.key.decode("utf-8", "replace")
                 self.member.cluster.on_told(key, event.type == DELETE, at)
         if self.member.down:
--- a/standins/etcd/store.py
+++ b/standins/etcd/store.py
@@ -1,4 +1,4 @@
-"""The keys of a cluster with all of their history: revisions, compaction, leases. No I/O but the clock."""
+"""The key-value store of a cluster: revisions, event history, compaction and leases. No I/O but the clock."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
 
 @dataclass
 class Lease:
+    """A lease; `heard_at` is the monotonic time of its last keep-alive."""
+
     id: int
     ttl_s: int
     heard_at: float = field(default_factory=time.monotonic)
     keys: set[bytes] = field(default_factory=set)
 
 
-class Compacted(Exception):  # noqa: N818 - the registry's word for it
-    """What was asked for is no longer kept."""
+class Compacted(Exception):  # noqa: N818 - the term of etcd
+    """The requested revision has been compacted."""
 
 
 class Store:
-    """`changed` is called with each revision's events."""
+    """Keys with their history; each write returns its events."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -52,30 +54,30 @@
         return event
 
     def delete(self, keys: list[bytes]) -> list[rpc.Event]:
-        """In one revision."""
-        there = [key for key in keys if key in self.keys]
-        if not there:
+        """Delete the keys that exist, in one revision, and return the events."""
+        existing = [key for key in keys if key in self.keys]
+        if not existing:
             return []
         self.revision += 1
         events = []
-        for key in there:
+        for key in existing:
             before = self.keys.pop(key)
-            gone = rpc.KeyValue(key=key, mod_revision=self.revision)
-            events.append(rpc.Event(type=DELETE, kv=gone, prev_kv=before))
+            deleted = rpc.KeyValue(key=key, mod_revision=self.revision)
+            events.append(rpc.Event(type=DELETE, kv=deleted, prev_kv=before))
         self.history += events
         return events
 
     def between(self, start: bytes, end: bytes) -> list[rpc.KeyValue]:
-        return [self.keys[key] for key in sorted(self.keys) if within(key, start, end)]
+        return [self.keys[key] for key in sorted(self.keys) if in_range(key, start, end)]
 
-    def since(self, revision: int, start: bytes, end: bytes) -> list[rpc.Event]:
-        """Events from a revision on; raises Compacted."""
+    def events_since(self, revision: int, start: bytes, end: bytes) -> list[rpc.Event]:
+        """The events of a key range from a revision on; raises Compacted."""
         if revision <= self.compacted:
             raise Compacted
         return [
             event
             for event in self.history
-            if event.kv.mod_revision >= revision and within(event.kv.key, start, end)
+            if event.kv.mod_revision >= revision and in_range(event.kv.key, start, end)
         ]
 
     def compact(self, revision: int) -> None:
@@ -86,8 +88,11 @@
         return copy.deepcopy(self)
 
 
-def within(key: bytes, start: bytes, end: bytes) -> bool:
-    """Whether a key is in a range, as the API tells it: one key, from a key on, or up to another."""
+def in_range(key: bytes, start: bytes, end: bytes) -> bool:
+    """Whether a key is in a range of the API.
+
+    An empty `end` means the single key `start`, a zero byte all keys from `start` on.
+    """
     if not end:
         return key == start
     return key >= start and (end == b"\0" or key < end)
