--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -22,11 +22,11 @@
     def __init__(self, cell: int, window_s: float) -> None:
         self.cell = cell
         self.window_s = window_s
-        self.done: dict[tuple[str, str], tuple[float, bytes]] = {}
+        self.answers: dict[tuple[str, str], tuple[float, bytes]] = {}
 
-    def recall(self, key: str, call_id: str, now: float) -> bytes | None:
+    def find_answer(self, key: str, call_id: str, now: float) -> bytes | None:
         """The body of the earlier answer, or None if there is none within the window."""
-        at, body = self.done.get((key, call_id), (-1e9, b""))
+        at, body = self.answers.get((key, call_id), (-1e9, b""))
         return body if now - at <= self.window_s else None
 
 
@@ -195,7 +195,7 @@
         return await self._run(call_id, key)
 
     async def _run(self, call_id: str, key: str) -> tuple[int, bytes]:
-        earlier_body = self.rack.recall(key, call_id, time.monotonic()) if key else None
+        earlier_body = self.rack.find_answer(key, call_id, time.monotonic()) if key else None
         if earlier_body is not None:
             return 200, earlier_body
         self.in_flight += 1
@@ -210,7 +210,7 @@
             return 500, b""
         body = f"{call_id} {mark}".encode()
         if key:
-            self.rack.done[key, call_id] = (time.monotonic(), body)
+            self.rack.answers[key, call_id] = (time.monotonic(), body)
         return 200, body
 
     def _warmth(self) -> float:
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -18,7 +18,7 @@
 from standins.wire import Message, WireError, read_message, request
 
 CONNECT_S = 1.0
-MAX_CONNECTIONS_PER_REQUEST = 4  # connections tried for one request; the program may have closed each as idle
+MAX_CONNECTIONS_PER_REQUEST = 4  # the program may close idle connections before their use
 MAX_FIRST_REQUEST_S = 0.15  # from dial to request; after that the program may close the connection as idle
 MISSED_WINDOW_S = 1.0  # an idle connection counts as missed if another is needed this soon after its close
 
@@ -26,19 +26,19 @@
 class Allowance:
     """The maximum number of connections that all clients together may hold open."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
         self.held = 0
-        self.turned_away = 0
+        self.rejected = 0
 
-    def take(self) -> bool:
-        if self.held >= self.most:
-            self.turned_away += 1
+    def acquire(self) -> bool:
+        if self.held >= self.max_connections:
+            self.rejected += 1
             return False
         self.held += 1
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         self.held -= 1
 
 
@@ -57,13 +57,13 @@
     @classmethod
     async def dial(cls, port: int, allowance: Allowance) -> Line | None:
         """Open a connection; None if the allowance is exhausted. Raises OSError if the dial fails."""
-        if not allowance.take():
+        if not allowance.acquire():
             return None
         started_at = time.monotonic()
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), CONNECT_S)
         except BaseException:
-            allowance.give()
+            allowance.release()
             raise
         connection = cls(allowance, reader, writer)
         connection.dial_started_at = started_at
@@ -74,12 +74,13 @@
         return time.monotonic() - self.dial_started_at > MAX_FIRST_REQUEST_S
 
     def ended(self) -> bool:
+        """Whether the connection has been closed by either side."""
         return self.reader.at_eof() or self.reader.exception() is not None or self.writer.is_closing()
 
     def close(self) -> None:
         if self.open:
             self.open = False
-            self.allowance.give()
+            self.allowance.release()
             self.writer.transport.abort()
 
 
@@ -104,7 +105,7 @@
 class Application:
     """The usual client: open-loop arrivals over keep-alive connections, one request at a time on each."""
 
-    numbers = count()
+    ids = count()
 
     def __init__(
         self,
@@ -124,9 +125,9 @@
         self.rng = rng
         self.habits = habits
         self.idle: list[Line] = []
-        self.lines: set[Line] = set()
+        self.connections: set[Line] = set()
         self.errands = Errands()
-        self.closed_at: list[float] = []  # recent closes of idle connections by the program
+        self.recent_closes: list[float] = []  # when the program closed idle connections
         self.idle_closed = 0
         self.missed = 0
 
@@ -143,7 +144,7 @@
         """Wait until every request has ended, then close all connections."""
         await self.errands.settle()
         self.sweep()
-        for connection in list(self.lines):
+        for connection in list(self.connections):
             connection.close()
 
     def sweep(self) -> None:
@@ -152,12 +153,12 @@
             self.idle.remove(connection)
             self._discard(connection)
             self.idle_closed += 1
-            self.closed_at.append(time.monotonic())
+            self.recent_closes.append(time.monotonic())
 
     # One request and its retries
 
     async def _ask(self) -> None:
-        key = f"k{int(self.rng.paretovariate(1.1)) % self.habits.keys}-{next(self.numbers)}"
+        key = f"k{int(self.rng.paretovariate(1.1)) % self.habits.keys}-{next(self.ids)}"
         for attempt in range(self.habits.retries + 1):
             final, retry_after_s = await self._try(key, first=attempt == 0)
             if final == "served":
@@ -166,7 +167,7 @@
                 await asyncio.sleep(retry_after_s)
 
     async def _try(self, key: str, first: bool) -> tuple[Final, float]:
-        call_id = f"{self.name}-{next(self.numbers):06d}"
+        call_id = f"{self.name}-{next(self.ids):06d}"
         tenant_names = self.habits.invented
         headers = {
             "Host": "backend.local",
@@ -184,7 +185,7 @@
         answer: Message | None = None
         # A reused connection may be closing just now: retry on a new one.
         for attempt in range(MAX_CONNECTIONS_PER_REQUEST):
-            connection, reused = await self._line(new=attempt > 0)
+            connection, reused = await self._get_connection(new=attempt > 0)
             if connection is None:
                 self.ledger.counts["no_place"] += 1
                 self.ledger.answered(call_id, "refused", time.monotonic())
@@ -193,9 +194,9 @@
             answer, ended_unread = await self._exchange(connection, data, sent)
             if answer is not None or sent.gone or not (reused and ended_unread):
                 break
-        return self._note(sent, answer)
+        return self._record_answer(sent, answer)
 
-    def _note(self, sent: Sent, answer: Message | None) -> tuple[Final, float]:
+    def _record_answer(self, sent: Sent, answer: Message | None) -> tuple[Final, float]:
         now = time.monotonic()
         if answer is None:
             return "failed", 0.0  # the ledger gets no final answer: the request is lost or abandoned
@@ -208,28 +209,28 @@
         self.ledger.answered(sent.id, final, now)
         return final, retry_after_s
 
-    async def _line(self, new: bool) -> tuple[Line | None, bool]:
-        """An idle connection, the freshest, or else a new one; and whether it was kept."""
+    async def _get_connection(self, new: bool) -> tuple[Line | None, bool]:
+        """The most recently used idle connection or a new one, and whether it is reused."""
         self.sweep()
         if self.idle and not new:
             return self.idle.pop(), True
         now = time.monotonic()
-        recent = [at for at in self.closed_at if now - at < MISSED_WINDOW_S]
+        recent = [at for at in self.recent_closes if now - at < MISSED_WINDOW_S]
         if recent:
             self.missed += 1
             recent.pop()
-        self.closed_at = recent
+        self.recent_closes = recent
         for _ in range(100):  # the port refuses connections while the program restarts
             with contextlib.suppress(OSError, TimeoutError):
                 connection = await Line.dial(self.port, self.allowance)
                 if connection is not None:
-                    self.lines.add(connection)
+                    self.connections.add(connection)
                 return connection, False
             await asyncio.sleep(0.03)
         return None, False
 
     def _discard(self, connection: Line) -> None:
-        self.lines.discard(connection)
+        self.connections.discard(connection)
         connection.close()
 
     async def _exchange(self, connection: Line, data: bytes, sent: Sent) -> tuple[Message | None, bool]:
@@ -267,7 +268,7 @@
         self.allowance = allowance
         self.rng = rng
         self.errands = Errands()
-        self.came = 0
+        self.started = 0
 
     async def ask_once_and_stay(self, rate: float, seconds: float) -> None:
         """Start `rate` clients per second; each sends one request and holds its connection until closed."""
@@ -278,23 +279,23 @@
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self.errands.begin(self._send_once_and_hold(end))
 
-    async def say_nothing(self, most: int, seconds: float) -> None:
+    async def say_nothing(self, count: int, seconds: float) -> None:
         """Hold this many connections that send nothing, each replaced as soon as it is closed."""
         end = time.monotonic() + seconds
-        await asyncio.gather(*(self._silent(end) for _ in range(most)))
+        await asyncio.gather(*(self._silent(end) for _ in range(count)))
 
     async def settle(self) -> None:
         await self.errands.settle()
 
     async def _send_once_and_hold(self, end: float) -> None:
-        self.came += 1
-        guest = Application(
-            f"{self.name}{self.came}", self.port, self.ledger, self.allowance, self.rng, Habits(retries=0)
+        self.started += 1
+        client = Application(
+            f"{self.name}{self.started}", self.port, self.ledger, self.allowance, self.rng, Habits(retries=0)
         )
-        await guest._ask()
-        for connection in list(guest.lines):
+        await client._ask()
+        for connection in list(client.connections):
             await self._hold_open(connection, end)
-        for connection in list(guest.lines):
+        for connection in list(client.connections):
             connection.close()
 
     async def _silent(self, end: float) -> None:
@@ -305,7 +306,7 @@
             if connection is None:
                 await asyncio.sleep(0.05)
                 continue
-            self.came += 1
+            self.started += 1
             await self._hold_open(connection, end)
             connection.close()
 
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -28,10 +28,10 @@
 
     GOOD = "answers"
     SILENT = "accepts and never answers"
-    DOWN = "refuses connections, and has ended those that were open"
+    DOWN = "refuses connections and has closed the open ones"
     SLOW = "answers after `lag_s`"
-    BEHIND = "answers with the list and revision of an earlier time"
-    EMPTY = "answers with a whole list of nobody"
+    BEHIND = "answers with an outdated list and revision"
+    EMPTY = "answers with a complete list without members"
 
 
 MAX_WATCH_GAP_S = 0.2  # a watch call within this time after the previous answer costs no capacity
@@ -63,21 +63,21 @@
         self.lag_s = 4.0
         self.revision = 1
         self.members: dict[str, dict[str, Any]] = {}
-        self.changed: dict[str, int] = {}  # by member: revision of its last change
+        self.changed_at_revision: dict[str, int] = {}  # by member: revision of its last change
         self.capacity = 0.0  # calls per second; 0: unlimited
         self.patience_s = 2.0
         self.free_at = 0.0
         self.worked_times: list[float] = []  # arrivals of calls that use capacity, also of rejected ones
-        self.turned_away = 0
+        self.rejected_calls = 0
         self.views = [View()]
         self.frozen: tuple[int, list[dict[str, Any]]] = (0, [])
-        self.news = asyncio.Event()
-        self.lives = 0
+        self.update_event = asyncio.Event()
+        self.generation = 0
         self.calls = 0
         self.call_times: list[float] = []
         self.oldest_news_s = 0.0  # longest time from the publication of an update to its delivery
         self.writers: set[asyncio.StreamWriter] = set()
-        self.opening = asyncio.Lock()  # concurrent calls of `start` would bind a port twice
+        self.start_lock = asyncio.Lock()  # concurrent calls of `start` would bind a port twice
 
     @property
     def port(self) -> int:
@@ -94,7 +94,7 @@
         return self.views[-1]
 
     async def start(self) -> Discovery:
-        async with self.opening:
+        async with self.start_lock:
             for view in self.views:
                 if view.server is None:
                     serve = functools.partial(self._serve, view)
@@ -122,7 +122,7 @@
 
     def forget_watches(self) -> None:
         """Never answer the calls pending now, as after a restart behind a proxy that keeps connections."""
-        self.lives += 1
+        self.generation += 1
 
     # Updates
 
@@ -133,10 +133,10 @@
         for member in members:
             name = member["id"]
             self.members[name] = member
-            self.changed[name] = self.revision
+            self.changed_at_revision[name] = self.revision
             for view in self.views:
                 view.known_at[name] = now
-        updated, self.news = self.news, asyncio.Event()
+        updated, self.update_event = self.update_event, asyncio.Event()
         updated.set()
 
     def listed(self) -> list[dict[str, Any]]:
@@ -210,7 +210,7 @@
             return True
         starts_at = max(now, self.free_at)
         if starts_at - now > self.patience_s:
-            self.turned_away += 1
+            self.rejected_calls += 1
             return False
         self.free_at = starts_at + 1.0 / self.capacity
         await asyncio.sleep(starts_at - now)
@@ -242,20 +242,21 @@
     async def _answer_current(
         self, view: View, after: int | None, wait_s: float, writer: asyncio.StreamWriter
     ) -> None:
-        lives = self.lives
+        generation = self.generation
         if after is not None and after >= self.revision and wait_s > 0:
-            updated = self.news
+            updated = self.update_event
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(updated.wait(), wait_s)
         if writer.is_closing():  # closed by a fault meanwhile: nothing is delivered
             raise ConnectionError
-        if self.mood is Mood.SILENT or lives != self.lives:  # applies to calls that were already pending, too
+        # Applies to calls that were already pending, too.
+        if self.mood is Mood.SILENT or generation != self.generation:
             await asyncio.sleep(3600)
         if after is None or after > self.revision:
             self._write(view, writer, self.revision, True, self.listed())
             self._record_delivered(view, self.listed(), complete=True)
             return
-        changed = [member for name, member in self.members.items() if self.changed[name] > after]
+        changed = [member for name, member in self.members.items() if self.changed_at_revision[name] > after]
         self._write(view, writer, self.revision, False, changed)
         self._record_delivered(view, changed, complete=False)
 
--- a/standins/link.py
+++ b/standins/link.py
@@ -92,7 +92,7 @@
             return
         self.connection.sides[self.way] = transport
         if self.way is Way.OUT:
-            self.connection.link.dialled(self.connection)
+            self.connection.link.connect_to_target(self.connection)
         else:
             self.connection.flush(Way.OUT)
 
@@ -169,7 +169,7 @@
             if self.should_listen:
                 await self.open()
 
-    def dialled(self, connection: RelayedConnection) -> None:
+    def connect_to_target(self, connection: RelayedConnection) -> None:
         """Connect to the target for a new connection; a refusal resets the connection."""
         self.connections.add(connection)
         self.dial_times.append(asyncio.get_running_loop().time())
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -126,7 +126,7 @@
     def changed(self, changes: list[Change]) -> None:
         """Notify the watchers on every host of the changes of a write."""
         for host in self.hosts:
-            host.tell(changes)
+            host.notify_watchers(changes)
 
     async def _expire_sessions(self) -> None:
         """Expire sessions whose clients have been silent for longer than their timeout."""
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -112,7 +112,7 @@
     def tree(self) -> Tree:
         return self.stale_tree or self.ensemble.tree
 
-    def tell(self, changes: list[Change]) -> None:
+    def notify_watchers(self, changes: list[Change]) -> None:
         """Notify the watchers on this host of the changes of a write."""
         if self.stale_tree is not None or self.cut_off:
             return
