--- a/garnethaven/brain.py
+++ b/garnethaven/brain.py
@@ -96,9 +96,9 @@
 # Share of the dedup window in which a retry has to reach the server and end; the rest allows for transit.
 DEDUP_WINDOW_SHARE = 0.9
 GOLDEN_RATIO = 0.6180339887498949  # its multiples modulo 1 are spread evenly, for any set of instances
-# Longest pause after a failed call to discovery. With the calls before and after it (limits/list_freshness.py) it has
-# to end before a list change counts as known, 6 s after discovery becomes reachable again. Limitation: adds
-# load where rejecting a call is expensive for discovery.
+# Longest pause after a failed call to discovery. With the calls before and after it
+# (limits/list_freshness.py) it has to end before a list change counts as known, 6 s after discovery becomes
+# reachable again. Limitation: adds load where rejecting a call is expensive for discovery.
 MAX_DISCOVERY_PAUSE_NS = 2_000_000_000
 FULL_SPREAD_FLEET_SIZE = 25  # sidecars whose calls to discovery need all the time that the settings allow
 
--- a/garnethaven/membership/discovery.py
+++ b/garnethaven/membership/discovery.py
@@ -1,8 +1,8 @@
 """The client of the discovery service: reads the endpoint list and keeps it up to date by a watch.
 
-`membership/call_schedule.py` decides when to call; `limits/list_freshness.py` decides how long a watch waits, when the
-behaviour of servers contradicts the list, and which answers to accept; `membership/list_reader.py` parses
-lists. This module makes the calls.
+`membership/call_schedule.py` decides when to call; `limits/list_freshness.py` decides how long a watch waits,
+when the behaviour of servers contradicts the list, and which answers to accept; `membership/list_reader.py`
+parses lists. This module makes the calls.
 """
 
 from __future__ import annotations
