--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -1,8 +1,10 @@
-"""The rig `registry`: one script over etcd and Consul at once, each with a sidecar and twelve servers.
+"""The rig `registry`: one fault script, played against etcd and Consul at once.
 
-Watches are cut on the seed's schedule, with drains, removals, new lives and compactions inside the cuts; a
-member lags when the program has to change to it; a quarter vanishes, then all. Every first byte at each
-server is checked against the time at which its end was written to the program. All counts come from sockets.
+Each registry has its own sidecar and twelve servers. Watches are interrupted on a schedule drawn from the
+seed, with drains, removals, restarts under the same name (new lives) and compactions during the gaps. A
+cluster member lags while the sidecar has to fail over to it; a quarter of the servers disappears, then all.
+Every first byte at a server is compared with the time at which the registry wrote that server's end to the
+sidecar. All counts are taken from sockets.
 """
 
 from __future__ import annotations
@@ -24,21 +26,21 @@
 from standins.platform import AIM_S
 
 SERVERS = 12
-RATE = 90.0  # of the one application of each kind
-USUAL_S = 26.0
-WORK_S = 0.035
+REQUESTS_PER_S = 90.0  # sent by the one application of each registry
+DEFAULT_DURATION_S = 26.0
+SERVICE_TIME_S = 0.035
 PREFIX = "/estate/checks/"
 SERVICE = "checks"
-SERVED_LEAST = 0.75
-CUTS_LEAST, COMPACTIONS_LEAST, GAPS_LEAST = 5, 2, 4
-# After contact is possible again: what ended in a gap must have been told by then. A source that has
-# failed often in a row waits up to 5 s before its next try.
-SETTLE_S = 8.0
-RESURRECTED_S = 1.0  # a request so long after an end: not late, but to one that came back from the dead
+MIN_SERVED_SHARE = 0.75
+MIN_CUTS, MIN_COMPACTIONS, MIN_REMOVALS_IN_GAPS = 5, 2, 4
+# Limit for reporting every end of a gap to the sidecar, counted from when contact is possible again: a
+# source that has failed several times in a row waits up to 5 s before its next attempt.
+MAX_CATCH_UP_S = 8.0
+RESURRECTED_AFTER_S = 1.0  # a request this long after an end is not late: the ended server was added again
 
 
 class Registry(Protocol):
-    """One kind, as the script sees it."""
+    """The operations of the fault script, implemented for each kind of registry."""
 
     name: str
 
@@ -53,64 +55,64 @@
     async def put(self, servers: list[CheckServer], drains: bool = False) -> None: ...
     async def remove(self, servers: list[CheckServer]) -> None: ...
     async def cut(self) -> None: ...
-    async def back(self) -> None: ...
+    async def restore(self) -> None: ...
     def compact(self) -> None: ...
     async def lag(self) -> None: ...
     async def catch_up(self) -> None: ...
-    async def move(self) -> None: ...
+    async def switch_cluster(self) -> None: ...
 
 
 C = TypeVar("C", bound=Keys | Catalog)
 
 
-class Kind(Generic[C]):
-    """One kind's clusters: the one that the program follows, and those that a reload has left."""
+class RegistryKind(Generic[C]):
+    """The clusters of one kind: the one that the sidecar follows, and those it left on a reload."""
 
     def __init__(self, estate: Estate) -> None:
         self.estate = estate
-        self.left: list[C] = []
-        self.cluster: C = self._made()
+        self.former_clusters: list[C] = []
+        self.cluster: C = self._new_cluster()
 
-    def _made(self) -> C:
+    def _new_cluster(self) -> C:
         raise NotImplementedError
 
     async def start(self) -> None:
         await self.cluster.start()
 
     async def close(self) -> None:
-        clusters: list[C] = [*self.left, self.cluster]
+        clusters: list[C] = [*self.former_clusters, self.cluster]
         for cluster in clusters:
             await cluster.close()
 
 
-class Etcd(Kind[Keys]):
+class Etcd(RegistryKind[Keys]):
     name = "etcd"
 
-    def _made(self) -> Keys:
+    def _new_cluster(self) -> Keys:
         cluster, estate = Keys(), self.estate
-        cluster.on_told = lambda key, ended, at: estate.told({key.removeprefix(PREFIX)}, at)
-        cluster.on_listed = lambda prefix, keys, at: estate.told(None, at)
+        cluster.on_told = lambda key, ended, at: estate.answer_written({key.removeprefix(PREFIX)}, at)
+        cluster.on_listed = lambda prefix, keys, at: estate.answer_written(None, at)
         cluster.fragment_most = 3
         return cluster
 
     @property
     def cuts(self) -> int:
-        return sum(cluster.watches_cut for cluster in (*self.left, self.cluster))
+        return sum(cluster.watches_cut for cluster in (*self.former_clusters, self.cluster))
 
     @property
     def compactions(self) -> int:
-        return sum(cluster.compactions for cluster in (*self.left, self.cluster))
+        return sum(cluster.compactions for cluster in (*self.former_clusters, self.cluster))
 
     def followed(self) -> bool:
         return any(member.watches for member in self.cluster.members)
 
-    async def move(self) -> None:
-        """To another cluster that holds the same, at its own revision; the old one changes no more."""
-        self.left.append(self.cluster)
-        told = self.cluster.store.between(PREFIX.encode(), b"\0")
-        self.cluster = self._made()
+    async def switch_cluster(self) -> None:
+        """Start another cluster with the same keys at its own revision; the old one does not change again."""
+        self.former_clusters.append(self.cluster)
+        records = self.cluster.store.between(PREFIX.encode(), b"\0")
+        self.cluster = self._new_cluster()
         await self.cluster.start()
-        for kv in told:
+        for kv in records:
             self.cluster.put(kv.key.decode(), kv.value)
 
     def operator_file(self) -> str:
@@ -119,9 +121,9 @@
 
     async def put(self, servers: list[CheckServer], drains: bool = False) -> None:
         for server in servers:
-            told = server.member("DRAINING" if drains else "SERVING")
-            del told["up_since_ms"]  # nothing proves that it never stopped: the cold rule decides
-            self.cluster.put(PREFIX + server.name, json.dumps(told).encode())
+            record = server.member("DRAINING" if drains else "SERVING")
+            del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
+            self.cluster.put(PREFIX + server.name, json.dumps(record).encode())
 
     async def remove(self, servers: list[CheckServer]) -> None:
         self.cluster.delete(*(PREFIX + server.name for server in servers))
@@ -130,7 +132,7 @@
         for member in self.cluster.members:
             member.go()
 
-    async def back(self) -> None:
+    async def restore(self) -> None:
         for member in self.cluster.members:
             member.down = False
 
@@ -149,34 +151,34 @@
             member.cut()
 
 
-class Consul(Kind[Catalog]):
+class Consul(RegistryKind[Catalog]):
     name = "consul"
 
     def __init__(self, estate: Estate) -> None:
         super().__init__(estate)
-        self.begun_anew = 0
+        self.index_resets = 0
 
-    def _made(self) -> Catalog:
+    def _new_cluster(self) -> Catalog:
         cluster, estate = Catalog(3), self.estate
-        cluster.on_listed = lambda names, at: estate.told(None, at)
+        cluster.on_listed = lambda names, at: estate.answer_written(None, at)
         return cluster
 
     @property
     def cuts(self) -> int:
-        return sum(cluster.queries_cut for cluster in (*self.left, self.cluster))
+        return sum(cluster.queries_cut for cluster in (*self.former_clusters, self.cluster))
 
     @property
     def compactions(self) -> int:
-        return self.begun_anew
+        return self.index_resets
 
     def followed(self) -> bool:
         return any(agent.writers for agent in self.cluster.agents)
 
-    async def move(self) -> None:
-        """To another cluster that holds the same; nobody changes the old one any more."""
-        self.left.append(self.cluster)
+    async def switch_cluster(self) -> None:
+        """Start another cluster with the same catalog; the old one does not change again."""
+        self.former_clusters.append(self.cluster)
         catalog = self.cluster.catalog.backup()
-        self.cluster = self._made()
+        self.cluster = self._new_cluster()
         self.cluster.catalog = catalog
         await self.cluster.start()
 
@@ -188,12 +190,12 @@
 
     async def put(self, servers: list[CheckServer], drains: bool = False) -> None:
         for server in servers:
-            told = server.member()
-            names: list[str] = [name for name in ("cell", "locality", "flavor") if name in told]
-            meta = {name: str(told[name]) for name in names}
-            known = self.cluster.catalog.instances.get(server.name)
-            if known is None:
-                host, _, port = str(told["host_port"]).partition(":")
+            record = server.member()
+            names: list[str] = [name for name in ("cell", "locality", "flavor") if name in record]
+            meta = {name: str(record[name]) for name in names}
+            registered = self.cluster.catalog.instances.get(server.name)
+            if registered is None:
+                host, _, port = str(record["host_port"]).partition(":")
                 self.cluster.catalog.register(SERVICE, server.name, host, int(port), meta)
             status = "critical" if drains else "passing"
             self.cluster.catalog.set_check(server.name, f"service:{server.name}", status)
@@ -207,13 +209,13 @@
         for agent in self.cluster.agents:
             agent.stop()
 
-    async def back(self) -> None:
+    async def restore(self) -> None:
         for agent in self.cluster.agents:
             await agent.start()
 
     def compact(self) -> None:
-        """There is no history to compact; the index begins anew instead."""
-        self.begun_anew += 1
+        """Reset the index, because a catalog has no history to compact."""
+        self.index_resets += 1
         self.cluster.catalog.begin_anew()
 
     async def lag(self) -> None:
@@ -231,48 +233,49 @@
 
 
 class Estate:
-    """The servers of one kind: how each stands in the registry, and what was written of it to the program."""
+    """The servers of one registry: their registered states and what the registry wrote to the sidecar."""
 
     def __init__(self, stage: Stage) -> None:
         self.stage = stage
-        self.ended: set[str] = set()  # names that drain or are gone, by the registry
-        self.gap: set[str] | None = None  # names that ended in the gap that is open
-        self.owed: list[tuple[set[str], float]] = []  # what a closed gap owes, and since when
-        self.removals_in_gaps = self.missed = 0
+        self.ended_names: set[str] = set()  # servers that drain or are removed in the registry
+        self.ended_in_gap: set[str] | None = None  # servers that ended in the open gap
+        # Per closed gap: its ends that are not written to the sidecar yet, and when the gap closed.
+        self.pending_ends: list[tuple[set[str], float]] = []
+        self.removals_in_gaps = self.missed_removals = 0
         self.catch_up_s = 0.0
-        self.heard = 0  # answers that were written to the program
+        self.answers_written = 0  # to the sidecar
         self.registry: Registry
-        self.file = Path()  # the operator's
+        self.operator_path = Path()  # the operator file
 
-    def told(self, names: set[str] | None, at: float) -> None:
-        """An answer about these (None: all) was written to the program."""
-        self.heard += 1
-        for name in self.ended if names is None else names & self.ended:
+    def answer_written(self, names: set[str] | None, at: float) -> None:
+        """Record that an answer about `names` (None: all servers) was written to the sidecar."""
+        self.answers_written += 1
+        for name in self.ended_names if names is None else names & self.ended_names:
             self.stage.ledger.told_end(name, at)
-        for names_owed, since in self.owed:
-            if names_owed and all(("", name) in self.stage.ledger.ended_at for name in names_owed):
+        for pending, since in self.pending_ends:
+            if pending and all(("", name) in self.stage.ledger.ended_at for name in pending):
                 self.catch_up_s = max(self.catch_up_s, at - since)
-                names_owed.clear()
+                pending.clear()
 
     async def up(self, servers: list[CheckServer]) -> None:
         for server in servers:
-            self.ended.discard(server.name)
-            if self.gap is not None:
-                self.gap.discard(server.name)
+            self.ended_names.discard(server.name)
+            if self.ended_in_gap is not None:
+                self.ended_in_gap.discard(server.name)
             self.stage.ledger.told_up(server.name)
         await self.registry.put(servers)
 
     async def end(self, servers: list[CheckServer], drains: bool = False) -> None:
-        """These drain, or are gone; their processes go on, so that any request is seen."""
+        """Drain or remove the servers in the registry; their processes keep running and count requests."""
         for server in servers:
-            self.ended.add(server.name)
-            if self.gap is not None:
-                self.gap.add(server.name)
+            self.ended_names.add(server.name)
+            if self.ended_in_gap is not None:
+                self.ended_in_gap.add(server.name)
                 self.removals_in_gaps += 1
         await (self.registry.put(servers, drains=True) if drains else self.registry.remove(servers))
 
     async def new_life(self, server: CheckServer) -> None:
-        """It ends and comes back under its name, within a gap: to be treated as cold."""
+        """Remove the server and register it again within a gap; the sidecar has to treat it as cold."""
         await self.registry.remove([server])
         life = Life(server.name, now(), server.ramp_s, server.cores)
         server.life = life
@@ -280,84 +283,86 @@
         await self.registry.put([server])
 
     async def open_gap(self) -> None:
-        self.gap = set()
+        self.ended_in_gap = set()
         await self.registry.cut()
 
-    async def move(self) -> None:
-        """A reload, under load, to another cluster."""
+    async def switch_cluster(self) -> None:
+        """Reload the sidecar under load with another cluster in its operator file."""
         assert self.stage.program is not None
-        await self.registry.move()
-        self.file.write_text(self.registry.operator_file())
+        await self.registry.switch_cluster()
+        self.operator_path.write_text(self.registry.operator_file())
         self.stage.program.reload()
 
     async def close_gap(self) -> None:
-        gap, self.gap = self.gap or set(), None
-        self.owed.append((gap, now()))
-        await self.registry.back()
-
-    async def settled(self) -> None:
-        """Until all that ended in the last gap has been told; what is not told in time has been missed."""
-        names, since = self.owed[-1]
-        while names and now() < since + SETTLE_S:
+        ended, self.ended_in_gap = self.ended_in_gap or set(), None
+        self.pending_ends.append((ended, now()))
+        await self.registry.restore()
+
+    async def wait_until_caught_up(self) -> None:
+        """Wait until all ends of the last gap are written; count those missing after `MAX_CATCH_UP_S`."""
+        names, since = self.pending_ends[-1]
+        while names and now() < since + MAX_CATCH_UP_S:
             await asyncio.sleep(0.01)
-        self.missed += len(names)
+        self.missed_removals += len(names)
 
     def fields(self) -> dict[str, Any]:
-        late = self.stage.ledger.late_sends
-        own = [(name, after) for _, name, after in late if name.startswith(self.stage.prefix)]
-        risen = {name for name, after in own if after > RESURRECTED_S}
+        late_sends = self.stage.ledger.late_sends
+        own_sends = [(name, after) for _, name, after in late_sends if name.startswith(self.stage.prefix)]
+        resurrected = {name for name, after in own_sends if after > RESURRECTED_AFTER_S}
         return {
             "watches_cut": self.registry.cuts,
             "compactions": self.registry.compactions,
             "removals_in_gaps": self.removals_in_gaps,
-            "removals_missed": self.missed + len({name for name, _ in own}),
-            "resurrected": len(risen),
+            "removals_missed": self.missed_removals + len({name for name, _ in own_sends}),
+            "resurrected": len(resurrected),
             "catch_up_ms_max": round(self.catch_up_s * 1000, 1),
-            "answers_heard": self.heard,
+            "answers_heard": self.answers_written,
         }
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds` (26); true where every promise held."""
-    length = seconds or USUAL_S
-    first = Stage(seed, SERVERS, sockets=384, work_s=WORK_S, prefix="e")
-    second = Stage(seed + 1, SERVERS, sockets=384, work_s=WORK_S, prefix="c", ledger=first.ledger)
+    """Send for `seconds` (default 26); return whether every check passed."""
+    duration_s = seconds or DEFAULT_DURATION_S
+    etcd_stage = Stage(seed, SERVERS, sockets=384, work_s=SERVICE_TIME_S, prefix="e")
+    consul_stage = Stage(
+        seed + 1, SERVERS, sockets=384, work_s=SERVICE_TIME_S, prefix="c", ledger=etcd_stage.ledger
+    )
     report = Report("registry", seed)
-    estates = [Estate(first), Estate(second)]
+    estates = [Estate(etcd_stage), Estate(consul_stage)]
     estates[0].registry, estates[1].registry = Etcd(estates[0]), Consul(estates[1])
-    began = now()
+    began_at = now()
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         for estate in estates:
-            await _begin(estate, folder)
-        codes = await asyncio.gather(*(_send(estate, length) for estate in estates))
-    _judge(report, estates, began)
+            await _start(estate, folder)
+        codes = await asyncio.gather(*(_run_load(estate, duration_s) for estate in estates))
+    _evaluate(report, estates, began_at)
     for estate, code in zip(estates, codes, strict=True):
         if code:
-            report.unkept.append(f"the program before {estate.registry.name} ended with code {code}")
-    print_report(report, first.ledger, as_json)
-    return report.held(first.ledger)
+            report.unkept.append(f"the sidecar of {estate.registry.name} ended with code {code}")
+    print_report(report, etcd_stage.ledger, as_json)
+    return report.held(etcd_stage.ledger)
 
 
-async def _begin(estate: Estate, folder: str) -> None:
+async def _start(estate: Estate, folder: str) -> None:
     stage = estate.stage
     stage.listed = False
     await stage.open_peers()
     await estate.registry.start()
     await estate.up(stage.servers)
-    estate.file = Path(folder) / f"{estate.registry.name}.toml"
-    estate.file.write_text(estate.registry.operator_file())
-    await stage.up(environment={"NODE_OPERATOR": str(estate.file)})
-    while not estate.heard:
+    estate.operator_path = Path(folder) / f"{estate.registry.name}.toml"
+    estate.operator_path.write_text(estate.registry.operator_file())
+    await stage.up(environment={"NODE_OPERATOR": str(estate.operator_path)})
+    while not estate.answers_written:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.3)
 
 
-async def _send(estate: Estate, length: float) -> int:
+async def _run_load(estate: Estate, duration_s: float) -> int:
     stage = estate.stage
-    application = stage.application(estate.registry.name, Habits(rate=RATE))
+    application = stage.application(estate.registry.name, Habits(rate=REQUESTS_PER_S))
     async with keeping_book(stage):
-        sending = asyncio.create_task(application.run(length))
-        await _faults(estate, length)
+        sending = asyncio.create_task(application.run(duration_s))
+        await _inject_faults(estate, duration_s)
         await sending
         await application.settle()
     code = await stage.down()
@@ -365,116 +370,122 @@
     return code
 
 
-async def _faults(estate: Estate, length: float) -> None:
-    """All of the schedule, in `length` seconds; which servers and exactly when is the seed's."""
+async def _inject_faults(estate: Estate, duration_s: float) -> None:
+    """Play the whole schedule within `duration_s` seconds; the seed picks the servers and the exact times."""
     stage, registry = estate.stage, estate.registry
     rng = random.Random(stage.rng.getrandbits(32))
-    unit = length / USUAL_S
+    scale = duration_s / DEFAULT_DURATION_S
 
-    def say(text: str) -> None:
+    def log_step(text: str) -> None:
         stage.progress.say(f"{registry.name}: {text}")
 
-    def some(count: int) -> list[CheckServer]:
-        return rng.sample([one for one in stage.servers if one.name not in estate.ended], count)
+    def pick(count: int) -> list[CheckServer]:
+        return rng.sample(
+            [candidate for candidate in stage.servers if candidate.name not in estate.ended_names], count
+        )
 
-    async def wait(units: float) -> None:
-        await asyncio.sleep(units * unit * rng.uniform(0.9, 1.1))
+    async def wait(schedule_s: float) -> None:
+        await asyncio.sleep(schedule_s * scale * rng.uniform(0.9, 1.1))
 
     await wait(1.5)
-    say("a server drains, then goes; another goes at once")
-    drained = some(1)
+    log_step("one server drains and is removed; another is removed without a drain")
+    drained = pick(1)
     await estate.end(drained, drains=True)
     await wait(0.8)
     await estate.registry.remove(drained)
-    gone = some(1)
+    gone = pick(1)
     await estate.end(gone)
     await wait(0.8)
     await estate.up(drained + gone)
     for number in range(4):
-        say("the watch is cut; one drains and one goes inside, one comes back as a new life")
+        log_step(
+            "watch interrupted: meanwhile one server drains, one is removed, one restarts under its name"
+        )
         await estate.open_gap()
         await wait(0.4)
-        drained, gone, anew = some(1), some(1), []
+        drained, gone, restarted = pick(1), pick(1), []
         await estate.end(drained, drains=True)
-        gone = [one for one in gone if one not in drained]
+        gone = [candidate for candidate in gone if candidate not in drained]
         await estate.end(gone)
         if number:
             registry.compact()
-            anew = [one for one in some(1) if one not in drained + gone]
-            for server in anew:
+            restarted = [candidate for candidate in pick(1) if candidate not in drained + gone]
+            for server in restarted:
                 await estate.new_life(server)
         await wait(0.6)
         await estate.close_gap()
         if number >= 2:
-            say("and is cut again while it catches up")
+            log_step("watch interrupted again during the catch-up")
             await _until_followed(registry)
             await registry.cut()
             await asyncio.sleep(0.2)
-            await registry.back()
-        await estate.settled()
+            await registry.restore()
+        await estate.wait_until_caught_up()
         await wait(0.8)
         await estate.up(drained + gone)
         await wait(0.4)
-    say("a member lags, and the others go: one server ends meanwhile")
+    log_step("one registry member lags and the others stop; one server is removed meanwhile")
     await registry.lag()
-    gone = some(1)
+    gone = pick(1)
     await estate.end(gone)
     await wait(1.0)
     await registry.catch_up()
     await wait(1.0)
     await estate.up(gone)
-    say("a reload moves to another cluster, where one server ends at once")
-    await estate.move()
-    gone = some(1)
+    log_step("reload with another cluster, where one server is removed at once")
+    await estate.switch_cluster()
+    gone = pick(1)
     await estate.end(gone)
     await wait(1.5)
     await estate.up(gone)
-    say("a quarter vanishes at once, then everybody for a moment")
-    quarter = some(SERVERS // 4)
+    log_step("a quarter of the servers is removed at once, later all servers for a moment")
+    quarter = pick(SERVERS // 4)
     await estate.end(quarter)
     await wait(2.0)
     await estate.up(quarter)
     await wait(1.0)
-    everybody = list(stage.servers)
-    await estate.end(everybody)
+    all_servers = list(stage.servers)
+    await estate.end(all_servers)
     await wait(0.4)
-    for server in everybody:
+    for server in all_servers:
         life = Life(server.name, now(), server.ramp_s, server.cores)
         server.life = life
         stage.ledger.lives.append(life)
-    await estate.up(everybody)
+    await estate.up(all_servers)
 
 
 async def _until_followed(registry: Registry) -> None:
-    """Until the program has come back, for a bounded time: what it has not opened can't be cut."""
-    end = now() + 5.0
-    while not registry.followed() and now() < end:
+    """Wait up to 5 s until the sidecar watches again: only an open watch can be interrupted."""
+    deadline = now() + 5.0
+    while not registry.followed() and now() < deadline:
         await asyncio.sleep(0.005)
 
 
-def _judge(report: Report, estates: list[Estate], began: float) -> None:
+def _evaluate(report: Report, estates: list[Estate], began_at: float) -> None:
     ledger = estates[0].stage.ledger
-    good, tries = ledger.in_time(AIM_S)
+    in_time, first_tries = ledger.in_time(AIM_S)
     report.fields = {
-        "first_try_in_time": round(good / max(1, tries), 4),
+        "first_try_in_time": round(in_time / max(1, first_tries), 4),
         "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
         "attempts": ledger.counts["attempts"],
-        "seconds": round(now() - began, 1),
+        "seconds": round(now() - began_at, 1),
     }
     for estate in estates:
-        name, told = estate.registry.name, estate.fields()
-        report.fields[name] = told
-        least = {
-            "watches_cut": CUTS_LEAST,
-            "compactions": COMPACTIONS_LEAST,
-            "removals_in_gaps": GAPS_LEAST,
+        name, figures = estate.registry.name, estate.fields()
+        report.fields[name] = figures
+        minimums = {
+            "watches_cut": MIN_CUTS,
+            "compactions": MIN_COMPACTIONS,
+            "removals_in_gaps": MIN_REMOVALS_IN_GAPS,
         }
         report.unkept += [
-            f"{name}: {field} is {told[field]}, not {bound} or more"
-            for field, bound in least.items()
-            if told[field] < bound
+            f"{name}: {field} is {figures[field]}, expected at least {minimum}"
+            for field, minimum in minimums.items()
+            if figures[field] < minimum
+        ]
+        report.unkept += [
+            f"{name}: {field}" for field in ("removals_missed", "resurrected") if figures[field]
         ]
-        report.unkept += [f"{name}: {field}" for field in ("removals_missed", "resurrected") if told[field]]
     tally = ledger.tally()
-    if tally["served"] < SERVED_LEAST * tally["sent"]:
+    if tally["served"] < MIN_SERVED_SHARE * tally["sent"]:
         report.unkept.append(f"only {tally['served']} of {tally['sent']} requests were served")
