--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -1,9 +1,9 @@
 """The rig `ephemeral`: sixteen servers as ephemeral nodes of three registry hosts, 300 requests a second.
 
-Sessions end on the seed's schedule: one while its server still answers, a quarter at once, all at once,
-some while the program's host, the whole registry or the event itself is lost. Every first byte at each
-server is checked against the time at which the event, or a list without the server, was written to the
-program.
+Sessions expire on a schedule drawn from the seed: one while its server still answers, a quarter at once, all
+at once, and some while the sidecar's registry host is down, the whole registry is down, or the event itself
+is lost. Every first byte at a server is compared with the time at which the registry wrote the event, or a
+list without the server, to the sidecar.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 from standins.zookeeper.sessions import Session
 
 SERVERS = 16
-RATE = 100.0  # of each of three applications
+REQUESTS_PER_S = 100.0  # sent by each application
 APPLICATIONS = 3
-USUAL_S = 26.0
-WORK_S = 0.035  # of two cores at each server: some 910 requests a second in all
+DEFAULT_DURATION_S = 26.0
+SERVICE_TIME_S = 0.035  # two cores at each server: about 910 requests a second in total
 ROOT = "/estate/checks"
-SESSION_MS = 4_000  # the program's
-SERVED_LEAST = 0.75
+SESSION_MS = 4_000  # of the sidecar
+MIN_SERVED_SHARE = 0.75
 
 
 class Estate:
-    """The registry and the servers' sessions there."""
+    """The registry and the servers' sessions in it."""
 
     def __init__(self, stage: Stage) -> None:
         self.stage = stage
         self.ensemble = Ensemble()
         self.sessions: dict[str, Session] = {}
-        self.own = 0  # the program's session, as the registry saw it last
-        self.killed = self.vanished = self.returned_cold = self.own_lost = 0
-        self.cut_s = 0.0
-        self.ensemble.on_told = self._told
-        self.ensemble.on_listed = self._listed
+        self.sidecar_session = 0  # of the sidecar session, as the registry saw it last
+        self.sessions_killed = self.nodes_vanished = self.returned_cold = self.own_sessions_lost = 0
+        self.registry_cut_s = 0.0
+        self.ensemble.on_told = self._event_written
+        self.ensemble.on_listed = self._list_written
 
     async def start(self) -> None:
         await self.ensemble.start()
@@ -54,60 +54,63 @@
         for server in self.stage.servers:
             self.register(server)
 
-    # What the program was told, from the bytes that were written to it
+    # What the registry wrote to the sidecar, recorded when the bytes were written
 
-    def _told(self, session: int, kind: Kind, path: str, at: float) -> None:
-        self.own = session
+    def _event_written(self, session: int, kind: Kind, path: str, at: float) -> None:
+        self.sidecar_session = session
         if kind is Kind.DELETED and path.startswith(ROOT + "/"):
-            self._ended(path.rpartition("/")[2], at)
+            self._record_end(path.rpartition("/")[2], at)
 
-    def _listed(self, session: int, path: str, names: list[str], at: float) -> None:
-        self.own = session
+    def _list_written(self, session: int, path: str, names: list[str], at: float) -> None:
+        self.sidecar_session = session
         if path == ROOT:
             for server in self.stage.servers:
                 if server.name not in names:
-                    self._ended(server.name, at)
+                    self._record_end(server.name, at)
 
-    def _ended(self, name: str, at: float) -> None:
-        if name not in self.sessions:  # it may have come back since
+    def _record_end(self, name: str, at: float) -> None:
+        if name not in self.sessions:  # not registered again since
             self.stage.ledger.told_end(name, at)
 
     # Servers
 
     def register(self, server: CheckServer) -> None:
-        """A node of its own for a server, with another session than any before."""
+        """Create an ephemeral node for the server under a new session."""
         session = self.sessions[server.name] = self.ensemble.begin(40_000)
-        session.heard_at += 3600.0  # its pings are not played
-        told = server.member()
-        del told["up_since_ms"]  # nothing proves that it never stopped: the cold rule decides
+        session.heard_at += 3600.0  # keeps the session alive without simulated pings
+        record = server.member()
+        del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
         self.stage.ledger.told_up(server.name)
-        self.ensemble.make(f"{ROOT}/{server.name}", json.dumps(told).encode(), session)
+        self.ensemble.make(f"{ROOT}/{server.name}", json.dumps(record).encode(), session)
 
-    def kill(self, servers: list[CheckServer]) -> None:
-        """These sessions expire now; the servers' processes know nothing of it."""
+    def expire_sessions(self, servers: list[CheckServer]) -> None:
+        """Expire the servers' sessions now; the server processes keep running."""
         sessions = [self.sessions.pop(server.name) for server in servers]
         for session in sessions:
             self.ensemble.expire(session.id)
-        self.killed += len(sessions)
-        self.vanished += len(sessions)
+        self.sessions_killed += len(sessions)
+        self.nodes_vanished += len(sessions)
 
-    def come_back(self, servers: list[CheckServer]) -> None:
-        """Under the same names, as new sessions: to be treated as cold, for nothing proves otherwise."""
+    def register_restarted(self, servers: list[CheckServer]) -> None:
+        """Register the servers under the same names with new sessions.
+
+        The sidecar has to treat them as cold, because nothing proves that they kept running.
+        """
         for server in servers:
-            self.stage.ledger.lives.append(self._life(server))
+            self.stage.ledger.lives.append(self._new_life(server))
             self.register(server)
             self.returned_cold += 1
 
-    def _life(self, server: CheckServer) -> Life:
+    def _new_life(self, server: CheckServer) -> Life:
         life = Life(server.name, now(), server.ramp_s, server.cores)
-        server.life = life  # its receipts from now on are judged as those of a cold one
+        server.life = life  # requests that arrive from now on count as sent to a cold server
         return life
 
-    async def crash_and_return(self, servers: list[CheckServer], seconds: float) -> None:
-        """Processes and sessions end together; the servers start anew and register."""
+    async def crash_and_restart(self, servers: list[CheckServer], seconds: float) -> None:
+        """End processes and sessions together; after `seconds` start the servers cold and register them."""
         for server in servers:
             server.crash()
-        self.kill(servers)
+        self.expire_sessions(servers)
         await asyncio.sleep(seconds)
         for server in servers:
             await server.start(cold=True)
@@ -116,9 +119,9 @@
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds` (26); true where every promise held."""
-    length = seconds or USUAL_S
-    stage = Stage(seed, SERVERS, sockets=768, work_s=WORK_S)
+    """Send for `seconds` (default 26); return whether every check passed."""
+    duration_s = seconds or DEFAULT_DURATION_S
+    stage = Stage(seed, SERVERS, sockets=768, work_s=SERVICE_TIME_S)
     stage.listed = False
     report = Report("ephemeral", seed)
     estate = Estate(stage)
@@ -126,20 +129,22 @@
         await stage.open_peers()
         await estate.start()
         await stage.up(environment=_operator_file(folder, estate.ensemble))
-        applications = [stage.application(f"app{n}", Habits(rate=RATE)) for n in range(APPLICATIONS)]
-        began = now()
+        applications = [
+            stage.application(f"app{n}", Habits(rate=REQUESTS_PER_S)) for n in range(APPLICATIONS)
+        ]
+        began_at = now()
         await _until_followed(estate)
         async with keeping_book(stage):
-            sending = [asyncio.create_task(one.run(length)) for one in applications]
-            await _faults(stage, estate, length)
+            sending = [asyncio.create_task(one.run(duration_s)) for one in applications]
+            await _inject_faults(stage, estate, duration_s)
             await asyncio.gather(*sending)
             for application in applications:
                 await application.settle()
-        _judge(report, stage, estate, began)
+        _evaluate(report, stage, estate, began_at)
         code = await stage.down()
         await estate.ensemble.close()
     if code:
-        report.unkept.append(f"the program ended with code {code}")
+        report.unkept.append(f"the sidecar ended with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
@@ -155,125 +160,125 @@
 
 
 async def _until_followed(estate: Estate) -> None:
-    """Wait for the program's first list; it asks for nothing before it is ready."""
-    while not estate.own:
+    """Wait for the sidecar's first list; it requests nothing before it is ready."""
+    while not estate.sidecar_session:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.3)
 
 
-async def _faults(stage: Stage, estate: Estate, length: float) -> None:
-    """All of the schedule, in `length` seconds; which servers and exactly when is the seed's."""
+async def _inject_faults(stage: Stage, estate: Estate, duration_s: float) -> None:
+    """Play the whole schedule within `duration_s` seconds; the seed picks the servers and the exact times."""
     rng = random.Random(stage.rng.getrandbits(32))
-    ensemble, say = estate.ensemble, stage.progress.say
-    unit = length / 26
+    ensemble, log_step = estate.ensemble, stage.progress.say
+    scale = duration_s / 26
 
-    def some(count: int) -> list[CheckServer]:
+    def pick(count: int) -> list[CheckServer]:
         return rng.sample(stage.servers, count)
 
-    async def wait(units: float) -> None:
-        await asyncio.sleep(units * unit * rng.uniform(0.9, 1.1))
+    async def wait(schedule_s: float) -> None:
+        await asyncio.sleep(schedule_s * scale * rng.uniform(0.9, 1.1))
 
     await wait(1.5)
-    say("a session expires while its server still answers, and comes back within a second")
-    one = some(1)
-    estate.kill(one)
+    log_step("a session expires while its server still answers; the server registers again within a second")
+    expired = pick(1)
+    estate.expire_sessions(expired)
     await wait(0.7)
-    estate.come_back(one)
+    estate.register_restarted(expired)
     await wait(1.5)
-    say("a quarter dies at once and comes back cold")
-    await estate.crash_and_return(some(4), 2.0 * unit)
+    log_step("a quarter of the servers crashes at once and restarts cold")
+    await estate.crash_and_restart(pick(4), 2.0 * scale)
     await wait(2.0)
-    say("the program's registry host goes, and a session expires meanwhile")
-    await _host_goes(estate, some(1), unit)
+    log_step("the registry host that serves the sidecar stops; a session expires meanwhile")
+    await _stop_serving_host(estate, pick(1), scale)
     await wait(1.0)
-    say("the whole registry is down while two sessions end")
-    await _registry_down(estate, some(2), unit)
+    log_step("the whole registry is down while two sessions expire")
+    await _stop_registry(estate, pick(2), scale)
     await wait(1.0)
-    say("the program's own session expires")
-    ensemble.expire(estate.own)
-    estate.own_lost += 1
+    log_step("the sidecar's own session expires")
+    ensemble.expire(estate.sidecar_session)
+    estate.own_sessions_lost += 1
     await wait(1.5)
-    say("an event is lost with its connection")
-    lost = some(1)
+    log_step("an event is lost together with its connection")
+    unreported = pick(1)
     for host in ensemble.hosts:
         host.loses_events = True
-    estate.kill(lost)
+    estate.expire_sessions(unreported)
     for host in ensemble.hosts:
         host.loses_events = False
     await wait(1.0)
-    estate.come_back(lost)
-    say("a host lags and answers all the same, the others cut their connections")
-    await _lagging_host(estate, some(1), unit)
+    estate.register_restarted(unreported)
+    log_step("one host lags but keeps answering; the others close their connections")
+    await _play_lagging_host(estate, pick(1), scale)
     await wait(1.0)
-    say("all nodes vanish, and return within a moment")
-    everybody = list(stage.servers)
-    estate.kill(everybody)
+    log_step("all nodes vanish and are created again shortly after")
+    all_servers = list(stage.servers)
+    estate.expire_sessions(all_servers)
     await wait(0.6)
-    for server in everybody:
-        estate.come_back([server])
+    for server in all_servers:
+        estate.register_restarted([server])
         await asyncio.sleep(0.1 / SERVERS)
 
 
-async def _host_goes(estate: Estate, servers: list[CheckServer], unit: float) -> None:
-    """The host that serves the program stops; the others still tell."""
+async def _stop_serving_host(estate: Estate, servers: list[CheckServer], scale: float) -> None:
+    """Stop the host that serves the sidecar, while the other hosts still send events."""
     ensemble = estate.ensemble
-    serving = [host for host in ensemble.hosts if any(line.session for line in host.lines)]
-    began = now()
-    for host in serving:
+    serving_hosts = [host for host in ensemble.hosts if any(connection.session for connection in host.lines)]
+    began_at = now()
+    for host in serving_hosts:
         host.stop()
-    await asyncio.sleep(0.3 * unit)
-    estate.kill(servers)
-    await asyncio.sleep(1.5 * unit)
-    estate.come_back(servers)
-    for host in serving:
+    await asyncio.sleep(0.3 * scale)
+    estate.expire_sessions(servers)
+    await asyncio.sleep(1.5 * scale)
+    estate.register_restarted(servers)
+    for host in serving_hosts:
         await host.start()
-    estate.cut_s += now() - began
+    estate.registry_cut_s += now() - began_at
 
 
-async def _registry_down(estate: Estate, servers: list[CheckServer], unit: float) -> None:
-    ensemble, began = estate.ensemble, now()
+async def _stop_registry(estate: Estate, servers: list[CheckServer], scale: float) -> None:
+    ensemble, began_at = estate.ensemble, now()
     for host in ensemble.hosts:
         host.stop()
-    await asyncio.sleep(0.5 * unit)
-    estate.kill(servers)
-    await asyncio.sleep(1.0 * unit)
+    await asyncio.sleep(0.5 * scale)
+    estate.expire_sessions(servers)
+    await asyncio.sleep(1.0 * scale)
     for host in ensemble.hosts:
         await host.start()
-    estate.cut_s += now() - began
-    await asyncio.sleep(1.5 * unit)
-    estate.come_back(servers)
+    estate.registry_cut_s += now() - began_at
+    await asyncio.sleep(1.5 * scale)
+    estate.register_restarted(servers)
 
 
-async def _lagging_host(estate: Estate, servers: list[CheckServer], unit: float) -> None:
-    """One host keeps an old tree in which a vanished server still stands."""
+async def _play_lagging_host(estate: Estate, servers: list[CheckServer], scale: float) -> None:
+    """Let one host answer from an old tree that still contains a vanished server."""
     first, *others = estate.ensemble.hosts
     first.fall_behind()
     first.answers_old = True
-    estate.kill(servers)
-    await asyncio.sleep(0.3 * unit)
+    estate.expire_sessions(servers)
+    await asyncio.sleep(0.3 * scale)
     for host in others:
         host.cut()
-    await asyncio.sleep(1.5 * unit)
+    await asyncio.sleep(1.5 * scale)
     first.catch_up()
     first.answers_old = False
-    estate.come_back(servers)
+    estate.register_restarted(servers)
 
 
-def _judge(report: Report, stage: Stage, estate: Estate, began: float) -> None:
+def _evaluate(report: Report, stage: Stage, estate: Estate, began_at: float) -> None:
     ledger = stage.ledger
-    good, tries = ledger.in_time(AIM_S)
+    in_time, first_tries = ledger.in_time(AIM_S)
     report.fields = {
-        "first_try_in_time": round(good / max(1, tries), 4),
-        "sessions_killed": estate.killed,
-        "vanished": estate.vanished,
+        "first_try_in_time": round(in_time / max(1, first_tries), 4),
+        "sessions_killed": estate.sessions_killed,
+        "vanished": estate.nodes_vanished,
         "returned_cold": estate.returned_cold,
         "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
-        "own_session_lost": estate.own_lost,
-        "registry_cut_s": round(estate.cut_s, 2),
+        "own_session_lost": estate.own_sessions_lost,
+        "registry_cut_s": round(estate.registry_cut_s, 2),
         "registry_connects": sum(len(host.connects) for host in estate.ensemble.hosts),
         "attempts": ledger.counts["attempts"],
-        "seconds": round(now() - began, 1),
+        "seconds": round(now() - began_at, 1),
     }
     tally = ledger.tally()
-    if tally["served"] < SERVED_LEAST * tally["sent"]:
+    if tally["served"] < MIN_SERVED_SHARE * tally["sent"]:
         report.unkept.append(f"only {tally['served']} of {tally['sent']} requests were served")
