--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -41,7 +41,7 @@
         self.stage = stage
         self.ensemble = Ensemble()
         self.sessions: dict[str, Session] = {}
-        self.sidecar_session = 0  # of the sidecar session, as the registry saw it last
+        self.sidecar_session = 0  # session id of the sidecar in the latest answer; 0: none yet
         self.sessions_killed = self.nodes_vanished = self.returned_cold = self.own_sessions_lost = 0
         self.registry_cut_s = 0.0
         self.ensemble.on_told = self._event_written
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -1,7 +1,7 @@
-"""Members in virtual time: the pure parts of peers and tenants, over links that lose, delay and repeat.
+"""Simulation of members in virtual time, over links that lose, delay, reorder and duplicate datagrams.
 
-One loop over one heap; everything random comes from the seed. No sockets, no processes: what real ones do is
-the rigs' part, this is for sizes and schedules that they can't play.
+It drives the parts of peers and tenants that do no I/O from one event heap; all random numbers come from the
+seed. It covers fleet sizes and schedules that the rigs, with their real processes and sockets, cannot play.
 """
 
 from __future__ import annotations
@@ -19,40 +19,42 @@
 from garnethaven.tenants.sharing import Sharing
 
 S = 1_000_000_000
-FORGET_S = 600.0
-HEADERS = 60  # bytes of a datagram that are not its message: seal, UDP, IP
+FORGET_AFTER_S = 600.0
+DATAGRAM_OVERHEAD_BYTES = 60  # seal, UDP and IP headers
 
 
 @dataclass
 class Links:
-    """What becomes of a datagram from one member to another."""
+    """How links treat datagrams between members: `loss` and `repeat` are probabilities."""
 
     loss: float = 0.0
-    delay_s: float = 0.0  # and up to as much again, drawn for each: order is not kept
+    delay_s: float = 0.0  # minimum; each datagram takes up to twice as long, so order is not kept
     repeat: float = 0.0
-    cut: Callable[[str, str], bool] = lambda one, other: False  # from one to the other
+    cut: Callable[[str, str], bool] = lambda source, target: (
+        False
+    )  # whether the link is interrupted in this direction
 
 
 @dataclass
-class One:
-    """A member: its parts, its clock and what it has cost."""
+class Member:
+    """A member: its components, its clock and its traffic."""
 
     name: str
     peer: Peer
     admission: Admission
     sharing: Sharing
-    offset: int = 0  # of its clock
-    rate: float = 1.0  # of its clock
+    offset: int = 0  # of its clock, in nanoseconds
+    rate: float = 1.0  # of its clock, relative to the time of the simulation
     up: bool = True
     stalled: bool = False
-    inbox: list[tuple[bytes, str]] = field(default_factory=list)  # what came while it stood still
-    turn: int = 0  # its ticks are of this process
+    inbox: list[tuple[bytes, str]] = field(default_factory=list)  # datagrams that arrived during a stall
+    turn: int = 0  # number of process restarts under this name
     sent: int = 0
     bytes_sent: int = 0
 
 
 class World:
-    """N members with one tenant, `t`, whose requests come as `arrive` says."""
+    """The members of an estate with one tenant, `t`, whose requests `arrive` schedules."""
 
     def __init__(self, seed: int, estate: Estate, links: Links | None = None, listed: bool = True) -> None:
         self.rng = Random(seed)
@@ -61,29 +63,29 @@
         self.listed = listed
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.numbers = count()
+        self.event_numbers = count()
         self.names = [f"m{number}" for number in range(estate.members)]
-        self.members: dict[str, One] = {}
+        self.members: dict[str, Member] = {}
         self.period = int(estate.period_s * S)
-        self.taken: list[int] = []  # when
+        self.taken: list[int] = []  # times of accepted requests, in nanoseconds
         self.refused: list[int] = []
         self.by_member: dict[str, int] = {}
         self.demands: dict[str, float] = {}
 
     # Time
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        """Seconds of the world's own clock."""
-        heapq.heappush(self.events, (int(when * S), next(self.numbers), call))
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedule a call at `when`, in seconds of simulated time."""
+        heapq.heappush(self.events, (int(when * S), next(self.event_numbers), callback))
 
-    def after(self, span: int, call: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.now + span, next(self.numbers), call))
+    def after(self, delay_ns: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (self.now + delay_ns, next(self.event_numbers), callback))
 
     def run(self, until: float) -> None:
         end = int(until * S)
         while self.events and self.events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.events)
-            call()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
         self.now = end
 
     # Members
@@ -92,97 +94,97 @@
         for name in names or self.names:
             self.begin(name, self.rng.randrange(S))
 
-    def begin(self, name: str, offset: int = 0, rate: float = 1.0, life: int | None = None) -> One:
-        """A process of this name; without `life`, one later than any before."""
+    def begin(self, name: str, offset: int = 0, rate: float = 1.0, life: int | None = None) -> Member:
+        """Start a process of this name; the default `life` is later than those of all earlier processes."""
         estate = self.estate
-        before = self.members.get(name)
-        rules = Rules(self.period, estate.asks, int(FORGET_S * S), 2 * estate.members + 8)
-        horizon = int(estate.horizon_s * S)
+        previous = self.members.get(name)
+        rules = Rules(self.period, estate.asks, int(FORGET_AFTER_S * S), 2 * estate.members + 8)
+        horizon_ns = int(estate.horizon_s * S)
         listed = [(other, other) for other in self.names] if self.listed else [(self.names[0], self.names[0])]
         life = life if life is not None else 1000 + self.now // 1_000_000
-        one = One(name, None, None, None, offset, rate)  # type: ignore[arg-type]
-        now = self.clock(one)
-        one.peer = Peer(name, name, life, listed, rules, horizon, Random(self.rng.getrandbits(32)), now)
-        settle = int(settle_s(estate.horizon_s, estate.period_s) * S)
-        members, allowances = one.peer.members.counted(), {"t": Allowance(estate.per_s, estate.burst)}
-        one.admission = Admission(allowances, None, 1, settle, now, members)
-        one.sharing = Sharing(one.peer, one.admission)
-        one.turn = before.turn + 1 if before is not None else 0
-        self.members[name] = one
-        self.after(self.rng.randrange(self.period), lambda: self._tick(one))
-        return one
-
-    def clock(self, one: One) -> int:
-        return one.offset + int(self.now * one.rate)
+        member = Member(name, None, None, None, offset, rate)  # type: ignore[arg-type]
+        now = self.clock(member)
+        member.peer = Peer(name, name, life, listed, rules, horizon_ns, Random(self.rng.getrandbits(32)), now)
+        settle_ns = int(settle_s(estate.horizon_s, estate.period_s) * S)
+        members, allowances = member.peer.members.counted(), {"t": Allowance(estate.per_s, estate.burst)}
+        member.admission = Admission(allowances, None, 1, settle_ns, now, members)
+        member.sharing = Sharing(member.peer, member.admission)
+        member.turn = previous.turn + 1 if previous is not None else 0
+        self.members[name] = member
+        self.after(self.rng.randrange(self.period), lambda: self._tick(member))
+        return member
+
+    def clock(self, member: Member) -> int:
+        return member.offset + int(self.now * member.rate)
 
     def kill(self, name: str) -> None:
         self.members[name].up = False
 
     def stall(self, name: str, seconds: float) -> None:
-        one = self.members[name]
-        one.stalled = True
-        self.after(int(seconds * S), lambda: self._wakes(one))
-
-    def _wakes(self, one: One) -> None:
-        one.stalled = False
-        waiting, one.inbox = one.inbox, []
-        for body, source in waiting:
-            self._comes(one, body, source)
-
-    def _tick(self, one: One) -> None:
-        if not one.up:
+        member = self.members[name]
+        member.stalled = True
+        self.after(int(seconds * S), lambda: self._resume(member))
+
+    def _resume(self, member: Member) -> None:
+        member.stalled = False
+        pending, member.inbox = member.inbox, []
+        for body, source in pending:
+            self._receive(member, body, source)
+
+    def _tick(self, member: Member) -> None:
+        if not member.up:
             return
-        if not one.stalled:
-            now = self.clock(one)
-            self._send(one, one.peer.tick(now))
-            one.sharing.look(now)
-        self.after(self.period, lambda: self._tick(one))
+        if not member.stalled:
+            now = self.clock(member)
+            self._send(member, member.peer.tick(now))
+            member.sharing.look(now)
+        self.after(self.period, lambda: self._tick(member))
 
     # Datagrams
 
-    def _send(self, one: One, outs: Iterable[Out]) -> None:
-        for out in outs:
-            one.sent += 1
-            one.bytes_sent += len(out.body) + HEADERS
-            times = 2 if self.rng.random() < self.links.repeat else 1
-            for _ in range(times):
-                if self.rng.random() >= self.links.loss and not self.links.cut(one.name, out.at):
-                    self._carry(one.name, out)
-
-    def _carry(self, source: str, out: Out) -> None:
-        delay = self.links.delay_s * (1.0 + self.rng.random())
-        self.after(int(delay * S), lambda: self._arrives(source, out))
-
-    def _arrives(self, source: str, out: Out) -> None:
-        one = self.members.get(out.at)
-        if one is None or not one.up:
+    def _send(self, member: Member, datagrams: Iterable[Out]) -> None:
+        for datagram in datagrams:
+            member.sent += 1
+            member.bytes_sent += len(datagram.body) + DATAGRAM_OVERHEAD_BYTES
+            copies = 2 if self.rng.random() < self.links.repeat else 1
+            for _ in range(copies):
+                if self.rng.random() >= self.links.loss and not self.links.cut(member.name, datagram.at):
+                    self._deliver_later(member.name, datagram)
+
+    def _deliver_later(self, source: str, datagram: Out) -> None:
+        delay_s = self.links.delay_s * (1.0 + self.rng.random())
+        self.after(int(delay_s * S), lambda: self._arrive_datagram(source, datagram))
+
+    def _arrive_datagram(self, source: str, datagram: Out) -> None:
+        member = self.members.get(datagram.at)
+        if member is None or not member.up:
             return
-        if one.stalled:
-            one.inbox.append((out.body, source))
+        if member.stalled:
+            member.inbox.append((datagram.body, source))
         else:
-            self._comes(one, out.body, source)
+            self._receive(member, datagram.body, source)
 
-    def _comes(self, one: One, body: bytes, source: str) -> None:
-        self._send(one, one.peer.came(self.clock(one), UNPACK(body), source))
+    def _receive(self, member: Member, body: bytes, source: str) -> None:
+        self._send(member, member.peer.came(self.clock(member), UNPACK(body), source))
 
     # The tenant
 
     def arrive(self, name: str, rate: float, since: float, until: float) -> None:
-        """Requests of the tenant at this member, Poisson."""
+        """Schedule requests of the tenant at this member as a Poisson process."""
         at = since
         while rate > 0.0:
             at += self.rng.expovariate(rate)
             if at >= until:
                 return
-            self.at(at, lambda: self._asks(name))
+            self.at(at, lambda: self._request(name))
 
-    def _asks(self, name: str) -> None:
-        one = self.members.get(name)
-        if one is None or not one.up or one.stalled:
+    def _request(self, name: str) -> None:
+        member = self.members.get(name)
+        if member is None or not member.up or member.stalled:
             return
-        number = one.admission.id_of("t")
-        assert number is not None
-        if one.admission.asks(self.clock(one), number) is None:
+        tenant_number = member.admission.id_of("t")
+        assert tenant_number is not None
+        if member.admission.asks(self.clock(member), tenant_number) is None:
             self.taken.append(self.now)
             self.by_member[name] = self.by_member.get(name, 0) + 1
         else:
@@ -190,30 +192,30 @@
 
 
 def worst_over(times: Iterable[float], per_s: float) -> float:
-    """The most by which the moments in any span are more than the rate times the span; seconds."""
-    level, last, worst = 0.0, None, 0.0
+    """Return the largest excess of events in any time span over rate times span; `times` in seconds."""
+    level, previous, worst = 0.0, None, 0.0
     for at in sorted(times):
-        level = max(0.0, level - per_s * (at - last)) if last is not None else 0.0
+        level = max(0.0, level - per_s * (at - previous)) if previous is not None else 0.0
         level += 1.0
-        last, worst = at, max(worst, level)
+        previous, worst = at, max(worst, level)
     return worst
 
 
 def worst_under(taken: Iterable[float], asked: Iterable[float], per_s: float) -> float:
-    """The most by which a span's requests were fewer than both what was asked for and the rate allow.
+    """Return the largest shortfall of accepted requests in any time span.
 
-    Against what one bucket for the whole fleet, without any burst, would have taken of the same requests.
+    The reference is one token bucket for the whole fleet, without a burst, that serves the same requests.
     """
-    moments = sorted([(at, 1) for at in asked] + [(at, 0) for at in taken])
-    tokens, last, short, worst = 1.0, None, 0.0, 0.0
-    for at, asks in moments:
-        if last is not None:
-            tokens = min(1.0, tokens + per_s * (at - last))
-        last = at
-        if not asks:
-            short = max(0.0, short - 1.0)
+    events = sorted([(at, 1) for at in asked] + [(at, 0) for at in taken])
+    tokens, previous, shortfall, worst = 1.0, None, 0.0, 0.0
+    for at, is_request in events:
+        if previous is not None:
+            tokens = min(1.0, tokens + per_s * (at - previous))
+        previous = at
+        if not is_request:
+            shortfall = max(0.0, shortfall - 1.0)
         elif tokens >= 1.0:
             tokens -= 1.0
-            short += 1.0
-            worst = max(worst, short)
+            shortfall += 1.0
+            worst = max(worst, shortfall)
     return worst
