--- a/rigs/members.py
+++ b/rigs/members.py
@@ -30,9 +30,8 @@
     loss: float = 0.0
     delay_s: float = 0.0  # minimum; each datagram takes up to twice as long, so order is not kept
     repeat: float = 0.0
-    cut: Callable[[str, str], bool] = lambda source, target: (
-        False
-    )  # whether the link is interrupted in this direction
+    # Whether the link from one member to another is interrupted at present.
+    cut: Callable[[str, str], bool] = lambda source, target: False
 
 
 @dataclass
--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose programs know of one another: a link for datagrams between any two, under one weather."""
+"""A fleet of sidecars that are peers: a datagram link between any two of them, under one `Weather`."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 from standins.wire import read_message, request
 
 KEY = "000102030405060708090a0b0c0d0e0f"
-LOOK_S = 1.0
+VIEW_TIMEOUT_S = 1.0
 
 
 class PeerFleet(Fleet):
-    """`tables` is the text of the operator's file, but for `[peers]` and `[limits]`, which are made here.
+    """A fleet of sidecars with peering enabled.
 
-    Tables of `[peers]` that all have, as `period_s`, go into `peers`.
+    `tables` is the text of the operator file without `[peers]` and `[limits]`, which are generated. `peers`
+    is text for the table `[peers]` of all sidecars, for example a `period_s`.
     """
 
     def __init__(self, seed: int, plan: Plan, tables: str, peers: str = "") -> None:
@@ -48,13 +49,13 @@
                     self.mesh[name, other] = await link.open()
         for name in names:
             node = self.nodes[name]
-            file = Path(node.program.folder.name) / "operator.toml"
-            file.write_text(self.operator_of(name))
-            node.program.environment["NODE_OPERATOR"] = str(file)
+            operator_path = Path(node.program.folder.name) / "operator.toml"
+            operator_path.write_text(self.operator_of(name))
+            node.program.environment["NODE_OPERATOR"] = str(operator_path)
 
     def operator_of(self, name: str) -> str:
-        """One program's file: it knows the others by its links to them."""
-        listed = [
+        """Return the operator file of one sidecar, which lists its peers under the ports of its links to them."""
+        members = [
             f'"{other}=127.0.0.1:{self.mesh[name, other].port}"' for other in self.nodes if other != name
         ]
         return "\n".join(
@@ -64,14 +65,14 @@
                 "[peers]",
                 f'listen = "127.0.0.1:{self.ports[name]}"',
                 f'key = "{KEY}"',
-                f"members = [{', '.join(listed)}]",
+                f"members = [{', '.join(members)}]",
                 self.peers,
                 self.tables,
             ]
         )
 
     def retable(self, names: Iterable[str], tables: str) -> None:
-        """These programs read another operator's file from now on, at once."""
+        """Reload these sidecars with operator files made from other tables."""
         self.tables = tables
         for name in names:
             program = self.nodes[name].program
@@ -89,69 +90,74 @@
     async def ask(
         self, names: Iterable[str], tenant: str, rate: float, seconds: float, **habits: Any
     ) -> None:
-        """A tenant's requests at each of these programs, nobody trying again; `habits` as of `Habits`."""
-        chosen = [self._application(name, tenant, habits) for name in names]
-        for one in chosen:
-            one.habits.rate = rate
-        await asyncio.gather(*(one.run(seconds) for one in chosen))
-
-    def _application(self, name: str, tenant: str, wanted: dict[str, Any]) -> Application:
-        known = self.applications.get((name, tenant))
-        if known is not None:
-            return known
-        habits = Habits(retries=0, tenant=tenant, **wanted)
+        """Send a tenant's requests to each of these sidecars, without client retries.
+
+        `rate` is requests a second at each sidecar; `habits` are fields of `Habits`.
+        """
+        applications = [self._application(name, tenant, habits) for name in names]
+        for application in applications:
+            application.habits.rate = rate
+        await asyncio.gather(*(application.run(seconds) for application in applications))
+
+    def _application(self, name: str, tenant: str, habit_fields: dict[str, Any]) -> Application:
+        existing = self.applications.get((name, tenant))
+        if existing is not None:
+            return existing
+        habits = Habits(retries=0, tenant=tenant, **habit_fields)
         rng, allowance = Random(self.rng.getrandbits(32)), self.nodes[name].application.allowance
         port = self.nodes[name].program.port
-        one = Application(f"{tenant}-{name}", port, self.ledger, allowance, rng, habits, via=name)
-        self.applications[name, tenant] = one
-        return one
+        application = Application(f"{tenant}-{name}", port, self.ledger, allowance, rng, habits, via=name)
+        self.applications[name, tenant] = application
+        return application
 
     async def settle(self) -> None:
-        await asyncio.gather(*(one.settle() for one in self.applications.values()))
+        await asyncio.gather(*(application.settle() for application in self.applications.values()))
 
     # Faults
 
-    def _edge(self, group: Iterable[str]) -> list[tuple[str, str]]:
-        """Pairs of one within and one without."""
-        inner = set(group)
-        return [(one, other) for one in inner for other in self.nodes if other not in inner]
+    def _crossing_pairs(self, group: Iterable[str]) -> list[tuple[str, str]]:
+        """Return the pairs of a member inside the group and one outside."""
+        inside = set(group)
+        return [(member, other) for member in inside for other in self.nodes if other not in inside]
 
-    async def _cut(self, pairs: Iterable[tuple[str, str]], seconds: float) -> None:
-        fresh = set(pairs) - self.weather.cut
-        self.weather.cut |= fresh
+    async def _interrupt(self, pairs: Iterable[tuple[str, str]], seconds: float) -> None:
+        newly_cut = set(pairs) - self.weather.cut
+        self.weather.cut |= newly_cut
         await asyncio.sleep(seconds)
-        self.weather.cut -= fresh
+        self.weather.cut -= newly_cut
 
     async def do_part(self, fault: Fault) -> None:
-        edge = self._edge(fault.who)
-        await self._cut(edge + [(other, one) for one, other in edge], fault.for_s)
+        pairs = self._crossing_pairs(fault.who)
+        await self._interrupt(pairs + [(target, source) for source, target in pairs], fault.for_s)
 
     async def do_deafen(self, fault: Fault) -> None:
-        await self._cut([(other, one) for one, other in self._edge(fault.who)], fault.for_s)
+        await self._interrupt(
+            [(target, source) for source, target in self._crossing_pairs(fault.who)], fault.for_s
+        )
 
     async def do_weather(self, fault: Fault) -> None:
-        told, weather = weather_of(fault.who), self.weather
-        weather.loss, weather.repeat = told.get("loss", 0.0), told.get("repeat", 0.0)
-        weather.delay_s, weather.jitter_s = told.get("delay", 0.0), told.get("jitter", 0.0)
+        parameters, weather = weather_of(fault.who), self.weather
+        weather.loss, weather.repeat = parameters.get("loss", 0.0), parameters.get("repeat", 0.0)
+        weather.delay_s, weather.jitter_s = parameters.get("delay", 0.0), parameters.get("jitter", 0.0)
         await asyncio.sleep(fault.for_s)
         weather.loss = weather.delay_s = weather.jitter_s = weather.repeat = 0.0
 
-    # What programs say of themselves; for what no socket shows, never for a rule
+    # What sidecars report of themselves, for figures that no socket shows; no check depends on it
 
     async def view(self, name: str) -> dict[str, Any]:
-        """The operators' view of one program; empty where it does not answer."""
+        """Return the operators' view of one sidecar; empty if it does not answer within `VIEW_TIMEOUT_S`."""
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(VIEW_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.views[name])
                 writer.write(request("GET", "/-/limits", {"Host": "rig", "Connection": "close"}))
-                answer = await read_message(reader)
+                response = await read_message(reader)
                 writer.close()
-                if answer is not None and answer.status == 200:
-                    told: dict[str, Any] = json.loads(answer.body)
-                    return told["features"]  # type: ignore[no-any-return]
+                if response is not None and response.status == 200:
+                    view: dict[str, Any] = json.loads(response.body)
+                    return view["features"]  # type: ignore[no-any-return]
         return {}
 
     def bytes_sent(self, name: str) -> int:
-        """What one program has sent to the others, as the links saw it."""
-        own = sum(link.bytes[False] for (one, _), link in self.mesh.items() if one == name)
-        return own + sum(link.bytes[True] for (_, other), link in self.mesh.items() if other == name)
+        """Return the bytes that one sidecar has sent to its peers, counted by the links."""
+        outbound = sum(link.bytes[False] for (source, _), link in self.mesh.items() if source == name)
+        return outbound + sum(link.bytes[True] for (_, target), link in self.mesh.items() if target == name)
