--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -54,7 +54,7 @@
             node.program.environment["NODE_OPERATOR"] = str(operator_path)
 
     def operator_of(self, name: str) -> str:
-        """Return the operator file of one sidecar, which lists its peers under the ports of its links to them."""
+        """Return the operator file of one sidecar; peers are listed under the ports of the links to them."""
         members = [
             f'"{other}=127.0.0.1:{self.mesh[name, other].port}"' for other in self.nodes if other != name
         ]
@@ -128,11 +128,11 @@
 
     async def do_part(self, fault: Fault) -> None:
         pairs = self._crossing_pairs(fault.who)
-        await self._interrupt(pairs + [(target, source) for source, target in pairs], fault.for_s)
+        await self._interrupt(pairs + [(other, member) for member, other in pairs], fault.for_s)
 
     async def do_deafen(self, fault: Fault) -> None:
         await self._interrupt(
-            [(target, source) for source, target in self._crossing_pairs(fault.who)], fault.for_s
+            [(other, member) for member, other in self._crossing_pairs(fault.who)], fault.for_s
         )
 
     async def do_weather(self, fault: Fault) -> None:
@@ -142,7 +142,7 @@
         await asyncio.sleep(fault.for_s)
         weather.loss = weather.delay_s = weather.jitter_s = weather.repeat = 0.0
 
-    # What sidecars report of themselves, for figures that no socket shows; no check depends on it
+    # What sidecars report of themselves, for figures that no socket shows; never used for the ledger's rules
 
     async def view(self, name: str) -> dict[str, Any]:
         """Return the operators' view of one sidecar; empty if it does not answer within `VIEW_TIMEOUT_S`."""
