--- a/benchmarks/judgements.py
+++ b/benchmarks/judgements.py
@@ -1,9 +1,9 @@
-"""Shared judgements in virtual time: attempts lost with what others tell and without, by fault and fleet.
+"""Benchmark of shared judgements in virtual time: attempts lost with and without shared evidence.
 
     python -m benchmarks.judgements [--seeds 5] [--members 40]
 
-Each line is one fault, from 10 s on for 20 s, seen by members with two requests a second each; `lost` are the
-attempts that a fault cost, over the seeds, off and on.
+Each row of the table is one fault that lasts from 10 s to 30 s, with two requests a second at each member.
+`lost` is the number of attempts that failed over all seeds, without sharing (off) and with it (on).
 """
 
 from __future__ import annotations
@@ -12,16 +12,20 @@
 
 from rigs.judged import SERVERS, Estate, Fault, Figures, condemns_all, praises
 
-SINCE, UNTIL, SECONDS = 10.0, 30.0, 34.0
+FAULT_FROM_S, FAULT_UNTIL_S, DURATION_S = 10.0, 30.0, 34.0
 
 
 def between(chance: float, servers: range) -> Fault:
-    return lambda now, member, server: chance if SINCE <= now < UNTIL and server in servers else 0.0
+    return lambda now, member_index, server: (
+        chance if FAULT_FROM_S <= now < FAULT_UNTIL_S and server in servers else 0.0
+    )
 
 
 def by_half(chance: float) -> Fault:
-    """A pair of servers that half of the members can't reach."""
-    return lambda now, member, server: chance if SINCE <= now < UNTIL and server < 2 and member % 2 else 0.0
+    """Two servers that half of the members cannot reach."""
+    return lambda now, member_index, server: (
+        chance if FAULT_FROM_S <= now < FAULT_UNTIL_S and server < 2 and member_index % 2 else 0.0
+    )
 
 
 FAULTS: dict[str, Fault] = {
@@ -35,24 +39,26 @@
 }
 
 
-def played(fault: Fault, members: int, seed: int, on: bool, lie: str = "", share: float = 1.0) -> Figures:
-    heard = int(share * members)
-    estate = Estate(seed, members, fault, on, hears=lambda one, other, now: (other - one) % members <= heard)
+def simulate(fault: Fault, members: int, seed: int, on: bool, lie: str = "", share: float = 1.0) -> Figures:
+    heard_members = int(share * members)
+    estate = Estate(
+        seed, members, fault, on, hears=lambda one, other, now: (other - one) % members <= heard_members
+    )
     for number in range(3 if lie else 0):
-        estate.members[number].lies = praises(0) if lie == "praise" else condemns_all
-    return estate.run(SECONDS, SINCE)
+        estate.members[number].falsify = praises(0) if lie == "praise" else condemns_all
+    return estate.run(DURATION_S, FAULT_FROM_S)
 
 
-def row(name: str, fault: Fault, members: int, seeds: int, lie: str = "", share: float = 1.0) -> str:
-    off = [played(fault, members, seed, False) for seed in range(seeds)]
-    on = [played(fault, members, seed, True, lie, share) for seed in range(seeds)]
-    lost = [sum(one.bad for one in some) for some in (off, on)]
-    sent = sum(one.sent for one in off)
-    learned = max(one.learned_at for one in on)
-    swing = max(max(one.loads.values()) / (one.sent / SERVERS) for one in on)
+def table_row(name: str, fault: Fault, members: int, seeds: int, lie: str = "", share: float = 1.0) -> str:
+    off = [simulate(fault, members, seed, False) for seed in range(seeds)]
+    on = [simulate(fault, members, seed, True, lie, share) for seed in range(seeds)]
+    lost = [sum(figure.bad for figure in figures) for figures in (off, on)]
+    sent = sum(figure.sent for figure in off)
+    learned = max(figure.learned_at for figure in on)
+    swing = max(max(figure.loads.values()) / (figure.sent / SERVERS) for figure in on)
     cells = f"{lost[0]} | {lost[1]} | {lost[0] / max(1, lost[1]):.1f} | {1 - lost[0] / sent:.4f}"
-    cells += f" | {1 - lost[1] / max(1, sum(one.sent for one in on)):.4f} | {learned:.1f} s"
-    return f"| {name} | {cells} | {max(one.shunned_s for one in on):.1f} s | {swing:.2f} |"
+    cells += f" | {1 - lost[1] / max(1, sum(figure.sent for figure in on)):.4f} | {learned:.1f} s"
+    return f"| {name} | {cells} | {max(figure.shunned_s for figure in on):.1f} s | {swing:.2f} |"
 
 
 def main() -> None:
@@ -61,17 +67,20 @@
     )
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--members", type=int, default=40)
-    wanted = parser.parse_args()
-    members, seeds = wanted.members, wanted.seeds
+    options = parser.parse_args()
+    members, seeds = options.members, options.seeds
     print("| fault | lost, off | on | times | good, off | on | learned after | sound shunned | load |")
     print("| --- " * 9 + "|")
     for name, fault in FAULTS.items():
-        print(row(name, fault, members, seeds), flush=True)
-    two = FAULTS["two of 16 silent"]
+        print(table_row(name, fault, members, seeds), flush=True)
+    two_silent = FAULTS["two of 16 silent"]
     for share in (0.5, 0.1):
-        print(row(f"two silent, {share:g} of the fleet heard", two, members, seeds, share=share), flush=True)
-    print(row("none, three condemn all", FAULTS["none"], members, seeds, "condemn"), flush=True)
-    print(row("two silent, three praise one", two, members, seeds, "praise"), flush=True)
+        print(
+            table_row(f"two silent, {share:g} of the fleet heard", two_silent, members, seeds, share=share),
+            flush=True,
+        )
+    print(table_row("none, three condemn all", FAULTS["none"], members, seeds, "condemn"), flush=True)
+    print(table_row("two silent, three praise one", two_silent, members, seeds, "praise"), flush=True)
 
 
 if __name__ == "__main__":
--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -22,7 +22,7 @@
 PROGRAMS = 24
 PER_S = 24.0  # retries of the whole fleet
 SHARE = 0.02  # further retries for each first try
-RIGHTS_LIFETIME_S = 2.0
+RIGHTS_LIFETIME_S = 2.0  # unspent rights expire after this time
 DIALS_PER_S = 8.0  # new connections of the whole fleet to one cold server
 FIRST_TRIES_PER_S = 120.0
 STORM_PER_S = 240.0
@@ -156,13 +156,15 @@
     played: list[PlayedAct] = []
     async with keeping_book(stage, waits_s=10.0):
         names = list(stage.nodes)
-        first_tries = asyncio.create_task(stage.ask(names, "first", FIRST_TRIES_PER_S / programs, duration_s))
+        first_tries_load = asyncio.create_task(
+            stage.ask(names, "first", FIRST_TRIES_PER_S / programs, duration_s)
+        )
         await asyncio.sleep(CALM_S / 2)
         stage.set_state_aside()
         await asyncio.sleep(CALM_S / 2)
         for act in acts:
             played.append(await play_act(stage, act))
-        await first_tries
+        await first_tries_load
         await stage.settle()
     evaluate(report, stage, played)
     return await finished(report, stage, began_at, as_json)
@@ -243,10 +245,8 @@
     if played.act.where in ("one", "another"):
         measurements["to_need_s"] = round(to_need_s(spent, played.since, played.until), 1)
     if played.act.where == "side":
-        since, until = (
-            played.since + 3.0,
-            played.since + 7.0,
-        )  # the cut lasts from 1 s to 7 s; earlier rights are spent by 3 s
+        # The cut lasts from 1 s to 7 s; rights earned before it are spent by 3 s.
+        since, until = (played.since + 3.0, played.since + 7.0)
         spent_in_part = bisect_left(spent, until) - bisect_left(spent, since)
         earned_in_part = (until - since) * (PER_S + SHARE * FIRST_TRIES_PER_S) * len(played.storm) / PROGRAMS
         measurements["islands_served_share"] = round(spent_in_part / earned_in_part, 3)
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -1,8 +1,9 @@
-"""Members in virtual time that judge servers: by their own acts alone, and with what others tell.
+"""Simulation, in virtual time, of members that judge servers by their own attempts and by shared evidence.
 
-No sockets and no module: a member takes a server by the weight that its own errors leave it, as the module
-does in a sparse sidecar (one error leaves 0.4, half of which is forgotten in a ramp), times the factor that
-others' evidence leaves it. What a member hears of another is a row of `LATE_S` ago.
+It uses neither sockets nor the balancer. A member picks a server with a probability proportional to a weight:
+the weight after its own errors, as the balancer computes it in a sidecar with few requests (one error leaves
+0.4, and half of that effect is forgotten within a ramp), times a factor from the evidence of other members.
+A member uses rows of other members that are `REPORT_AGE_S` old.
 """
 
 from __future__ import annotations
@@ -16,37 +17,45 @@
 
 S = 1_000_000_000
 STEP_S = 0.25
-LATE_S = 1.0
-AIM_S = 1.0  # after which a silent attempt is known to be lost
-ONE_ERROR = 0.4  # of its weight is left to a server after one error
-RAMP_S = 6.0
+REPORT_AGE_S = 1.0
+TARGET_S = 1.0  # an attempt without an answer counts as lost after this time
+WEIGHT_AFTER_ERROR = 0.4  # share of a server's weight that remains after one error
+ERROR_HALF_LIFE_S = 6.0
 SERVERS = 16
 
-Fault = Callable[[float, int, int], float]  # when, which member, which server: the chance that an act is bad
+# Maps time in seconds, member index and server index to the probability that an attempt fails.
+Fault = Callable[[float, int, int], float]
 
 
 @dataclass
 class Figures:
     sent: int = 0
     bad: int = 0  # attempts lost or wrong
-    at_fault: int = 0  # of those, at servers that had one
-    shunned_s: float = 0.0  # the longest that a sound server was held below half by most members
-    shunned_now: dict[int, float] = field(default_factory=dict)
+    at_fault: int = 0  # bad attempts at servers with a fault
+    # The longest time for which most members kept the factor of a server without a fault below 0.5.
+    shunned_s: float = 0.0
+    shunned_now_s: dict[int, float] = field(default_factory=dict)
     loads: dict[int, int] = field(default_factory=dict)
-    learned_at: float = -1.0  # when nine in ten of a step's attempts avoided the servers with a fault
+    # Seconds after `since` until faulty servers got at most a tenth of their even share; -1: never.
+    learned_at: float = -1.0
 
 
 @dataclass
 class Member:
     name: str
     evidence: Evidence = field(default_factory=Evidence)
-    errors: dict[int, tuple[float, float]] = field(default_factory=dict)  # how many, and when
+    # By server: errors in a row, decayed, and the time of the last outcome.
+    errors: dict[int, tuple[float, float]] = field(default_factory=dict)
     factors: dict[int, float] = field(default_factory=dict)
-    lies: Callable[[Row], Row] | None = None
+    falsify: Callable[[Row], Row] | None = None  # replaces the rows of a lying member
 
 
 class Estate:
-    """`hears(one, other, now)`: whether the one hears the other; `on`: whether it makes anything of it."""
+    """A fleet of members and its servers.
+
+    `hears(one, other, now)` returns whether member `one` receives the rows of `other`; `on` enables the use
+    of those rows. `rate` is attempts a second of each member.
+    """
 
     def __init__(
         self,
@@ -59,114 +68,125 @@
     ) -> None:
         self.rng = Random(seed)
         self.members = [Member(f"m{number}") for number in range(members)]
-        self.fault, self.on, self.rate, self.hears = fault, on, rate, hears
+        self.fault, self.enabled, self.rate, self.hears = fault, on, rate, hears
         self.figures = Figures()
         self.rows: list[tuple[float, list[Row]]] = []
-        self.due: list[tuple[float, int, int, bool]] = []  # acts that are not known yet
-        self.known = [Known(number, 0, 1.0) for number in range(SERVERS)]
+        self.pending_outcomes: list[tuple[float, int, int, bool]] = []  # attempts without a known outcome
+        self.known_servers = [Known(number, 0, 1.0) for number in range(SERVERS)]
 
     def run(self, seconds: float, since: float = 0.0) -> Figures:
         now = 0.0
         while now < seconds:
-            self._learn(now)
-            self._tell(now)
+            self._record_outcomes(now)
+            self._exchange(now)
             faulty = 0
             sent = 0
-            for number in range(len(self.members)):
+            for member_index in range(len(self.members)):
                 for _ in range(self._arrivals()):
-                    server = self._pick(now, number)
+                    server = self._pick_server(now, member_index)
                     sent += 1
-                    faulty += self._send(now, number, server, counts=now >= since)
+                    faulty += self._send(now, member_index, server, is_measured=now >= since)
             if (
                 self.figures.learned_at < 0.0
                 and now >= since
                 and sent
-                and faulty <= 0.1 * sent * self._share(now)
+                and faulty <= 0.1 * sent * self._faulty_share(now)
             ):
                 self.figures.learned_at = now - since
-            self._watch(now)
+            self._measure_shunned(now)
             now += STEP_S
         return self.figures
 
     def _arrivals(self) -> int:
-        """Poisson, for a small mean."""
-        count, left = 0, self.rng.expovariate(1.0)
-        while left < self.rate * STEP_S:
+        """Return a Poisson-distributed number of attempts for one step; the mean has to be small."""
+        count, remaining = 0, self.rng.expovariate(1.0)
+        while remaining < self.rate * STEP_S:
             count += 1
-            left += self.rng.expovariate(1.0)
+            remaining += self.rng.expovariate(1.0)
         return count
 
-    def _share(self, now: float) -> float:
-        """The part of the servers that have a fault for the first member."""
+    def _faulty_share(self, now: float) -> float:
+        """Return the share of servers that have a fault for the first member."""
         return sum(self.fault(now, 0, server) > 0.0 for server in range(SERVERS)) / SERVERS
 
-    def _pick(self, now: float, number: int) -> int:
-        member = self.members[number]
+    def _pick_server(self, now: float, member_index: int) -> int:
+        member = self.members[member_index]
         weights = []
         for server in range(SERVERS):
-            count, at = member.errors.get(server, (0.0, 0.0))
-            left = ONE_ERROR ** (count * 0.5 ** ((now - at) / RAMP_S)) if count else 1.0
-            weights.append(left * member.factors.get(server, 1.0))
+            errors, last_error_at = member.errors.get(server, (0.0, 0.0))
+            remaining = (
+                WEIGHT_AFTER_ERROR ** (errors * 0.5 ** ((now - last_error_at) / ERROR_HALF_LIFE_S))
+                if errors
+                else 1.0
+            )
+            weights.append(remaining * member.factors.get(server, 1.0))
         return self.rng.choices(range(SERVERS), weights)[0]
 
-    def _send(self, now: float, number: int, server: int, counts: bool) -> bool:
-        chance = self.fault(now, number, server)
+    def _send(self, now: float, member_index: int, server: int, is_measured: bool) -> bool:
+        chance = self.fault(now, member_index, server)
         bad = self.rng.random() < chance
-        self.due.append((now + (AIM_S if bad else 0.1), number, server, not bad))
-        if counts:
+        self.pending_outcomes.append((now + (TARGET_S if bad else 0.1), member_index, server, not bad))
+        if is_measured:
             self.figures.sent += 1
             self.figures.bad += bad
             self.figures.at_fault += bad and chance > 0.0
             self.figures.loads[server] = self.figures.loads.get(server, 0) + 1
         return chance > 0.0
 
-    def _learn(self, now: float) -> None:
-        due, self.due = [one for one in self.due if one[0] <= now], [one for one in self.due if one[0] > now]
-        for _, number, server, good in due:
-            member = self.members[number]
+    def _record_outcomes(self, now: float) -> None:
+        due_outcomes, self.pending_outcomes = (
+            [one for one in self.pending_outcomes if one[0] <= now],
+            [one for one in self.pending_outcomes if one[0] > now],
+        )
+        for _, member_index, server, good in due_outcomes:
+            member = self.members[member_index]
             member.evidence.saw(int(now * S), server, 0, good)
-            count, at = member.errors.get(server, (0.0, 0.0))
-            left = count * 0.5 ** ((now - at) / RAMP_S)
-            member.errors[server] = (0.0, now) if good else (left + 1.0, now)
+            errors, last_error_at = member.errors.get(server, (0.0, 0.0))
+            remaining = errors * 0.5 ** ((now - last_error_at) / ERROR_HALF_LIFE_S)
+            member.errors[server] = (0.0, now) if good else (remaining + 1.0, now)
 
-    def _tell(self, now: float) -> None:
-        if not self.on:
+    def _exchange(self, now: float) -> None:
+        if not self.enabled:
             return
-        told = []
+        rows = []
         for member in self.members:
             row = member.evidence.tells(int(now * S), member.factors)
-            told.append(member.lies(row) if member.lies else row)
-        self.rows = [one for one in self.rows if one[0] >= now - 2 * LATE_S] + [(now, told)]
-        at, rows = min(self.rows, key=lambda one: abs(one[0] - (now - LATE_S)))
-        if now < LATE_S:
+            rows.append(member.falsify(row) if member.falsify else row)
+        self.rows = [one for one in self.rows if one[0] >= now - 2 * REPORT_AGE_S] + [(now, rows)]
+        at, old_rows = min(self.rows, key=lambda one: abs(one[0] - (now - REPORT_AGE_S)))
+        if now < REPORT_AGE_S:
             return
         age = int((now - at) * S)
-        everybody: Sums | None = None
-        for number, member in enumerate(self.members):
-            names = [other for other in range(len(self.members)) if other != number]
-            heard = [other for other in names if self.hears(number, other, now)]
-            if len(heard) == len(names) and len(names) > 100:  # one more or less of so many
-                everybody = everybody or Sums((Heard("", 0, age, row) for row in rows), 0)
-                sums = everybody
+        all_sums: Sums | None = None
+        for member_index, member in enumerate(self.members):
+            others = [other for other in range(len(self.members)) if other != member_index]
+            heard = [other for other in others if self.hears(member_index, other, now)]
+            if len(heard) == len(others) and len(others) > 100:  # a member's own row hardly matters here
+                all_sums = all_sums or Sums((Heard("", 0, age, row) for row in old_rows), 0)
+                sums = all_sums
             else:
-                sums = Sums((Heard("", 0, age, rows[other]) for other in heard), 0)
-            found = factors(int(now * S), member.name, len(self.members), member.evidence, sums, self.known)
-            member.factors = dict(found)
+                sums = Sums((Heard("", 0, age, old_rows[other]) for other in heard), 0)
+            new_factors = factors(
+                int(now * S), member.name, len(self.members), member.evidence, sums, self.known_servers
+            )
+            member.factors = dict(new_factors)
 
-    def _watch(self, now: float) -> None:
-        """How long sound servers are shunned by most."""
+    def _measure_shunned(self, now: float) -> None:
+        """Update how long most members have shunned servers without a fault."""
         for server in range(SERVERS):
             sound = all(self.fault(now, number, server) == 0.0 for number in range(len(self.members)))
-            most = (
+            shunned_by_most = (
                 sum(member.factors.get(server, 1.0) < 0.5 for member in self.members) > len(self.members) / 2
             )
-            held = self.figures.shunned_now.get(server, 0.0) + STEP_S if sound and most else 0.0
-            self.figures.shunned_now[server] = held
-            self.figures.shunned_s = max(self.figures.shunned_s, held)
+            shunned_s = (
+                self.figures.shunned_now_s.get(server, 0.0) + STEP_S if sound and shunned_by_most else 0.0
+            )
+            self.figures.shunned_now_s[server] = shunned_s
+            self.figures.shunned_s = max(self.figures.shunned_s, shunned_s)
 
 
 def condemns_all(row: Row) -> Row:
-    """A lie that hides behind a small share: it says that it has met a thousand."""
+    """Return a false row that condemns every server while claiming that only 10 of 1000 are bad."""
     return Row(1000, 10, [Told(server, 0, 0.0, 50.0) for server in range(SERVERS)])
 
 
