--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,11 +1,12 @@
-"""From a registry's bytes to the module's decision, at 16, 500 and 5,000 nodes; a re-read; memory a node.
+"""Benchmark of a registry's updates at 16, 500 and 5,000 nodes: event latency, a full re-read, memory a node.
 
     python -m benchmarks.membership [--events 60] [--kazoo]
 
-The registry is a process of its own. `event` is the time from the arrival of an event's bytes to the end of
-the module's hand-over, for one server that vanishes and returns while all others stay. The floor reads the
-same bytes from a socket and decodes their JSON; pause is the longest of the loop. `--kazoo` adds the same
-re-read with kazoo's client (its threads, this loop), and the longest pause of the loop meanwhile.
+The registry runs as a separate process. `event` is the time from the arrival of an event's bytes until the
+decision module has processed it, for one server that vanishes and returns while all others stay. `floor` is
+the CPU time to read the same bytes from a socket and decode their JSON; `pause` is the longest pause of the
+event loop. `--kazoo` adds the same re-read with kazoo's client, which uses threads beside this event loop,
+and the longest pause of the event loop during it.
 """
 
 from __future__ import annotations
@@ -38,71 +39,79 @@
 
 SIZES = (16, 500, 5_000)
 ROOT = "/checks"
-TICK_S = 0.001
-APART_S = 0.15  # between an end and the return: longer than any batch waits
+PAUSE_PROBE_S = 0.001
+RETURN_DELAY_S = 0.15  # from a removal to the return; longer than the delay of any batch
 
 
-def node(number: int) -> bytes:
+def node_record(number: int) -> bytes:
     host = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
-    told = {
+    record = {
         "host_port": f"{host}:80",
         "phase": "SERVING",
         "cell": number // 3,
         "locality": "a",
         "flavor": "m",
     }
-    return json.dumps(told).encode()
+    return json.dumps(record).encode()
 
 
-# The registry's process
+# The registry process
 
 
 async def serve_registry(nodes: int) -> None:
-    """Tell the port, then for each line of input end one session and begin it anew."""
+    """Print the port; then, for each line of input, expire one session and start a new one."""
     ensemble = await Ensemble(hosts=1).start()
     ensemble.make(ROOT)
     owner = ensemble.begin(40_000)
     owner.heard_at += 3600.0
     for number in range(1, nodes):
-        ensemble.make(f"{ROOT}/n{number}", node(number), owner)
-    one = ensemble.begin(40_000)
-    ensemble.make(f"{ROOT}/n0", node(0), one)
+        ensemble.make(f"{ROOT}/n{number}", node_record(number), owner)
+    session = ensemble.begin(40_000)
+    ensemble.make(f"{ROOT}/n0", node_record(0), session)
     print(ensemble.hosts[0].port, flush=True)
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while await reader.readline():
-        ensemble.expire(one.id)
-        await asyncio.sleep(APART_S)
-        one = ensemble.begin(40_000)
-        one.heard_at += 3600.0
-        ensemble.make(f"{ROOT}/n0", node(0), one)
+        ensemble.expire(session.id)
+        await asyncio.sleep(RETURN_DELAY_S)
+        session = ensemble.begin(40_000)
+        session.heard_at += 3600.0
+        ensemble.make(f"{ROOT}/n0", node_record(0), session)
     await ensemble.close()
 
 
-# The program's side
+# The sidecar
 
 
 @dataclass
-class Times:
-    arrived: float = 0.0
-    taken: list[float] = field(default_factory=list)
+class EventTimes:
+    arrived_at: float = 0.0
+    durations_s: list[float] = field(default_factory=list)
 
 
 class Program:
-    """Engine, module, transport and the sources, as the sidecar puts them together."""
+    """Engine, decision module, transport and membership sources, assembled as in the sidecar."""
 
     def __init__(self, port: int) -> None:
-        facts = settings()
-        told = read_settings(facts)
+        raw_settings = settings()
+        parsed = read_settings(raw_settings)
         loop = asyncio.get_running_loop()
         config = Config(
-            "bench", ("127.0.0.1", 9), ("127.0.0.1", 9), 1, 256, 4096, {}, told, read_names(facts)
+            "bench",
+            ("127.0.0.1", 9),
+            ("127.0.0.1", 9),
+            1,
+            256,
+            4096,
+            {},
+            parsed,
+            read_names(raw_settings),
         )
-        self.engine = Engine("bench", told, 1, loop)
-        self.transport = HttpTransport(self.engine, told, loop, lambda: 100, 256)
+        self.engine = Engine("bench", parsed, 1, loop)
+        self.transport = HttpTransport(self.engine, parsed, loop, lambda: 100, 256)
         self.engine.start()
-        self.times = Times()
+        self.times = EventTimes()
         registry = ZooKeeper((ZooKeeperHost(("127.0.0.1", port)),), ROOT, spread_ms=0)
         self.sources = Sources(Membership(zookeeper=registry), config, loop, self.learn, lambda text: None)
         source = self.sources.registries["zookeeper"]
@@ -111,15 +120,15 @@
         client = source.client
         received = client.received
 
-        def noted(data: bytes) -> None:
-            self.times.arrived = time.perf_counter()
+        def received_and_timed(data: bytes) -> None:
+            self.times.arrived_at = time.perf_counter()
             received(data)
 
-        client.received = noted  # type: ignore[method-assign]
+        client.received = received_and_timed  # type: ignore[method-assign]
 
     def learn(self, kind: ListKind, entries: list[tuple[Endpoint, Any]]) -> None:
         self.transport.learn(kind, entries)
-        self.times.taken.append(time.perf_counter() - self.times.arrived)
+        self.times.durations_s.append(time.perf_counter() - self.times.arrived_at)
 
     def servers(self) -> int:
         return len(self.engine.balancer.servers)
@@ -130,7 +139,7 @@
         await asyncio.sleep(0.002)
 
 
-def spent() -> float:
+def cpu_time_s() -> float:
     return time.process_time()
 
 
@@ -148,22 +157,23 @@
         program.sources.start()
         await until(lambda: program.servers() == nodes)
         gc.collect()
-        held = tracemalloc.get_traced_memory()[0]
+        traced_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        reread, lag = await _reread(program, nodes)
-        floor = await _floor(port, nodes)
-        program.times.taken.clear()
+        reread_cpu_s, pause_s = await _reread(program, nodes)
+        floor_cpu_s = await _floor(port, nodes)
+        program.times.durations_s.clear()
         for _ in range(events):
-            await asyncio.sleep(APART_S)
-            before = len(program.times.taken)
+            await asyncio.sleep(RETURN_DELAY_S)
+            completed = len(program.times.durations_s)
             process.stdin.write(b"\n")
-            await until(lambda before=before: len(program.times.taken) >= before + 2)  # type: ignore[misc]
-        taken = sorted(program.times.taken)
-        p50, p99 = taken[len(taken) // 2] * 1000, taken[int(len(taken) * 0.99)] * 1000
+            await until(lambda completed=completed: len(program.times.durations_s) >= completed + 2)  # type: ignore[misc]
+        durations_s = sorted(program.times.durations_s)
+        p50, p99 = durations_s[len(durations_s) // 2] * 1000, durations_s[int(len(durations_s) * 0.99)] * 1000
         print(
-            f"{nodes:5} nodes: event p50 {p50:.2f} ms, p99 {p99:.2f} ms; re-read {reread * 1000:.0f} ms CPU "
-            f"({reread / floor:.1f} of the floor of {floor * 1000:.0f} ms), pause {lag * 1000:.0f} ms; "
-            f"{held / nodes / 1024:.1f} KiB a node",
+            f"{nodes:5} nodes: event p50 {p50:.2f} ms, p99 {p99:.2f} ms; "
+            f"re-read {reread_cpu_s * 1000:.0f} ms CPU ({reread_cpu_s / floor_cpu_s:.1f} of the floor of "
+            f"{floor_cpu_s * 1000:.0f} ms), pause {pause_s * 1000:.0f} ms; "
+            f"{traced_bytes / nodes / 1024:.1f} KiB a node",
             flush=True,
         )
         await program.sources.close()
@@ -175,17 +185,17 @@
 
 
 async def _reread(program: Program, nodes: int) -> tuple[float, float]:
-    """CPU seconds of a whole re-read after a lost connection, and the longest pause of the loop."""
+    """Return the CPU seconds of a full re-read after a lost connection, and the loop's longest pause."""
     registry = program.source
     connects = registry.client.connects
-    lag = asyncio.create_task(_longest_pause())
-    before = spent()
+    pause_task = asyncio.create_task(_longest_pause())
+    cpu_before = cpu_time_s()
     assert registry.client.wire is not None
     registry.client.wire.abort()
     await until(lambda: registry.client.connects > connects and registry.age_s() == 0.0)
-    used = spent() - before
-    lag.cancel()
-    return used, await lag
+    cpu_used = cpu_time_s() - cpu_before
+    pause_task.cancel()
+    return cpu_used, await pause_task
 
 
 async def _longest_pause() -> float:
@@ -193,16 +203,17 @@
     try:
         while True:
             began = loop.time()
-            await asyncio.sleep(TICK_S)
-            longest = max(longest, loop.time() - began - TICK_S)
+            await asyncio.sleep(PAUSE_PROBE_S)
+            longest = max(longest, loop.time() - began - PAUSE_PROBE_S)
     except asyncio.CancelledError:
         return longest
 
 
 async def _floor(port: int, nodes: int) -> float:
-    """CPU seconds of reading as many bytes of nodes from a socket, and decoding their JSON."""
-    payload = [node(number) for number in range(nodes)]
-    text = b"\n".join(one + b" " * 88 for one in payload) + b"\n"  # with a reply's head and stat
+    """Return the CPU seconds to read the same bytes from a socket and decode their JSON."""
+    records = [node_record(number) for number in range(nodes)]
+    # The 88 bytes stand for the header and the stat of a reply.
+    text = b"\n".join(record + b" " * 88 for record in records) + b"\n"
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
@@ -211,14 +222,14 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname()[:2])
-    before, found = spent(), 0
+    cpu_before, decoded = cpu_time_s(), 0
     while line := await reader.readline():
-        found += len(json.loads(line)) > 0
-    used = spent() - before
-    assert found == nodes
+        decoded += len(json.loads(line)) > 0
+    cpu_used = cpu_time_s() - cpu_before
+    assert decoded == nodes
     writer.close()
     server.close()
-    return max(used, 1e-4)
+    return max(cpu_used, 1e-4)
 
 
 async def _kazoo(port: int, nodes: int) -> None:
@@ -229,15 +240,18 @@
 
     def read() -> int:
         names = client.get_children(ROOT)
-        waiting = [client.get_async(f"{ROOT}/{name}") for name in names]
-        return sum(len(json.loads(one.get()[0])) > 0 for one in waiting)
+        pending = [client.get_async(f"{ROOT}/{name}") for name in names]
+        return sum(len(json.loads(reply.get()[0])) > 0 for reply in pending)
 
-    lag, before = asyncio.create_task(_longest_pause()), spent()
+    pause_task, cpu_before = asyncio.create_task(_longest_pause()), cpu_time_s()
     assert await asyncio.to_thread(read) == nodes
-    used = spent() - before
-    lag.cancel()
-    pause = await lag
-    print(f"      kazoo: re-read {used * 1000:.0f} ms CPU, longest pause {pause * 1000:.0f} ms", flush=True)
+    cpu_used = cpu_time_s() - cpu_before
+    pause_task.cancel()
+    longest_pause_s = await pause_task
+    print(
+        f"      kazoo: re-read {cpu_used * 1000:.0f} ms CPU, longest pause {longest_pause_s * 1000:.0f} ms",
+        flush=True,
+    )
     await asyncio.to_thread(client.stop)
     await asyncio.to_thread(client.close)
 
@@ -252,9 +266,9 @@
     parser.add_argument("--events", type=int, default=60)
     parser.add_argument("--kazoo", action="store_true")
     parser.add_argument("--serve", type=int)
-    wanted = parser.parse_args()
+    options = parser.parse_args()
     os.environ.setdefault("PYTHONUNBUFFERED", "1")
-    uvloop.run(serve_registry(wanted.serve) if wanted.serve else measure_all(wanted.events, wanted.kazoo))
+    uvloop.run(serve_registry(options.serve) if options.serve else measure_all(options.events, options.kazoo))
 
 
 if __name__ == "__main__":
--- a/benchmarks/registries.py
+++ b/benchmarks/registries.py
@@ -1,7 +1,8 @@
-"""Catching up after a gap against a full read, at 100, 1,000 and 5,000 servers with 1% changed; CPU a change.
+"""Benchmark of catching up after a watch gap against a full read, and of the CPU time of one change.
 
-`python -m benchmarks.registries`. The cluster is a stand-in in this process, so times hold both sides; bytes
-are those of the answers. The floor is the same program reading everything again.
+Run it with `python -m benchmarks.registries`. It measures 100, 1,000 and 5,000 servers, of which 1 % change
+during the gap. The etcd cluster is a stand-in in the same process, so times include both sides; bytes are
+those of the answers. The reference is the same code reading everything again.
 """
 
 from __future__ import annotations
@@ -28,23 +29,23 @@
 
 SIZES = (100, 1_000, 5_000)
 PREFIX = "/checks/"
-ROUNDS = 5
+ROUNDS_PER_KIND = 5
 CHANGES = 2_000
 
 
-def value(number: int, version: int) -> bytes:
+def server_record(number: int, version: int) -> bytes:
     host = f"10.{number // 62_500}.{number // 250 % 250}.{number % 250 + 1}:80"
-    told = {"host_port": host, "phase": "SERVING", "cell": number // 3, "size": 1 + version % 7}
-    return json.dumps(told).encode()
+    record = {"host_port": host, "phase": "SERVING", "cell": number // 3, "size": 1 + version % 7}
+    return json.dumps(record).encode()
 
 
 class Program:
     def __init__(self, cluster: Cluster) -> None:
-        told = settings()
+        raw_settings = settings()
         config = Config(
             *("bench", ("127.0.0.1", 9), ("127.0.0.1", 9), 1, 256, 4096, {}),
-            read_settings(told),
-            read_names(told),
+            read_settings(raw_settings),
+            read_names(raw_settings),
         )
         self.handed_over: list[int] = []
         hosts = tuple(EtcdHost(("127.0.0.1", member.port)) for member in cluster.members)
@@ -63,68 +64,78 @@
             await asyncio.sleep(0.001)
 
 
-async def gap(cluster: Cluster, program: Program, size: int, round_: int, compacts: bool) -> float:
-    """Seconds from the moment contact is possible again to the last change handed over."""
+async def catch_up_s(cluster: Cluster, program: Program, size: int, version: int, compact: bool) -> float:
+    """Interrupt the watch, change 1 % of the servers and return the seconds needed to catch up.
+
+    The time runs from the moment the cluster is reachable again until the last change is handed over. With
+    `compact`, the history is compacted, which forces a full read.
+    """
     for member in cluster.members:
         member.go()
     for number in range(0, size, 100):
-        cluster.put(f"{PREFIX}n{number}", value(number, round_ + 1))
-    if compacts:
+        cluster.put(f"{PREFIX}n{number}", server_record(number, version + 1))
+    if compact:
         cluster.compact()
     await asyncio.sleep(0.05)
-    began = time.perf_counter()
+    began_at = time.perf_counter()
     for member in cluster.members:
         member.down = False
     await program.caught_up(cluster.store.revision)
-    return time.perf_counter() - began
+    return time.perf_counter() - began_at
 
 
 async def measure(size: int) -> None:
     cluster = await Cluster(1).start()
     for number in range(size):
-        cluster.put(f"{PREFIX}n{number}", value(number, 0))
+        cluster.put(f"{PREFIX}n{number}", server_record(number, 0))
     program = Program(cluster)
     program.sources.start()
     await program.caught_up(cluster.store.revision)
-    whole = sum(kv.ByteSize() for kv in cluster.store.keys.values())
-    before = cluster.store.revision
-    by_history = [await gap(cluster, program, size, n, False) for n in range(ROUNDS)]
-    events = [event for event in cluster.store.history if event.kv.mod_revision > before]
-    changed = sum(event.ByteSize() for event in events) // ROUNDS
-    by_read = [await gap(cluster, program, size, n + ROUNDS, True) for n in range(ROUNDS)]
+    full_read_bytes = sum(kv.ByteSize() for kv in cluster.store.keys.values())
+    revision_before = cluster.store.revision
+    by_history_s = [await catch_up_s(cluster, program, size, n, False) for n in range(ROUNDS_PER_KIND)]
+    events = [event for event in cluster.store.history if event.kv.mod_revision > revision_before]
+    changed_bytes = sum(event.ByteSize() for event in events) // ROUNDS_PER_KIND
+    by_read_s = [
+        await catch_up_s(cluster, program, size, n + ROUNDS_PER_KIND, True) for n in range(ROUNDS_PER_KIND)
+    ]
     program.handed_over.clear()
-    cluster.put(f"{PREFIX}n1", value(1, 5))
+    cluster.put(f"{PREFIX}n1", server_record(1, 5))
     while not program.handed_over:
         await asyncio.sleep(0.001)
     print(
-        f"{size:6d} servers, 1% changed in the gap: {changed:8d} bytes of history, {whole:8d} of a full read"
-        f" (1 to {whole / changed:.0f}); {1000 * statistics.median(by_history):6.1f} ms against"
-        f" {1000 * statistics.median(by_read):6.1f} ms; one change is handed over as {program.handed_over}"
+        f"{size:6d} servers, 1% changed in the gap: {changed_bytes:8d} bytes of history,"
+        f" {full_read_bytes:8d} of a full read (1 to {full_read_bytes / changed_bytes:.0f});"
+        f" {1000 * statistics.median(by_history_s):6.1f} ms"
+        f" against {1000 * statistics.median(by_read_s):6.1f} ms;"
+        f" one change is handed over as {program.handed_over}"
     )
     await program.sources.close()
     await cluster.close()
 
 
-async def cost(size: int) -> None:
-    """CPU of one change, from its entry to the module's door, among so many servers."""
+async def measure_cpu(size: int) -> None:
+    """Print the CPU time of one change among `size` servers, from its entry to the decision module."""
     core, entries = CatchUp(True), Entries(PREFIX, Payload(Rules(), {}, {}, lambda wall: 1))
-    told: list[int] = []
+    handed_over: list[int] = []
     loop = asyncio.get_running_loop()
-    merger = Merger(Model(("etcd",)), loop, lambda kind, changed: told.append(len(changed)))
+    merger = Merger(Model(("etcd",)), loop, lambda kind, changed: handed_over.append(len(changed)))
     core.opened()
-    first = core.snapshot(1, {f"n{n}": Entry(value(n, 0), 1, 1) for n in range(size)}, True)[0]
-    assert isinstance(first, Tell)
-    merger.change("etcd", entries.take(first, 1))
+    initial = core.snapshot(1, {f"n{n}": Entry(server_record(n, 0), 1, 1) for n in range(size)}, True)[0]
+    assert isinstance(initial, Tell)
+    merger.change("etcd", entries.take(initial, 1))
     merger.flush()
-    began = time.process_time()
+    cpu_before = time.process_time()
     for number in range(CHANGES):
-        at = number + 2
-        (order,) = core.changes(at, [(f"n{number % size}", Entry(value(number % size, at), 1, at))])
-        assert isinstance(order, Tell)
-        merger.model.change("etcd", entries.take(order, at), 0.0)
+        revision = number + 2
+        (update,) = core.changes(
+            revision, [(f"n{number % size}", Entry(server_record(number % size, revision), 1, revision))]
+        )
+        assert isinstance(update, Tell)
+        merger.model.change("etcd", entries.take(update, revision), 0.0)
         merger.flush()
-    spent = time.process_time() - began
-    print(f"{size:6d} servers: {1e6 * spent / CHANGES:6.1f} us of CPU a change")
+    cpu_used = time.process_time() - cpu_before
+    print(f"{size:6d} servers: {1e6 * cpu_used / CHANGES:6.1f} us of CPU a change")
     merger.close()
 
 
@@ -132,7 +143,7 @@
     for size in SIZES:
         await measure(size)
     for size in SIZES:
-        await cost(size)
+        await measure_cpu(size)
 
 
 if __name__ == "__main__":
