--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -1,9 +1,10 @@
-"""What a decision of the external processor costs, against a gRPC server that answers an empty CONTINUE.
+"""Benchmark of the external processor against a gRPC server that answers an empty CONTINUE (the floor).
 
     python -m benchmarks.external_processor [--streams 3000] [--long] [--at-once 10000]
 
-Each server is a process of its own; its CPU time is read from the kernel around the load. The rounds are
-interleaved, and the best of each counts. `--long` also tells the memory after 10,000 and 100,000 streams.
+Each server runs as a separate process; its CPU time is read from the kernel before and after the load. Rounds
+are interleaved, and the best round of each server counts. `--long` also prints the memory after 10,000 and
+100,000 streams.
 """
 
 from __future__ import annotations
@@ -43,14 +44,14 @@
 WORKERS = 32
 ROUNDS = 3
 KINDS = ("floor", "processor")
-STREAM_S = 10.0
+STREAM_TIMEOUT_S = 10.0
 
 
 async def serve_processor(ended: asyncio.Future[None]) -> None:
     loop = asyncio.get_running_loop()
-    told = read_settings(settings())
-    engine = Engine("bench", told, 1, loop)
-    transport = HttpTransport(engine, told, loop, lambda: 100, 256)
+    parsed = read_settings(settings())
+    engine = Engine("bench", parsed, 1, loop)
+    transport = HttpTransport(engine, parsed, loop, lambda: 100, 256)
     engine.start()
     transport.learn(
         ListKind.FULL,
@@ -83,16 +84,16 @@
 
 
 async def serve(kind: str) -> None:
-    """One server until SIGTERM; its port is the first line of its output."""
+    """Run one server until SIGTERM; the first line of its output is its port."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.set_result, None)
-    spare_collections()  # as the program does, for both kinds
+    spare_collections()  # as the sidecar does; for both kinds
     await (serve_processor if kind == "processor" else serve_floor)(ended)
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds of a process so far."""
+    """Return the CPU seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -103,51 +104,53 @@
 
 
 class Load:
-    """Streams of one request and one response each, on one channel."""
+    """Load of streams on one channel; each stream handles one request and one response."""
 
     def __init__(self, port: int) -> None:
         self.proxy = Proxy("b", port, Ledger(6, 0.5, 3, 3, 0.2), random.Random(1), Ways())
-        self.number = 0
-        self.times: list[float] = []
+        self.streams_sent = 0
+        self.decision_times: list[float] = []
 
-    async def one(self) -> None:
-        self.number += 1
-        headers = self.proxy._headers(f"b{self.number}", "k", 2.0)
-        began = time.perf_counter()
+    async def run_stream(self) -> None:
+        self.streams_sent += 1
+        headers = self.proxy._headers(f"b{self.streams_sent}", "k", 2.0)
+        began_at = time.perf_counter()
         call = self.proxy.process()
-        async with asyncio.timeout(STREAM_S):
+        async with asyncio.timeout(STREAM_TIMEOUT_S):
             await call.write(pb.ProcessingRequest(request_headers=headers_message(headers)))
             await call.read()
-            self.times.append(time.perf_counter() - began)
+            self.decision_times.append(time.perf_counter() - began_at)
             await call.write(pb.ProcessingRequest(response_headers=headers_message({":status": "200"})))
             await call.read()
             await call.done_writing()
             await call.read()
 
-    async def at_once(self, streams: int) -> float:
-        """As fast as it goes; streams a second."""
-        left = streams
+    async def run_unpaced(self, streams: int) -> float:
+        """Run streams without pacing, `WORKERS` at a time; return streams a second."""
+        remaining = streams
 
         async def worker() -> None:
-            nonlocal left
-            while left > 0:
-                left -= 1
-                await self.one()
+            nonlocal remaining
+            while remaining > 0:
+                remaining -= 1
+                await self.run_stream()
 
-        began = time.perf_counter()
+        began_at = time.perf_counter()
         await asyncio.gather(*(worker() for _ in range(WORKERS)))
-        return streams / (time.perf_counter() - began)
+        return streams / (time.perf_counter() - began_at)
 
-    async def paced(self, rate: float, streams: int) -> tuple[float, float]:
-        """p50 and p99 of the decision in milliseconds, at an even rate."""
-        self.times.clear()
-        began, tasks = time.perf_counter(), []
+    async def run_paced(self, rate: float, streams: int) -> tuple[float, float]:
+        """Start streams at an even rate; return p50 and p99 of the decision latency in milliseconds."""
+        self.decision_times.clear()
+        began_at, tasks = time.perf_counter(), []
         for number in range(streams):
-            await asyncio.sleep(max(0.0, began + number / rate - time.perf_counter()))
-            tasks.append(asyncio.create_task(self.one()))
+            await asyncio.sleep(max(0.0, began_at + number / rate - time.perf_counter()))
+            tasks.append(asyncio.create_task(self.run_stream()))
         await asyncio.gather(*tasks)
-        times = sorted(self.times)
-        return times[len(times) // 2] * 1000, times[int(len(times) * 0.99)] * 1000
+        decision_times = sorted(self.decision_times)
+        return decision_times[len(decision_times) // 2] * 1000, decision_times[
+            int(len(decision_times) * 0.99)
+        ] * 1000
 
 
 async def measure(streams: int, long: bool, at_once: int) -> None:
@@ -162,48 +165,54 @@
             loads[kind] = Load(int(await process.stdout.readline()))
             pids[kind] = process.pid
             stack.push_async_callback(loads[kind].proxy.close)
-            await loads[kind].at_once(200)
+            await loads[kind].run_unpaced(200)
         await compare(loads, pids, streams)
         if long:
             for total in (10_000, 100_000):
-                await loads["processor"].at_once(max(0, total - loads["processor"].number))
-                held = memory_mb(pids["processor"])
-                print(f"memory after {loads['processor'].number} streams: {held:.1f} MB", flush=True)
+                await loads["processor"].run_unpaced(max(0, total - loads["processor"].streams_sent))
+                memory_used_mb = memory_mb(pids["processor"])
+                print(
+                    f"memory after {loads['processor'].streams_sent} streams: {memory_used_mb:.1f} MB",
+                    flush=True,
+                )
         if at_once:
             await hold(loads["processor"].proxy, pids["processor"], at_once)
 
 
 async def hold(proxy: Proxy, pid: int, streams: int) -> None:
-    """So many streams, each with a decision and no outcome yet, all open at the same time."""
-    before, began = memory_mb(pid), time.perf_counter()
-    asked = [proxy.ask() for _ in range(streams)]
+    """Hold `streams` streams open at the same time, each with a decision and without an outcome."""
+    memory_before, began_at = memory_mb(pid), time.perf_counter()
+    calls = [proxy.ask() for _ in range(streams)]
     headers = [proxy._headers(f"h{number}", "k", 30.0) for number in range(streams)]
-    told = await asyncio.gather(
-        *(one.decide(its, STREAM_S * 3) for one, its in zip(asked, headers, strict=True))
+    decisions = await asyncio.gather(
+        *(
+            call.decide(call_headers, STREAM_TIMEOUT_S * 3)
+            for call, call_headers in zip(calls, headers, strict=True)
+        )
     )
-    taken = time.perf_counter() - began
-    decided = sum(one is not None and bool(one.address) for one in told)
-    refused = sum(one is not None and one.status == 503 for one in told)
+    duration_s = time.perf_counter() - began_at
+    decided = sum(decision is not None and bool(decision.address) for decision in decisions)
+    refused = sum(decision is not None and decision.status == 503 for decision in decisions)
     print(
         f"{streams} streams at once: {decided} decided, {refused} refused, {streams - decided - refused} "
-        f"unanswered within {taken:.1f} s; memory {before:.1f} to {memory_mb(pid):.1f} MB",
+        f"unanswered within {duration_s:.1f} s; memory {memory_before:.1f} to {memory_mb(pid):.1f} MB",
         flush=True,
     )
-    for one in asked:
-        one.cancel()
+    for call in calls:
+        call.cancel()
 
 
 async def compare(loads: dict[str, Load], pids: dict[str, int], streams: int) -> None:
     best = dict.fromkeys(KINDS, (float("inf"), 0.0))
     for _ in range(ROUNDS):
         for kind in KINDS:
-            before = cpu_s(pids[kind])
-            rate = await loads[kind].at_once(streams)
-            best[kind] = min(best[kind], ((cpu_s(pids[kind]) - before) / streams * 1e6, rate))
-    for kind, (spent, rate) in best.items():
-        p50, p99 = await loads[kind].paced(rate / 2, streams // 2)
+            cpu_before = cpu_s(pids[kind])
+            rate = await loads[kind].run_unpaced(streams)
+            best[kind] = min(best[kind], ((cpu_s(pids[kind]) - cpu_before) / streams * 1e6, rate))
+    for kind, (cpu_us, rate) in best.items():
+        p50, p99 = await loads[kind].run_paced(rate / 2, streams // 2)
         print(
-            f"{kind:10} {spent:6.0f} us of CPU a stream ({spent / best['floor'][0]:.2f} of the floor), "
+            f"{kind:10} {cpu_us:6.0f} us of CPU a stream ({cpu_us / best['floor'][0]:.2f} of the floor), "
             f"{rate:5.0f} a second; a decision at half of that: p50 {p50:.2f} ms, p99 {p99:.2f} ms",
             flush=True,
         )
@@ -213,10 +222,12 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--streams", type=int, default=3000)
     parser.add_argument("--long", action="store_true")
-    parser.add_argument("--at-once", type=int, default=0, help="also hold so many streams open")
+    parser.add_argument("--at-once", type=int, default=0, help="also hold this many streams open")
     parser.add_argument("--serve", choices=KINDS)
-    wanted = parser.parse_args()
-    uvloop.run(serve(wanted.serve) if wanted.serve else measure(wanted.streams, wanted.long, wanted.at_once))
+    options = parser.parse_args()
+    uvloop.run(
+        serve(options.serve) if options.serve else measure(options.streams, options.long, options.at_once)
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/grpcs.py
+++ b/benchmarks/grpcs.py
@@ -1,10 +1,10 @@
-"""What a gRPC call costs through the program, against the library's own floor and a relay of bytes.
+"""Benchmark of gRPC calls through the sidecar, against a bare hop of the h2 library and a byte relay.
 
     python -m benchmarks.grpcs [--calls 2000] [--held 1000]
 
-Each kind is a process of its own between the same grpcio client and server; its CPU is read from the kernel.
-`h2` is a bare server and client of the library in one process that hand each stream on; `relay` copies bytes
-between two sockets. `--held` tells the memory with so many idle streams.
+Each kind runs as a separate process between the same grpcio client and server; its CPU time is read from the
+kernel. `h2` is a bare server and client of the library in one process that forward each stream; `relay`
+copies bytes between two sockets. `--held` sets the number of idle streams for the memory measurement.
 """
 
 from __future__ import annotations
@@ -38,64 +38,67 @@
 KINDS = ("relay", "h2", "program")
 ROUNDS = 3
 WORKERS = 32
-SLOW = 200
+SLOW_READERS = 200
 UNARY, STREAM, ECHO = "/b.B/Unary", "/b.B/Stream", "/b.B/Echo"
-MESSAGE = b"x" * 16_000
+STREAM_MESSAGE = b"x" * 16_000
 
 
-# The three in the middle
+# The three kinds of processes between client and server
 
 
 async def serve_program(port: int) -> int:
     loop = asyncio.get_running_loop()
-    told = read_settings(settings())
-    engine = Engine("bench", told, 1, loop)
-    transport = HttpTransport(engine, told, loop, lambda: 100, 256)
+    parsed = read_settings(settings())
+    engine = Engine("bench", parsed, 1, loop)
+    transport = HttpTransport(engine, parsed, loop, lambda: 100, 256)
     engine.start()
     transport.learn(ListKind.FULL, [(Endpoint(1), ("127.0.0.1", port))])
-    carrier = GrpcTransport(engine, loop, lambda endpoint: ("127.0.0.1", port))
+    grpc_transport = GrpcTransport(engine, loop, lambda endpoint: ("127.0.0.1", port))
     routes = (GrpcRoute("/b.B/", "check", streams=True, keyed=True), GrpcRoute(UNARY, "check", keyed=True))
     classes = Classes(engine.settings, read_names(settings()))
-    front = await Front(Grpc(routes=routes), engine, carrier, classes).start(("127.0.0.1", 0))
+    front = await Front(Grpc(routes=routes), engine, grpc_transport, classes).start(("127.0.0.1", 0))
     return front.port
 
 
 async def serve_relay(port: int) -> int:
-    class End(asyncio.Protocol):
-        def __init__(self, other: End | None = None) -> None:
+    class RelayEnd(asyncio.Protocol):
+        def __init__(self, other: RelayEnd | None = None) -> None:
             self.other = other
-            self.early = b""
+            self.early_data = b""
 
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             self.transport = cast(asyncio.Transport, transport)
             if self.other is None:
                 asyncio.ensure_future(self.dial())  # noqa: RUF006
-            elif self.other.early:
-                self.transport.write(self.other.early)
+            elif self.other.early_data:
+                self.transport.write(self.other.early_data)
 
         async def dial(self) -> None:
             _, self.other = await asyncio.get_running_loop().create_connection(
-                lambda: End(self), "127.0.0.1", port
+                lambda: RelayEnd(self), "127.0.0.1", port
             )
 
         def data_received(self, data: bytes) -> None:
             if self.other is None:
-                self.early += data
+                self.early_data += data
             else:
                 self.other.transport.write(data)
 
-    server = await asyncio.get_running_loop().create_server(lambda: End(), "127.0.0.1", 0)
+    server = await asyncio.get_running_loop().create_server(lambda: RelayEnd(), "127.0.0.1", 0)
     return int(server.sockets[0].getsockname()[1])
 
 
-class Floor(asyncio.Protocol):
-    """One side of a bare pair of the library: what comes on a stream goes on on the other's."""
+class BareHop(asyncio.Protocol):
+    """One side of a bare h2 server and client; events of a stream are forwarded to the other side.
 
-    def __init__(self, port: int, up: bool, other: Floor | None = None) -> None:
+    `peer_stream_ids` maps stream ids of this side to those of the other side.
+    """
+
+    def __init__(self, port: int, to_server: bool, other: BareHop | None = None) -> None:
         self.port, self.other = port, other
-        self.h2 = H2Connection(H2Configuration(client_side=up, header_encoding=None))
-        self.ids: dict[int, int] = {}
-        self.early: list[Any] = []
+        self.h2 = H2Connection(H2Configuration(client_side=to_server, header_encoding=None))
+        self.peer_stream_ids: dict[int, int] = {}
+        self.early_data: list[Any] = []
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -108,11 +111,11 @@
 
     async def dial(self) -> None:
         _, other = await asyncio.get_running_loop().create_connection(
-            lambda: Floor(self.port, True, self), "127.0.0.1", self.port
+            lambda: BareHop(self.port, True, self), "127.0.0.1", self.port
         )
         self.other = other
-        for event in self.early:
-            self.pass_on(event)
+        for event in self.early_data:
+            self.forward(event)
 
     def flush(self) -> None:
         if self.transport is not None:
@@ -121,32 +124,37 @@
     def data_received(self, data: bytes) -> None:
         for event in self.h2.receive_data(data):
             if self.other is None:
-                self.early.append(event)
+                self.early_data.append(event)
             else:
-                self.pass_on(event)
+                self.forward(event)
         self.flush()
 
-    def pass_on(self, event: Any) -> None:
+    def forward(self, event: Any) -> None:
         other = self.other
         assert other is not None
         if isinstance(event, RequestReceived):
             stream = other.h2.get_next_available_stream_id()
-            self.ids[event.stream_id or 0], other.ids[stream] = stream, event.stream_id or 0
+            self.peer_stream_ids[event.stream_id or 0], other.peer_stream_ids[stream] = (
+                stream,
+                event.stream_id or 0,
+            )
             other.h2.send_headers(stream, event.headers)
         elif isinstance(event, ResponseReceived):
-            other.h2.send_headers(self.ids[event.stream_id or 0], event.headers)
+            other.h2.send_headers(self.peer_stream_ids[event.stream_id or 0], event.headers)
         elif isinstance(event, DataReceived):
             self.h2.acknowledge_received_data(event.flow_controlled_length or 0, event.stream_id or 0)
-            other.h2.send_data(self.ids[event.stream_id or 0], event.data or b"")
+            other.h2.send_data(self.peer_stream_ids[event.stream_id or 0], event.data or b"")
         elif isinstance(event, TrailersReceived):
-            other.h2.send_headers(self.ids.pop(event.stream_id or 0), event.headers, end_stream=True)
-        elif isinstance(event, StreamEnded) and event.stream_id in self.ids:
-            other.h2.end_stream(self.ids[event.stream_id])
+            other.h2.send_headers(
+                self.peer_stream_ids.pop(event.stream_id or 0), event.headers, end_stream=True
+            )
+        elif isinstance(event, StreamEnded) and event.stream_id in self.peer_stream_ids:
+            other.h2.end_stream(self.peer_stream_ids[event.stream_id])
         other.flush()
 
 
 async def serve_h2(port: int) -> int:
-    server = await asyncio.get_running_loop().create_server(lambda: Floor(port, False), "127.0.0.1", 0)
+    server = await asyncio.get_running_loop().create_server(lambda: BareHop(port, False), "127.0.0.1", 0)
     return int(server.sockets[0].getsockname()[1])
 
 
@@ -158,7 +166,7 @@
     await ended
 
 
-# Both ends
+# The client and the server
 
 
 async def start_server() -> tuple[grpc.aio.Server, int]:
@@ -167,7 +175,7 @@
 
     async def stream(request: bytes, context: Any) -> AsyncIterator[bytes]:
         for _ in range(int(request)):
-            yield MESSAGE
+            yield STREAM_MESSAGE
 
     async def echo(requests: AsyncIterator[bytes], context: Any) -> AsyncIterator[bytes]:
         async for request in requests:
@@ -186,29 +194,29 @@
 
 
 async def unary_calls(channel: Any, calls: int) -> None:
-    left = iter(range(calls))
+    remaining = iter(range(calls))
     method = channel.unary_unary(UNARY)
 
     async def worker() -> None:
-        for _ in left:
+        for _ in remaining:
             await method(b"hello", timeout=10.0)
 
     await asyncio.gather(*(worker() for _ in range(WORKERS)))
 
 
-async def streamed(channel: Any, messages: int) -> int:
+async def read_stream(channel: Any, messages: int) -> int:
     size = 0
     async for message in channel.unary_stream(STREAM)(b"%d" % messages, timeout=60.0):
         size += len(message)
     return size
 
 
-async def measure(calls: int, held: int) -> None:
+async def measure(calls: int, idle_streams: int) -> None:
     server, port = await start_server()
-    unary = dict.fromkeys(KINDS, float("inf"))
-    mega = dict.fromkeys(KINDS, float("inf"))
+    unary_us = dict.fromkeys(KINDS, float("inf"))
+    streamed_ms = dict.fromkeys(KINDS, float("inf"))
     async with contextlib.AsyncExitStack() as stack:
-        ends: dict[str, tuple[Any, int]] = {}
+        channels_and_pids: dict[str, tuple[Any, int]] = {}
         ports: dict[str, int] = {}
         for kind in KINDS:
             command = [sys.executable, "-m", "benchmarks.grpcs", "--serve", kind, "--port", str(port)]
@@ -220,52 +228,59 @@
                 f"127.0.0.1:{ports[kind]}", options=[("grpc.use_local_subchannel_pool", 1)]
             )
             stack.push_async_callback(channel.close)
-            ends[kind] = (channel, process.pid)
+            channels_and_pids[kind] = (channel, process.pid)
             await unary_calls(channel, 100)
         for _ in range(ROUNDS):
-            for kind, (channel, pid) in ends.items():
-                before = cpu_s(pid)
+            for kind, (channel, pid) in channels_and_pids.items():
+                cpu_before = cpu_s(pid)
                 await unary_calls(channel, calls)
-                unary[kind] = min(unary[kind], (cpu_s(pid) - before) / calls * 1e6)
-                before = cpu_s(pid)
-                size = await streamed(channel, 5000)
-                mega[kind] = min(mega[kind], (cpu_s(pid) - before) / size * 1e9)
+                unary_us[kind] = min(unary_us[kind], (cpu_s(pid) - cpu_before) / calls * 1e6)
+                cpu_before = cpu_s(pid)
+                size = await read_stream(channel, 5000)
+                streamed_ms[kind] = min(streamed_ms[kind], (cpu_s(pid) - cpu_before) / size * 1e9)
         for kind in KINDS:
             print(
-                f"{kind:8} {unary[kind]:6.0f} us CPU a unary call ({unary[kind] / unary['h2']:.2f} of h2), "
-                f"{mega[kind]:6.1f} ms a streamed MB ({mega[kind] / max(0.01, mega['h2']):.2f})",
+                f"{kind:8} {unary_us[kind]:6.0f} us CPU a unary call "
+                f"({unary_us[kind] / unary_us['h2']:.2f} of h2), {streamed_ms[kind]:6.1f} ms a streamed MB "
+                f"({streamed_ms[kind] / max(0.01, streamed_ms['h2']):.2f})",
                 flush=True,
             )
-        await hold(ports["program"], ends["program"][1], held)
-        await slow_readers(ports["program"], ends["program"][1])
+        await hold(ports["program"], channels_and_pids["program"][1], idle_streams)
+        await slow_readers(ports["program"], channels_and_pids["program"][1])
     await server.stop(0.0)
 
 
-async def hold(port: int, pid: int, held: int) -> None:
-    """Memory with so many idle streams, over as many connections as the front's limit of streams needs."""
-    before = memory_mb(pid)
-    own = [("grpc.use_local_subchannel_pool", 1)]
-    channels = [grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=own) for _ in range(held // 80 + 1)]
-    calls = [channels[n % len(channels)].stream_stream(ECHO)(timeout=60.0) for n in range(held)]
+async def hold(port: int, pid: int, idle_streams: int) -> None:
+    """Print the memory with idle streams, over enough connections for the front's limit of streams."""
+    memory_before = memory_mb(pid)
+    channel_options = [("grpc.use_local_subchannel_pool", 1)]
+    channels = [
+        grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=channel_options)
+        for _ in range(idle_streams // 80 + 1)
+    ]
+    calls = [channels[n % len(channels)].stream_stream(ECHO)(timeout=60.0) for n in range(idle_streams)]
     for call in calls:
         await call.write(b"x")
         await call.read()
-    print(f"{held} idle streams: {before:.1f} to {memory_mb(pid):.1f} MB", flush=True)
+    print(f"{idle_streams} idle streams: {memory_before:.1f} to {memory_mb(pid):.1f} MB", flush=True)
     for channel in channels:
         await channel.close()
 
 
 async def slow_readers(port: int, pid: int) -> None:
-    """Memory with readers that take one message of sixteen megabytes each, and then nothing."""
-    before = memory_mb(pid)
-    own = [("grpc.use_local_subchannel_pool", 1)]
-    channels = [grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=own) for _ in range(SLOW // 50)]
+    """Print the memory with readers that read one message of a stream of 16 MB each and then stop."""
+    memory_before = memory_mb(pid)
+    channel_options = [("grpc.use_local_subchannel_pool", 1)]
+    channels = [
+        grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=channel_options)
+        for _ in range(SLOW_READERS // 50)
+    ]
     calls = []
-    for number in range(SLOW):
+    for number in range(SLOW_READERS):
         calls.append(channels[number % len(channels)].unary_stream(STREAM)(b"1000", timeout=60.0))
         await calls[-1].read()
     await asyncio.sleep(2.0)
-    print(f"{SLOW} slow readers: {before:.1f} to {memory_mb(pid):.1f} MB", flush=True)
+    print(f"{SLOW_READERS} slow readers: {memory_before:.1f} to {memory_mb(pid):.1f} MB", flush=True)
     for channel in channels:
         await channel.close()
 
@@ -276,9 +291,9 @@
     parser.add_argument("--held", type=int, default=1000)
     parser.add_argument("--serve", choices=KINDS)
     parser.add_argument("--port", type=int, default=0)
-    wanted = parser.parse_args()
-    told = serve(wanted.serve, wanted.port) if wanted.serve else measure(wanted.calls, wanted.held)
-    uvloop.run(told)
+    options = parser.parse_args()
+    run = serve(options.serve, options.port) if options.serve else measure(options.calls, options.held)
+    uvloop.run(run)
 
 
 if __name__ == "__main__":
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,6 +1,6 @@
-"""What the limits cost: one decision of each, as a ratio to the floor in the same run.
+"""Benchmark of the limits: the cost of one decision of each, as a ratio to the floor of the same run.
 
-The floor is one request through the whole decision module, from its arrival to its good answer.
+The floor is one request through the whole decision module, from its arrival to its successful answer.
 `python -m benchmarks.limits` prints microseconds and ratios; rounds are interleaved and the best one counts.
 """
 
@@ -29,17 +29,17 @@
 from garnethaven.limits.places import Places, Usage
 
 ROUNDS = 7
-TIMES = 4000
+CALLS_PER_ROUND = 4000
 S = 1_000_000_000
 
 
-class One:
+class IdleConnection:
     def __init__(self, since: float) -> None:
         self.usage = Usage(since, asked=1)
 
 
 def floor() -> Callable[[], object]:
-    """A request through the module, with 15 servers."""
+    """One request through the decision module, with 15 servers."""
     settings = Settings(grades=(Grade(aim=S, deadline=3 * S),), max_attempts=5)
     balancer = Balancer(settings, 1)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Endpoint(n) for n in range(1, 16))))
@@ -57,25 +57,25 @@
 
 
 def answer_on_a_full_front() -> Callable[[], object]:
-    """Whether an answer ends its connection, with all places taken."""
+    """Decide whether an answer closes its connection while all places are taken."""
     places, usage = Places(160, 128), Usage(0.0, asked=1)
     return lambda: places.ends_with_answer(usage, 128, 1.0)
 
 
 def look_over_full_places() -> Callable[[], object]:
-    """One look at 128 idle connections; there are 20 looks a second, so one for 15 of 300 requests."""
-    places, idle = Places(160, 128), [One(n / 128) for n in range(128)]
-    turns = count()
+    """Check 128 idle connections: 20 checks a second, so one for every 15 of 300 requests a second."""
+    places, idle = Places(160, 128), [IdleConnection(n / 128) for n in range(128)]
+    calls = count()
 
     def once() -> None:
-        if next(turns) % 15 == 0:
+        if next(calls) % 15 == 0:
             places.to_close(idle, 128, 2.0)
 
     return once
 
 
 def judge_overload() -> Callable[[], object]:
-    """An arrival and an answer in the model of overload, while it refuses."""
+    """Record an arrival and an answer in the overload model while it refuses requests."""
     overload, numbers = Overload(Random(1)), count(1)
     overload.refused_share, overload.ease = 0.5, 1.0
 
@@ -89,13 +89,13 @@
 
 
 def weigh_evidence() -> Callable[[], object]:
-    """A failed attempt as evidence against the list."""
+    """Record a failed attempt as evidence that the endpoint list is stale."""
     fresh, numbers = FreshList(3, 10.0), count(1)
     return lambda: fresh.contradicted(next(numbers) / 300, 1, Evidence.RESET)
 
 
 def share_descriptors() -> Callable[[], object]:
-    """Both sides' limits."""
+    """Compute the connection limits of clients and endpoints."""
     budget = Descriptors(384)
     return lambda: (budget.clients(100), budget.endpoints(100))
 
@@ -105,19 +105,19 @@
 
 def microseconds(once: Callable[[], object]) -> float:
     began = time.perf_counter()
-    for _ in range(TIMES):
+    for _ in range(CALLS_PER_ROUND):
         once()
-    return (time.perf_counter() - began) / TIMES * 1e6
+    return (time.perf_counter() - began) / CALLS_PER_ROUND * 1e6
 
 
 def main() -> None:
-    parts = {make.__name__: make() for make in (floor, *PARTS)}
-    best = dict.fromkeys(parts, float("inf"))
+    parts = {make_part.__name__: make_part() for make_part in (floor, *PARTS)}
+    best_by_part = dict.fromkeys(parts, float("inf"))
     for _ in range(ROUNDS):
         for name, once in parts.items():
-            best[name] = min(best[name], microseconds(once))
-    for name, value in best.items():
-        print(f"{name:26} {value:7.2f} us   {value / best['floor']:.3f} of the floor")
+            best_by_part[name] = min(best_by_part[name], microseconds(once))
+    for name, best_us in best_by_part.items():
+        print(f"{name:26} {best_us:7.2f} us   {best_us / best_by_part['floor']:.3f} of the floor")
 
 
 if __name__ == "__main__":
