--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,10 +1,11 @@
-"""How soon a fleet serves again: this build against another checkout, interleaved; state kept, lost and old.
+"""Benchmark of the return of a fleet after a mass kill, for this build and another checkout.
 
     python -m benchmarks.comeback --against CHECKOUT [--seeds 5] [--plot FILE.svg]
 
-Each play kills 20 of 24 programs at once and brings them back a second later (the first act of the rig).
-The table has medians and the worst over the seeds; the plot the share of first tries in time, in half seconds
-from the kill.
+Each run kills 20 of 24 sidecars at once and restarts them a second later (the first act of the rig
+`comeback`). The other checkout runs with lost state, this build with kept, lost and old state; the runs are
+interleaved. The table shows the median and the worst value over the seeds. The plot shows the share of first
+tries answered in time, in windows of half a second from the kill on.
 """
 
 from __future__ import annotations
@@ -21,58 +22,58 @@
 from rigs.stage import keeping_book, now
 from standins.platform import AIM_S
 
-SECONDS = 11.0
+DURATION_S = 11.0
 STEP_S = 0.1
-SPAN_S = 6.0
-AGED_AFTER_S = 1.0  # from the start: what is taken back as old was kept then
-FATES = {"kept": "", "lost": LOSE, "old": "old-state all at 0.1\n"}
+CURVE_S = 6.0
+STATE_COPY_AFTER_S = 1.0  # from the start; the state saved at this time is restored as "old"
+STATE_VARIANTS = {"kept": "", "lost": LOSE, "old": "old-state all at 0.1\n"}
 COLOURS = ("#b22", "#26c", "#282", "#a6a")
 
 
-async def play(seed: int, plan: Plan, fate: str) -> tuple[dict[str, Any], list[float]]:
-    """One return: its figures, and the share in time by tenths of a second."""
+async def simulate_return(seed: int, plan: Plan, state_variant: str) -> tuple[dict[str, Any], list[float]]:
+    """Run one return; return its figures and the share in time, sampled every `STEP_S`."""
     fleet = Fleet(seed, plan)
     await fleet.open()
     async with keeping_book(fleet, waits_s=10.0):
-        sending = asyncio.create_task(fleet.send(SECONDS))
-        await asyncio.sleep(AGED_AFTER_S)
-        if fate == "old":
+        sending = asyncio.create_task(fleet.send(DURATION_S))
+        await asyncio.sleep(STATE_COPY_AFTER_S)
+        if state_variant == "old":
             fleet.set_state_aside()
-        await asyncio.sleep(CALM_S - AGED_AFTER_S)
-        found = await act(fleet, fate, fleet.draw(FATES[fate] + RETURN))
+        await asyncio.sleep(CALM_S - STATE_COPY_AFTER_S)
+        result = await act(fleet, state_variant, fleet.draw(STATE_VARIANTS[state_variant] + RETURN))
         await sending
-        found.until = now() - AIM_S
+        result.until = now() - AIM_S
         await fleet.settle()
-    figures = found.figures(fleet) | fleet.ledger.tally()
-    figures["in_time_share"] = in_time(fleet, found.killed_at, found.until)
-    steps = int(SPAN_S / STEP_S)
-    starts = [found.killed_at + step * STEP_S for step in range(steps)]
+    figures = result.figures(fleet) | fleet.ledger.tally()
+    figures["in_time_share"] = in_time(fleet, result.killed_at, result.until)
+    steps = int(CURVE_S / STEP_S)
+    starts = [result.killed_at + step * STEP_S for step in range(steps)]
     curve = [in_time(fleet, start, start + 5 * STEP_S) for start in starts]
     await fleet.close()
     return figures, curve
 
 
 def in_time(fleet: Fleet, since: float, until: float) -> float:
-    good, tries = fleet.ledger.in_time(AIM_S, since, until)
-    return good / max(1, tries)
+    served, first_tries = fleet.ledger.in_time(AIM_S, since, until)
+    return served / max(1, first_tries)
 
 
-def plotted(curves: dict[str, list[float]]) -> str:
-    """The curves as SVG: seconds from the kill to the right, the share in time upwards."""
+def to_svg(curves: dict[str, list[float]]) -> str:
+    """Return the curves as SVG; x: seconds from the kill, y: share in time."""
     width, height, left = 640, 240, 40
     lines = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{width + 160}" height="{height + 40}">']
-    for part in (0.0, 0.5, 1.0):
-        y = height - part * (height - 20)
+    for share in (0.0, 0.5, 1.0):
+        y = height - share * (height - 20)
         lines.append(
-            f'<path d="M{left} {y:.0f}H{width}" stroke="#ccc"/><text x="4" y="{y:.0f}">{part}</text>'
+            f'<path d="M{left} {y:.0f}H{width}" stroke="#ccc"/><text x="4" y="{y:.0f}">{share}</text>'
         )
-    for second in range(int(SPAN_S) + 1):
-        x = left + second / SPAN_S * (width - left)
+    for second in range(int(CURVE_S) + 1):
+        x = left + second / CURVE_S * (width - left)
         lines.append(f'<text x="{x:.0f}" y="{height + 20}">{second} s</text>')
     for number, (name, curve) in enumerate(curves.items()):
         colour = COLOURS[number % len(COLOURS)]
         points = " ".join(
-            f"{left + step * STEP_S / SPAN_S * (width - left):.1f},{height - share * (height - 20):.1f}"
+            f"{left + step * STEP_S / CURVE_S * (width - left):.1f},{height - share * (height - 20):.1f}"
             for step, share in enumerate(curve)
         )
         lines.append(f'<polyline points="{points}" fill="none" stroke="{colour}"/>')
@@ -85,30 +86,32 @@
     parser.add_argument("--against", type=Path, required=True, help="another checkout of this project")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--plot", type=Path)
-    wanted = parser.parse_args()
+    options = parser.parse_args()
     plan = Plan(capacity=CAPACITY)
-    ways = {"before": (replace(plan, root=wanted.against.resolve()), "lost")}
-    ways |= {fate: (replace(plan, operator=STATE), fate) for fate in FATES}
-    found: dict[str, list[dict[str, Any]]] = {name: [] for name in ways}
-    curves: dict[str, list[list[float]]] = {name: [] for name in ways}
-    for seed in range(1, wanted.seeds + 1):
-        for name, (chosen, fate) in ways.items():
-            figures, curve = asyncio.run(play(seed, chosen, fate))
-            found[name].append(figures)
+    builds = {"before": (replace(plan, root=options.against.resolve()), "lost")}
+    builds |= {
+        state_variant: (replace(plan, operator=STATE), state_variant) for state_variant in STATE_VARIANTS
+    }
+    figures_by_build: dict[str, list[dict[str, Any]]] = {name: [] for name in builds}
+    curves: dict[str, list[list[float]]] = {name: [] for name in builds}
+    for seed in range(1, options.seeds + 1):
+        for name, (variant_plan, state_variant) in builds.items():
+            figures, curve = asyncio.run(simulate_return(seed, variant_plan, state_variant))
+            figures_by_build[name].append(figures)
             curves[name].append(curve)
     names = ("full_service_s", "first_second_share", "in_time_share", "dials_server_peak_100ms", "refused")
     print("| way | " + " | ".join(f"{name}, worst" for name in names) + " |")
     print("| --- " * (1 + len(names)) + "|")
-    for name, plays in found.items():
-        shown = []
+    for name, runs_of_build in figures_by_build.items():
+        cells = []
         for field in names:
-            values = [play[field] for play in plays]
+            values = [run[field] for run in runs_of_build]
             worst = min(values) if "share" in field else max(values)
-            shown.append(f"{median(values):.3g}, {worst:.3g}")
-        print(f"| {name} | " + " | ".join(shown) + " |")
-    if wanted.plot is not None:
-        mean = {name: [sum(at) / len(at) for at in zip(*some, strict=True)] for name, some in curves.items()}
-        wanted.plot.write_text(plotted(mean))
+            cells.append(f"{median(values):.3g}, {worst:.3g}")
+        print(f"| {name} | " + " | ".join(cells) + " |")
+    if options.plot is not None:
+        mean = {name: [sum(at) / len(at) for at in zip(*runs, strict=True)] for name, runs in curves.items()}
+        options.plot.write_text(to_svg(mean))
 
 
 if __name__ == "__main__":
--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -186,20 +186,20 @@
     headers = [proxy._headers(f"h{number}", "k", 30.0) for number in range(streams)]
     decisions = await asyncio.gather(
         *(
-            call.decide(call_headers, STREAM_TIMEOUT_S * 3)
-            for call, call_headers in zip(calls, headers, strict=True)
+            one.decide(call_headers, STREAM_TIMEOUT_S * 3)
+            for one, call_headers in zip(calls, headers, strict=True)
         )
     )
     duration_s = time.perf_counter() - began_at
-    decided = sum(decision is not None and bool(decision.address) for decision in decisions)
-    refused = sum(decision is not None and decision.status == 503 for decision in decisions)
+    decided = sum(one is not None and bool(one.address) for one in decisions)
+    refused = sum(one is not None and one.status == 503 for one in decisions)
     print(
         f"{streams} streams at once: {decided} decided, {refused} refused, {streams - decided - refused} "
         f"unanswered within {duration_s:.1f} s; memory {memory_before:.1f} to {memory_mb(pid):.1f} MB",
         flush=True,
     )
-    for call in calls:
-        call.cancel()
+    for one in calls:
+        one.cancel()
 
 
 async def compare(loads: dict[str, Load], pids: dict[str, int], streams: int) -> None:
--- a/benchmarks/sidecar_cpu.py
+++ b/benchmarks/sidecar_cpu.py
@@ -1,9 +1,10 @@
-"""CPU of the HTTP/1.1 sidecar for each request, of two checkouts of this project, interleaved.
+"""Benchmark of the HTTP/1.1 sidecar's CPU time per request, for two checkouts of this project.
 
     python -m benchmarks.sidecar_cpu BEFORE AFTER [--rounds 5] [--requests 10000]
 
-Each round runs the program of either checkout as a process, before check servers that answer at once, with
-connections that are kept. Its CPU time is read from the kernel around the requests; the least of each counts.
+Each round runs the sidecar of both checkouts in turn as a process in front of check servers that answer at
+once, over persistent connections. Its CPU time is read from the kernel before and after the requests; the
+minimum over the rounds counts.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 SERVERS = 6
 WORKERS = 8
-WARM = 200
+WARM_UP_REQUESTS = 200
 
 
 async def measure(root: Path, requests: int) -> float:
-    """CPU microseconds of the program for each request."""
+    """Return the CPU time of the sidecar in microseconds per request."""
     ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
     rack = Rack(0, 6.0)
     rng = random.Random(1)
@@ -39,10 +40,10 @@
     await program.start()
     assert program.process is not None
     try:
-        await send(program.port, ledger, "warm", WARM)
-        before = cpu_s(program.process.pid)
+        await send(program.port, ledger, "warm", WARM_UP_REQUESTS)
+        cpu_before = cpu_s(program.process.pid)
         await send(program.port, ledger, "r", requests)
-        return (cpu_s(program.process.pid) - before) / requests * 1e6
+        return (cpu_s(program.process.pid) - cpu_before) / requests * 1e6
     finally:
         await program.stop()
         program.cleanup()
@@ -68,9 +69,9 @@
                 "X-Caller": "t0",
             }
             writer.write(request("POST", f"/api?user={call_id}", headers, b"{}"))
-            answer = await read_message(reader)
-            if answer is None or answer.status != 200:
-                raise RuntimeError(f"not served: {answer}")
+            response = await read_message(reader)
+            if response is None or response.status != 200:
+                raise RuntimeError(f"request {call_id} was not served: {response}")
         writer.close()
 
     await asyncio.gather(*(worker() for _ in range(WORKERS)))
@@ -82,16 +83,16 @@
     parser.add_argument("after", type=Path)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--requests", type=int, default=10_000)
-    wanted = parser.parse_args()
-    roots = {"before": wanted.before, "after": wanted.after}
-    spent: dict[str, list[float]] = {name: [] for name in roots}
-    for _ in range(wanted.rounds):
+    options = parser.parse_args()
+    roots = {"before": options.before, "after": options.after}
+    cpu_us: dict[str, list[float]] = {name: [] for name in roots}
+    for _ in range(options.rounds):
         for name, root in roots.items():
-            spent[name].append(asyncio.run(measure(root.resolve(), wanted.requests)))
-            print(f"{name:7} {spent[name][-1]:6.1f} us of CPU a request", flush=True)
-    least = {name: min(values) for name, values in spent.items()}
-    ratio = least["after"] / least["before"]
-    print(f"least: before {least['before']:.1f}, after {least['after']:.1f}, {ratio:.3f} of it")
+            cpu_us[name].append(asyncio.run(measure(root.resolve(), options.requests)))
+            print(f"{name:7} {cpu_us[name][-1]:6.1f} us of CPU a request", flush=True)
+    min_cpu_us = {name: min(values) for name, values in cpu_us.items()}
+    ratio = min_cpu_us["after"] / min_cpu_us["before"]
+    print(f"least: before {min_cpu_us['before']:.1f}, after {min_cpu_us['after']:.1f}, {ratio:.3f} of it")
 
 
 if __name__ == "__main__":
