--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -30,7 +30,7 @@
 COLOURS = ("#b22", "#26c", "#282", "#a6a")
 
 
-async def simulate_return(seed: int, plan: Plan, state_variant: str) -> tuple[dict[str, Any], list[float]]:
+async def play(seed: int, plan: Plan, state_variant: str) -> tuple[dict[str, Any], list[float]]:
     """Run one return; return its figures and the share in time, sampled every `STEP_S`."""
     fleet = Fleet(seed, plan)
     await fleet.open()
@@ -62,10 +62,10 @@
     """Return the curves as SVG; x: seconds from the kill, y: share in time."""
     width, height, left = 640, 240, 40
     lines = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{width + 160}" height="{height + 40}">']
-    for share in (0.0, 0.5, 1.0):
-        y = height - share * (height - 20)
+    for grid_share in (0.0, 0.5, 1.0):
+        y = height - grid_share * (height - 20)
         lines.append(
-            f'<path d="M{left} {y:.0f}H{width}" stroke="#ccc"/><text x="4" y="{y:.0f}">{share}</text>'
+            f'<path d="M{left} {y:.0f}H{width}" stroke="#ccc"/><text x="4" y="{y:.0f}">{grid_share}</text>'
         )
     for second in range(int(CURVE_S) + 1):
         x = left + second / CURVE_S * (width - left)
@@ -96,7 +96,7 @@
     curves: dict[str, list[list[float]]] = {name: [] for name in builds}
     for seed in range(1, options.seeds + 1):
         for name, (variant_plan, state_variant) in builds.items():
-            figures, curve = asyncio.run(simulate_return(seed, variant_plan, state_variant))
+            figures, curve = asyncio.run(play(seed, variant_plan, state_variant))
             figures_by_build[name].append(figures)
             curves[name].append(curve)
     names = ("full_service_s", "first_second_share", "in_time_share", "dials_server_peak_100ms", "refused")
@@ -105,7 +105,7 @@
     for name, runs_of_build in figures_by_build.items():
         cells = []
         for field in names:
-            values = [run[field] for run in runs_of_build]
+            values = [play[field] for play in runs_of_build]
             worst = min(values) if "share" in field else max(values)
             cells.append(f"{median(values):.3g}, {worst:.3g}")
         print(f"| {name} | " + " | ".join(cells) + " |")
--- a/benchmarks/sidecar_cpu.py
+++ b/benchmarks/sidecar_cpu.py
@@ -71,7 +71,7 @@
             writer.write(request("POST", f"/api?user={call_id}", headers, b"{}"))
             response = await read_message(reader)
             if response is None or response.status != 200:
-                raise RuntimeError(f"request {call_id} was not served: {response}")
+                raise RuntimeError(f"the sidecar did not serve a request: {response}")
         writer.close()
 
     await asyncio.gather(*(worker() for _ in range(WORKERS)))
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -1,13 +1,14 @@
-"""Shared counts of tenants: error against the bound by size, loss and cut; their cost; what others gain.
+"""Benchmarks of shared tenant counts.
 
-    python -m benchmarks.tenants [bound] [cost] [programs] [flood]      all four where none is named
+    python -m benchmarks.tenants [bound] [cost] [programs] [flood]      default: all four
 
-- bound: members in virtual time, a burst of 20 times the allowance in either half: worst over and under
-  against tenants/bound.py, at three losses and cut in halves; bytes and CPU of one member.
-- cost: one decision on a request's path, against a bare look into a dict; the sketch of slots against a
-  plain table of names.
-- programs: real processes before servers that the burst is too much for; with [tenants] and without.
-- flood: real requests while 20,000 forged datagrams a second come; without and with.
+- bound: members in virtual time with a burst of 20 times the allowance, spread over both halves of the fleet.
+  Shows the largest excess and shortfall against `tenants/bound.py`, at three loss rates and with a partition
+  into halves, and the bytes and CPU time of one member.
+- cost: one admission decision against a bare dict look-up, and the fixed slots for names against a plain
+  table of names.
+- programs: real sidecars whose servers the burst overloads, with and without [tenants].
+- flood: latency of real requests with and without 20,000 forged datagrams a second.
 """
 
 from __future__ import annotations
@@ -27,9 +28,10 @@
 from rigs.stage import keeping_book
 from standins.platform import AIM_S
 
-SIZES = {16: 40.0, 200: 50.0, 1200: 8.0}  # members, for how long they are played; the last for its cost
+# Simulated seconds by fleet size; the largest fleet gets few because of its cost.
+DURATION_S_BY_MEMBERS = {16: 40.0, 200: 50.0, 1200: 8.0}
 LOSSES = (0.01, 0.1, 0.3)
-TIMES = 20.0
+BURST_FACTOR = 20.0
 FLOOD_PER_S = 20_000
 FLOOD = """
 import socket, sys, time
@@ -45,36 +47,36 @@
 """
 
 
-def played(members: int, loss: float, cut: bool, seed: int = 1) -> str:
-    """One world as a row of the table."""
-    seconds = SIZES[members]
+def simulate(members: int, loss: float, cut: bool, seed: int = 1) -> str:
+    """Simulate one fleet; return a row of the table."""
+    duration_s = DURATION_S_BY_MEMBERS[members]
     estate = Estate(
-        members, 100.0, 100.0, loss=max(loss, 0.1), cut=0.5 * cut, cut_s=seconds / 4 * cut, changes=1
+        members, 100.0, 100.0, loss=max(loss, 0.1), cut=0.5 * cut, cut_s=duration_s / 4 * cut, changes=1
     )
     world = World(seed, estate, Links(loss, estate.delay_s / 2))
     inner = set(world.names[: members // 2])
-    since, until = int(seconds / 2 * S), int(seconds * 3 / 4 * S)
+    since, until = int(duration_s / 2 * S), int(duration_s * 3 / 4 * S)
     if cut:
         world.links.cut = lambda one, other: since <= world.now < until and (one in inner) != (other in inner)
     world.start()
-    calm = 0.2 * estate.per_s / members
-    busy = [world.names[0], world.names[1], world.names[-1]]
+    calm_per_s = 0.2 * estate.per_s / members
+    busy_names = [world.names[0], world.names[1], world.names[-1]]
     for name in world.names:
-        world.arrive(name, calm, 0.0, seconds)
-    for name in busy:
-        world.arrive(name, TIMES * estate.per_s / len(busy), seconds / 4, seconds)
-    began = time.process_time()
-    world.run(seconds)
-    cpu = time.process_time() - began
-    taken = [at / S for at in world.taken]
-    asked = sorted(taken + [at / S for at in world.refused])
-    sent = sum(one.bytes_sent for one in world.members.values()) / members / seconds
+        world.arrive(name, calm_per_s, 0.0, duration_s)
+    for name in busy_names:
+        world.arrive(name, BURST_FACTOR * estate.per_s / len(busy_names), duration_s / 4, duration_s)
+    cpu_before = time.process_time()
+    world.run(duration_s)
+    cpu_s = time.process_time() - cpu_before
+    accepted_at = [at / S for at in world.taken]
+    sent_at = sorted(accepted_at + [at / S for at in world.refused])
+    bytes_per_s = sum(one.bytes_sent for one in world.members.values()) / members / duration_s
     figures = (
-        f"{worst_over(taken, estate.per_s):.0f} / {over(estate):.0f}",
-        f"{worst_under(taken, asked, estate.per_s):.0f} / {under(estate):.0f}",
+        f"{worst_over(accepted_at, estate.per_s):.0f} / {over(estate):.0f}",
+        f"{worst_under(accepted_at, sent_at, estate.per_s):.0f} / {under(estate):.0f}",
         f"{estate.horizon_s:.1f} s",
-        f"{sent / 1000:.1f} kB/s",
-        f"{1000 * cpu / members / seconds:.1f} ms/s",
+        f"{bytes_per_s / 1000:.1f} kB/s",
+        f"{1000 * cpu_s / members / duration_s:.1f} ms/s",
     )
     label = f"{members} members, loss {loss:.0%}{', halves cut' if cut else ''}"
     return f"| {label} | {' | '.join(figures)} |"
@@ -83,40 +85,46 @@
 def bound() -> None:
     print("| fleet | over, worst / bound | under, worst / bound | horizon | sent by one | CPU of one |")
     print("| --- " * 6 + "|")
-    for members in SIZES:
+    for members in DURATION_S_BY_MEMBERS:
         for loss in LOSSES:
-            print(played(members, loss, cut=False), flush=True)
-        print(played(members, 0.1, cut=True), flush=True)
+            print(simulate(members, loss, cut=False), flush=True)
+        print(simulate(members, 0.1, cut=True), flush=True)
 
 
 def cost() -> None:
-    """Nanoseconds of a decision, and what the sketch of slots takes and mistakes."""
+    """Print nanoseconds a decision, and the size and the collision rate of the slots."""
     now, count = time.monotonic_ns(), 200_000
-    named = {f"t{number}": Allowance(1e6, 1e6) for number in range(100)}
-    own = Admission(named, Allowance(5.0, 5.0), 1024, S, now, 24)
-    own.sees(now, View(24, 24, {}))
-    names = [f"t{number % 100}" for number in range(count)]
-    strange = [f"x{number % 10_000}" for number in range(count)]
-    plain = dict.fromkeys(names, 1)
-    for label, asked in (("a tenant with an allowance", names), ("an invented name", strange)):
-        began = time.perf_counter_ns()
-        for name in asked:
-            number = own.id_of(name)
+    allowances = {f"t{number}": Allowance(1e6, 1e6) for number in range(100)}
+    admission = Admission(allowances, Allowance(5.0, 5.0), 1024, S, now, 24)
+    admission.sees(now, View(24, 24, {}))
+    allowed_names = [f"t{number % 100}" for number in range(count)]
+    unknown_names = [f"x{number % 10_000}" for number in range(count)]
+    plain_table = dict.fromkeys(allowed_names, 1)
+    for label, requested_names in (
+        ("a tenant with an allowance", allowed_names),
+        ("an invented name", unknown_names),
+    ):
+        began_at = time.perf_counter_ns()
+        for name in requested_names:
+            number = admission.id_of(name)
             if number is not None:
-                own.asks(now, number)
-        each = (time.perf_counter_ns() - began) / count
-        print(f"{label}: {each:.0f} ns a decision")
-    began = time.perf_counter_ns()
-    for name in names:
-        plain.get(name)
-    print(f"a bare look into a dict: {(time.perf_counter_ns() - began) / count:.0f} ns")
-    print(f"10,000 invented names: {len(own.tenants) - len(named)} slots are held, a plain table 10,000")
-    for busy in (10, 100, 1000):
-        print(f"a name shares its slot with one of {busy}: {1 - (1 - 1 / 1024) ** busy:.3f}")
+                admission.asks(now, number)
+        ns_per_decision = (time.perf_counter_ns() - began_at) / count
+        print(f"{label}: {ns_per_decision:.0f} ns a decision")
+    began_at = time.perf_counter_ns()
+    for name in allowed_names:
+        plain_table.get(name)
+    print(f"a bare look-up in a dict: {(time.perf_counter_ns() - began_at) / count:.0f} ns")
+    print(
+        f"10,000 invented names: {len(admission.tenants) - len(allowances)} slots in use,"
+        " a plain table holds 10,000"
+    )
+    for active_names in (10, 100, 1000):
+        print(f"a name shares its slot with one of {active_names}: {1 - (1 - 1 / 1024) ** active_names:.3f}")
 
 
 async def burst(seed: int, tables: str) -> tuple[float, float]:
-    """In-time shares of the calm tenant and of the one that bursts."""
+    """Return the shares of requests in time of the calm tenant and of the bursting one."""
     fleet = PeerFleet(seed, Plan(programs=12, servers=6, work_s=0.05, operator="-"), tables)
     await fleet.open()
     names = list(fleet.nodes)
@@ -129,8 +137,8 @@
     shares = []
     for tenant in ("calm", "big"):
         sent = [one for one in fleet.ledger.sent.values() if one.id.startswith(f"{tenant}-")]
-        good = sum(one.final == "served" and one.final_at - one.at <= AIM_S for one in sent)
-        shares.append(good / max(1, len(sent)))
+        served_in_time = sum(one.final == "served" and one.final_at - one.at <= AIM_S for one in sent)
+        shares.append(served_in_time / max(1, len(sent)))
     await fleet.close()
     return shares[0], shares[1]
 
@@ -144,33 +152,34 @@
         print(f"| {seed} | {off[0]:.3f} | {on[0]:.3f} | {off[1]:.3f} | {on[1]:.3f} |", flush=True)
 
 
-async def flooded(seed: int, flood: bool) -> float:
-    """The 99th percentile of a request's time at one program, seconds."""
+async def run_flood(seed: int, flood: bool) -> float:
+    """Return the 99th percentile of the request latency at one sidecar, in seconds."""
     from garnethaven.peers.datagrams import Seal
 
     tables = '[[tenants.allowances]]\nname = "big"\nper_s = 1000\nburst = 1000\n'
     fleet = PeerFleet(seed, Plan(programs=3, servers=4, work_s=0.005, operator="-"), tables)
     await fleet.open()
-    forged = bytearray(Seal(bytes.fromhex(KEY), 7).seal(bytes(200)))
-    forged[-1] ^= 1
+    forged_datagram = bytearray(Seal(bytes.fromhex(KEY), 7).seal(bytes(200)))
+    forged_datagram[-1] ^= 1
     async with keeping_book(fleet, waits_s=10.0):
         await asyncio.sleep(3.0)
-        words = [str(fleet.ports["n0"]), str(FLOOD_PER_S), "8", forged.hex()]
-        running = subprocess.Popen([sys.executable, "-c", FLOOD, *words]) if flood else None
+        arguments = [str(fleet.ports["n0"]), str(FLOOD_PER_S), "8", forged_datagram.hex()]
+        flood_process = subprocess.Popen([sys.executable, "-c", FLOOD, *arguments]) if flood else None
         await fleet.ask(["n0"], "big", 100.0, 8.0)
         await fleet.settle()
-        if running is not None:
-            running.wait()
-    times = [one.final_at - one.at for one in fleet.ledger.sent.values() if one.final == "served"]
+        if flood_process is not None:
+            flood_process.wait()
+    latencies = [one.final_at - one.at for one in fleet.ledger.sent.values() if one.final == "served"]
     await fleet.close()
-    return quantiles(times, n=100)[98]
+    return quantiles(latencies, n=100)[98]
 
 
 def flood() -> None:
     for seed in (1, 2, 3):
-        plain, under_flood = asyncio.run(flooded(seed, False)), asyncio.run(flooded(seed, True))
+        p99_plain, p99_flooded = asyncio.run(run_flood(seed, False)), asyncio.run(run_flood(seed, True))
         print(
-            f"seed {seed}: p99 under {FLOOD_PER_S} forged datagrams a second: {under_flood / plain:.2f} times"
+            f"seed {seed}: p99 under {FLOOD_PER_S} forged datagrams a second: "
+            f"{p99_flooded / p99_plain:.2f} times"
         )
 
 
