--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -34,7 +34,7 @@
 
 
 async def run_storm(seed: int, sharing: bool, size_factor: float, at_one: bool) -> tuple[int, int, float]:
-    """Return the retries at servers in the worst second and in total, and the in-time share of first tries."""
+    """Return the retries at servers in the worst second and in total, and first tries in time (share)."""
     stage = Stage(seed, PROGRAMS, servers=6, work_s=0.04, told_size=round(PROGRAMS * size_factor))
     stage.tables = table() if sharing else ""
     await stage.open()
