--- a/benchmarks/judgements.py
+++ b/benchmarks/judgements.py
@@ -10,7 +10,7 @@
 
 import argparse
 
-from rigs.judged import SERVERS, Estate, Fault, Figures, condemns_all, praises
+from rigs.judged import SERVERS, Simulation, Fault, Figures, condemns_all, praises
 
 FAULT_FROM_S, FAULT_UNTIL_S, DURATION_S = 10.0, 30.0, 34.0
 
@@ -41,24 +41,24 @@
 
 def simulate(fault: Fault, members: int, seed: int, on: bool, lie: str = "", share: float = 1.0) -> Figures:
     heard_members = int(share * members)
-    estate = Estate(
+    simulation = Simulation(
         seed, members, fault, on, hears=lambda one, other, now: (other - one) % members <= heard_members
     )
     for number in range(3 if lie else 0):
-        estate.members[number].falsify = praises(0) if lie == "praise" else condemns_all
-    return estate.run(DURATION_S, FAULT_FROM_S)
+        simulation.members[number].falsify = praises(0) if lie == "praise" else condemns_all
+    return simulation.run(DURATION_S, FAULT_FROM_S)
 
 
 def table_row(name: str, fault: Fault, members: int, seeds: int, lie: str = "", share: float = 1.0) -> str:
     off = [simulate(fault, members, seed, False) for seed in range(seeds)]
     on = [simulate(fault, members, seed, True, lie, share) for seed in range(seeds)]
-    lost = [sum(figure.bad for figure in figures) for figures in (off, on)]
-    sent = sum(figure.sent for figure in off)
-    learned = max(figure.learned_at for figure in on)
-    swing = max(max(figure.loads.values()) / (figure.sent / SERVERS) for figure in on)
+    lost = [sum(result.bad for result in results) for results in (off, on)]
+    sent = sum(result.sent for result in off)
+    learned = max(result.learned_at for result in on)
+    swing = max(max(result.loads.values()) / (result.sent / SERVERS) for result in on)
     cells = f"{lost[0]} | {lost[1]} | {lost[0] / max(1, lost[1]):.1f} | {1 - lost[0] / sent:.4f}"
-    cells += f" | {1 - lost[1] / max(1, sum(figure.sent for figure in on)):.4f} | {learned:.1f} s"
-    return f"| {name} | {cells} | {max(figure.shunned_s for figure in on):.1f} s | {swing:.2f} |"
+    cells += f" | {1 - lost[1] / max(1, sum(result.sent for result in on)):.4f} | {learned:.1f} s"
+    return f"| {name} | {cells} | {max(result.shunned_s for result in on):.1f} s | {swing:.2f} |"
 
 
 def main() -> None:
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -34,7 +34,7 @@
 MIN_SERVED_SHARE = 0.75
 
 
-class Estate:
+class EnsembleScenario:
     """The registry and the servers' sessions in it."""
 
     def __init__(self, stage: Stage) -> None:
@@ -124,25 +124,25 @@
     stage = Stage(seed, SERVERS, sockets=768, work_s=SERVICE_TIME_S)
     stage.listed = False
     report = Report("ephemeral", seed)
-    estate = Estate(stage)
+    scenario = EnsembleScenario(stage)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         await stage.open_peers()
-        await estate.start()
-        await stage.up(environment=_operator_file(folder, estate.ensemble))
+        await scenario.start()
+        await stage.up(environment=_operator_file(folder, scenario.ensemble))
         applications = [
             stage.application(f"app{n}", Habits(rate=REQUESTS_PER_S)) for n in range(APPLICATIONS)
         ]
         began_at = now()
-        await _until_followed(estate)
+        await _until_followed(scenario)
         async with keeping_book(stage):
             sending = [asyncio.create_task(one.run(duration_s)) for one in applications]
-            await _inject_faults(stage, estate, duration_s)
+            await _inject_faults(stage, scenario, duration_s)
             await asyncio.gather(*sending)
             for application in applications:
                 await application.settle()
-        _evaluate(report, stage, estate, began_at)
+        _evaluate(report, stage, scenario, began_at)
         code = await stage.down()
-        await estate.ensemble.close()
+        await scenario.ensemble.close()
     if code:
         report.unkept.append(f"the sidecar ended with code {code}")
     print_report(report, stage.ledger, as_json)
@@ -159,17 +159,17 @@
     return {"NODE_OPERATOR": str(file)}
 
 
-async def _until_followed(estate: Estate) -> None:
+async def _until_followed(scenario: EnsembleScenario) -> None:
     """Wait for the sidecar's first list; it requests nothing before it is ready."""
-    while not estate.sidecar_session:
+    while not scenario.sidecar_session:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.3)
 
 
-async def _inject_faults(stage: Stage, estate: Estate, duration_s: float) -> None:
+async def _inject_faults(stage: Stage, scenario: EnsembleScenario, duration_s: float) -> None:
     """Play the whole schedule within `duration_s` seconds; the seed picks the servers and the exact times."""
     rng = random.Random(stage.rng.getrandbits(32))
-    ensemble, log_step = estate.ensemble, stage.progress.say
+    ensemble, log_step = scenario.ensemble, stage.progress.say
     scale = duration_s / 26
 
     def pick(count: int) -> list[CheckServer]:
@@ -181,101 +181,101 @@
     await wait(1.5)
     log_step("a session expires while its server still answers; the server registers again within a second")
     expired = pick(1)
-    estate.expire_sessions(expired)
+    scenario.expire_sessions(expired)
     await wait(0.7)
-    estate.register_restarted(expired)
+    scenario.register_restarted(expired)
     await wait(1.5)
     log_step("a quarter of the servers crashes at once and restarts cold")
-    await estate.crash_and_restart(pick(4), 2.0 * scale)
+    await scenario.crash_and_restart(pick(4), 2.0 * scale)
     await wait(2.0)
     log_step("the registry host that serves the sidecar stops; a session expires meanwhile")
-    await _stop_serving_host(estate, pick(1), scale)
+    await _stop_serving_host(scenario, pick(1), scale)
     await wait(1.0)
     log_step("the whole registry is down while two sessions expire")
-    await _stop_registry(estate, pick(2), scale)
+    await _stop_registry(scenario, pick(2), scale)
     await wait(1.0)
     log_step("the sidecar's own session expires")
-    ensemble.expire(estate.sidecar_session)
-    estate.own_sessions_lost += 1
+    ensemble.expire(scenario.sidecar_session)
+    scenario.own_sessions_lost += 1
     await wait(1.5)
     log_step("an event is lost together with its connection")
     unreported = pick(1)
     for host in ensemble.hosts:
         host.loses_events = True
-    estate.expire_sessions(unreported)
+    scenario.expire_sessions(unreported)
     for host in ensemble.hosts:
         host.loses_events = False
     await wait(1.0)
-    estate.register_restarted(unreported)
+    scenario.register_restarted(unreported)
     log_step("one host lags but keeps answering; the others close their connections")
-    await _play_lagging_host(estate, pick(1), scale)
+    await _play_lagging_host(scenario, pick(1), scale)
     await wait(1.0)
     log_step("all nodes vanish and are created again shortly after")
     all_servers = list(stage.servers)
-    estate.expire_sessions(all_servers)
+    scenario.expire_sessions(all_servers)
     await wait(0.6)
     for server in all_servers:
-        estate.register_restarted([server])
+        scenario.register_restarted([server])
         await asyncio.sleep(0.1 / SERVERS)
 
 
-async def _stop_serving_host(estate: Estate, servers: list[CheckServer], scale: float) -> None:
+async def _stop_serving_host(scenario: EnsembleScenario, servers: list[CheckServer], scale: float) -> None:
     """Stop the host that serves the sidecar, while the other hosts still send events."""
-    ensemble = estate.ensemble
+    ensemble = scenario.ensemble
     serving_hosts = [host for host in ensemble.hosts if any(connection.session for connection in host.lines)]
     began_at = now()
     for host in serving_hosts:
         host.stop()
     await asyncio.sleep(0.3 * scale)
-    estate.expire_sessions(servers)
+    scenario.expire_sessions(servers)
     await asyncio.sleep(1.5 * scale)
-    estate.register_restarted(servers)
+    scenario.register_restarted(servers)
     for host in serving_hosts:
         await host.start()
-    estate.registry_cut_s += now() - began_at
+    scenario.registry_cut_s += now() - began_at
 
 
-async def _stop_registry(estate: Estate, servers: list[CheckServer], scale: float) -> None:
-    ensemble, began_at = estate.ensemble, now()
+async def _stop_registry(scenario: EnsembleScenario, servers: list[CheckServer], scale: float) -> None:
+    ensemble, began_at = scenario.ensemble, now()
     for host in ensemble.hosts:
         host.stop()
     await asyncio.sleep(0.5 * scale)
-    estate.expire_sessions(servers)
+    scenario.expire_sessions(servers)
     await asyncio.sleep(1.0 * scale)
     for host in ensemble.hosts:
         await host.start()
-    estate.registry_cut_s += now() - began_at
+    scenario.registry_cut_s += now() - began_at
     await asyncio.sleep(1.5 * scale)
-    estate.register_restarted(servers)
+    scenario.register_restarted(servers)
 
 
-async def _play_lagging_host(estate: Estate, servers: list[CheckServer], scale: float) -> None:
+async def _play_lagging_host(scenario: EnsembleScenario, servers: list[CheckServer], scale: float) -> None:
     """Let one host answer from an old tree that still contains a vanished server."""
-    first, *others = estate.ensemble.hosts
+    first, *others = scenario.ensemble.hosts
     first.fall_behind()
     first.answers_old = True
-    estate.expire_sessions(servers)
+    scenario.expire_sessions(servers)
     await asyncio.sleep(0.3 * scale)
     for host in others:
         host.cut()
     await asyncio.sleep(1.5 * scale)
     first.catch_up()
     first.answers_old = False
-    estate.register_restarted(servers)
+    scenario.register_restarted(servers)
 
 
-def _evaluate(report: Report, stage: Stage, estate: Estate, began_at: float) -> None:
+def _evaluate(report: Report, stage: Stage, scenario: EnsembleScenario, began_at: float) -> None:
     ledger = stage.ledger
     in_time, first_tries = ledger.in_time(AIM_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, first_tries), 4),
-        "sessions_killed": estate.sessions_killed,
-        "vanished": estate.nodes_vanished,
-        "returned_cold": estate.returned_cold,
+        "sessions_killed": scenario.sessions_killed,
+        "vanished": scenario.nodes_vanished,
+        "returned_cold": scenario.returned_cold,
         "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
-        "own_session_lost": estate.own_sessions_lost,
-        "registry_cut_s": round(estate.registry_cut_s, 2),
-        "registry_connects": sum(len(host.connects) for host in estate.ensemble.hosts),
+        "own_session_lost": scenario.own_sessions_lost,
+        "registry_cut_s": round(scenario.registry_cut_s, 2),
+        "registry_connects": sum(len(host.connects) for host in scenario.ensemble.hosts),
         "attempts": ledger.counts["attempts"],
         "seconds": round(now() - began_at, 1),
     }
--- a/rigs/judged.py
+++ b/rigs/judged.py
@@ -50,7 +50,7 @@
     falsify: Callable[[Row], Row] | None = None  # replaces the rows of a lying member
 
 
-class Estate:
+class Simulation:
     """A fleet of members and its servers.
 
     `hears(one, other, now)` returns whether member `one` receives the rows of `other`; `on` enables the use
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -68,8 +68,8 @@
 class RegistryKind(Generic[C]):
     """The clusters of one kind: the one that the sidecar follows, and those it left on a reload."""
 
-    def __init__(self, estate: Estate) -> None:
-        self.estate = estate
+    def __init__(self, scenario: RegistryScenario) -> None:
+        self.scenario = scenario
         self.former_clusters: list[C] = []
         self.cluster: C = self._new_cluster()
 
@@ -89,9 +89,9 @@
     name = "etcd"
 
     def _new_cluster(self) -> Keys:
-        cluster, estate = Keys(), self.estate
-        cluster.on_told = lambda key, ended, at: estate.answer_written({key.removeprefix(PREFIX)}, at)
-        cluster.on_listed = lambda prefix, keys, at: estate.answer_written(None, at)
+        cluster, scenario = Keys(), self.scenario
+        cluster.on_told = lambda key, ended, at: scenario.answer_written({key.removeprefix(PREFIX)}, at)
+        cluster.on_listed = lambda prefix, keys, at: scenario.answer_written(None, at)
         cluster.fragment_most = 3
         return cluster
 
@@ -154,13 +154,13 @@
 class Consul(RegistryKind[Catalog]):
     name = "consul"
 
-    def __init__(self, estate: Estate) -> None:
-        super().__init__(estate)
+    def __init__(self, scenario: RegistryScenario) -> None:
+        super().__init__(scenario)
         self.index_resets = 0
 
     def _new_cluster(self) -> Catalog:
-        cluster, estate = Catalog(3), self.estate
-        cluster.on_listed = lambda names, at: estate.answer_written(None, at)
+        cluster, scenario = Catalog(3), self.scenario
+        cluster.on_listed = lambda names, at: scenario.answer_written(None, at)
         return cluster
 
     @property
@@ -232,7 +232,7 @@
             await agent.start()
 
 
-class Estate:
+class RegistryScenario:
     """The servers of one registry: their registered states and what the registry wrote to the sidecar."""
 
     def __init__(self, stage: Stage) -> None:
@@ -328,51 +328,51 @@
         seed + 1, SERVERS, sockets=384, work_s=SERVICE_TIME_S, prefix="c", ledger=etcd_stage.ledger
     )
     report = Report("registry", seed)
-    estates = [Estate(etcd_stage), Estate(consul_stage)]
-    estates[0].registry, estates[1].registry = Etcd(estates[0]), Consul(estates[1])
+    scenarios = [RegistryScenario(etcd_stage), RegistryScenario(consul_stage)]
+    scenarios[0].registry, scenarios[1].registry = Etcd(scenarios[0]), Consul(scenarios[1])
     began_at = now()
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
-        for estate in estates:
-            await _start(estate, folder)
-        codes = await asyncio.gather(*(_run_load(estate, duration_s) for estate in estates))
-    _evaluate(report, estates, began_at)
-    for estate, code in zip(estates, codes, strict=True):
+        for scenario in scenarios:
+            await _start(scenario, folder)
+        codes = await asyncio.gather(*(_run_load(scenario, duration_s) for scenario in scenarios))
+    _evaluate(report, scenarios, began_at)
+    for scenario, code in zip(scenarios, codes, strict=True):
         if code:
-            report.unkept.append(f"the sidecar of {estate.registry.name} ended with code {code}")
+            report.unkept.append(f"the sidecar of {scenario.registry.name} ended with code {code}")
     print_report(report, etcd_stage.ledger, as_json)
     return report.held(etcd_stage.ledger)
 
 
-async def _start(estate: Estate, folder: str) -> None:
-    stage = estate.stage
+async def _start(scenario: RegistryScenario, folder: str) -> None:
+    stage = scenario.stage
     stage.listed = False
     await stage.open_peers()
-    await estate.registry.start()
-    await estate.up(stage.servers)
-    estate.operator_path = Path(folder) / f"{estate.registry.name}.toml"
-    estate.operator_path.write_text(estate.registry.operator_file())
-    await stage.up(environment={"NODE_OPERATOR": str(estate.operator_path)})
-    while not estate.answers_written:
+    await scenario.registry.start()
+    await scenario.up(stage.servers)
+    scenario.operator_path = Path(folder) / f"{scenario.registry.name}.toml"
+    scenario.operator_path.write_text(scenario.registry.operator_file())
+    await stage.up(environment={"NODE_OPERATOR": str(scenario.operator_path)})
+    while not scenario.answers_written:
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.3)
 
 
-async def _run_load(estate: Estate, duration_s: float) -> int:
-    stage = estate.stage
-    application = stage.application(estate.registry.name, Habits(rate=REQUESTS_PER_S))
+async def _run_load(scenario: RegistryScenario, duration_s: float) -> int:
+    stage = scenario.stage
+    application = stage.application(scenario.registry.name, Habits(rate=REQUESTS_PER_S))
     async with keeping_book(stage):
         sending = asyncio.create_task(application.run(duration_s))
-        await _inject_faults(estate, duration_s)
+        await _inject_faults(scenario, duration_s)
         await sending
         await application.settle()
     code = await stage.down()
-    await estate.registry.close()
+    await scenario.registry.close()
     return code
 
 
-async def _inject_faults(estate: Estate, duration_s: float) -> None:
+async def _inject_faults(scenario: RegistryScenario, duration_s: float) -> None:
     """Play the whole schedule within `duration_s` seconds; the seed picks the servers and the exact times."""
-    stage, registry = estate.stage, estate.registry
+    stage, registry = scenario.stage, scenario.registry
     rng = random.Random(stage.rng.getrandbits(32))
     scale = duration_s / DEFAULT_DURATION_S
 
@@ -381,7 +381,7 @@
 
     def pick(count: int) -> list[CheckServer]:
         return rng.sample(
-            [candidate for candidate in stage.servers if candidate.name not in estate.ended_names], count
+            [candidate for candidate in stage.servers if candidate.name not in scenario.ended_names], count
         )
 
     async def wait(schedule_s: float) -> None:
@@ -390,68 +390,68 @@
     await wait(1.5)
     log_step("one server drains and is removed; another is removed without a drain")
     drained = pick(1)
-    await estate.end(drained, drains=True)
+    await scenario.end(drained, drains=True)
     await wait(0.8)
-    await estate.registry.remove(drained)
+    await scenario.registry.remove(drained)
     gone = pick(1)
-    await estate.end(gone)
+    await scenario.end(gone)
     await wait(0.8)
-    await estate.up(drained + gone)
+    await scenario.up(drained + gone)
     for number in range(4):
         log_step(
             "watch interrupted: meanwhile one server drains, one is removed, one restarts under its name"
         )
-        await estate.open_gap()
+        await scenario.open_gap()
         await wait(0.4)
         drained, gone, restarted = pick(1), pick(1), []
-        await estate.end(drained, drains=True)
+        await scenario.end(drained, drains=True)
         gone = [candidate for candidate in gone if candidate not in drained]
-        await estate.end(gone)
+        await scenario.end(gone)
         if number:
             registry.compact()
             restarted = [candidate for candidate in pick(1) if candidate not in drained + gone]
             for server in restarted:
-                await estate.new_life(server)
+                await scenario.new_life(server)
         await wait(0.6)
-        await estate.close_gap()
+        await scenario.close_gap()
         if number >= 2:
             log_step("watch interrupted again during the catch-up")
             await _until_followed(registry)
             await registry.cut()
             await asyncio.sleep(0.2)
             await registry.restore()
-        await estate.wait_until_caught_up()
+        await scenario.wait_until_caught_up()
         await wait(0.8)
-        await estate.up(drained + gone)
+        await scenario.up(drained + gone)
         await wait(0.4)
     log_step("one registry member lags and the others stop; one server is removed meanwhile")
     await registry.lag()
     gone = pick(1)
-    await estate.end(gone)
+    await scenario.end(gone)
     await wait(1.0)
     await registry.catch_up()
     await wait(1.0)
-    await estate.up(gone)
+    await scenario.up(gone)
     log_step("reload with another cluster, where one server is removed at once")
-    await estate.switch_cluster()
+    await scenario.switch_cluster()
     gone = pick(1)
-    await estate.end(gone)
+    await scenario.end(gone)
     await wait(1.5)
-    await estate.up(gone)
+    await scenario.up(gone)
     log_step("a quarter of the servers is removed at once, later all servers for a moment")
     quarter = pick(SERVERS // 4)
-    await estate.end(quarter)
+    await scenario.end(quarter)
     await wait(2.0)
-    await estate.up(quarter)
+    await scenario.up(quarter)
     await wait(1.0)
     all_servers = list(stage.servers)
-    await estate.end(all_servers)
+    await scenario.end(all_servers)
     await wait(0.4)
     for server in all_servers:
         life = Life(server.name, now(), server.ramp_s, server.cores)
         server.life = life
         stage.ledger.lives.append(life)
-    await estate.up(all_servers)
+    await scenario.up(all_servers)
 
 
 async def _until_followed(registry: Registry) -> None:
@@ -461,8 +461,8 @@
         await asyncio.sleep(0.005)
 
 
-def _evaluate(report: Report, estates: list[Estate], began_at: float) -> None:
-    ledger = estates[0].stage.ledger
+def _evaluate(report: Report, scenarios: list[RegistryScenario], began_at: float) -> None:
+    ledger = scenarios[0].stage.ledger
     in_time, first_tries = ledger.in_time(AIM_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, first_tries), 4),
@@ -470,8 +470,8 @@
         "attempts": ledger.counts["attempts"],
         "seconds": round(now() - began_at, 1),
     }
-    for estate in estates:
-        name, figures = estate.registry.name, estate.fields()
+    for scenario in scenarios:
+        name, figures = scenario.registry.name, scenario.fields()
         report.fields[name] = figures
         minimums = {
             "watches_cut": MIN_CUTS,
