--- a/benchmarks/judgements.py
+++ b/benchmarks/judgements.py
@@ -10,7 +10,7 @@
 
 import argparse
 
-from rigs.judged import SERVERS, Simulation, Fault, Figures, condemns_all, praises
+from rigs.judged import SERVERS, Fault, Figures, Simulation, condemns_all, praises
 
 FAULT_FROM_S, FAULT_UNTIL_S, DURATION_S = 10.0, 30.0, 34.0
 
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -53,7 +53,7 @@
 
 
 class World:
-    """The members of an estate with one tenant, `t`, whose requests `arrive` schedules."""
+    """The members of a fleet with one tenant, `t`, whose requests `arrive` schedules."""
 
     def __init__(self, seed: int, estate: Estate, links: Links | None = None, listed: bool = True) -> None:
         self.rng = Random(seed)
