--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -92,7 +92,10 @@
         nonlocal bytes_sent
         for datagram in datagrams:
             bytes_sent += len(datagram.body)
-            carry(datagram.at, peers[datagram.at].receive(now + 20_000_000, decode_message(datagram.body), source))
+            carry(
+                datagram.at,
+                peers[datagram.at].receive(now + 20_000_000, decode_message(datagram.body), source),
+            )
 
     began_at, spent, periods, found_s = now, [0.0], 0, -1.0
     quiet_periods = max(3, 4 * S // period)
