--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -1,8 +1,8 @@
-"""The rig `soak`: drawn plays of one program under mixed trouble, ended by signals and an early kill.
+"""The rig `soak`: randomized runs of one program under mixed faults, ended by signals and an early SIGKILL.
 
-`python -m rigs soak --seed N [--runs K]` plays the seeds N to N + K - 1, `JOBS` at a time. A play draws
-deadlines, classes, trouble and signals from its seed and lasts `PLAY_S` and the planned end. The judge is the
-ledger on the peers' sockets (soak_judge.py); clients send on open connections up to the kill.
+`python -m rigs soak --seed N [--runs K]` runs the seeds N to N + K - 1, `JOBS` at a time. A run draws
+deadlines, classes, faults and signals from its seed and lasts `RUN_S` plus the planned shutdown. The checks
+use the ledger on the peers' sockets (soak_judge.py); clients send on open connections until the SIGKILL.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rigs.soak_callers import Callers
+from rigs.soak_callers import LoadGenerator
 from rigs.soak_judge import Judge, Verdict, WatchedServer
 from rigs.stage import Stage, keeping_book
 from standins.discovery import Mood
 from standins.platform import NS, Program, settings
 
-PLAY_S = 6.0
+RUN_S = 6.0
 JOBS = 3
 SERVERS = 6
 SOCKETS = 384
 RATE = 60.0
-KILL_AFTER_S = 0.7  # and the longest deadline: the earliest kill after the first signal to end
+KILL_AFTER_S = 0.7  # the earliest SIGKILL is this plus the longest deadline after the first SIGTERM or SIGINT
 MAX_DEADLINE_S = 3.0
-NEW_CONNECTIONS_S = 0.4  # after the first signal to end clients open no more
-CROWD = 100  # connections that say nothing, more than there are places for with `CROWD_SOCKETS`
+NEW_CONNECTION_GRACE_S = 0.4  # clients open no connections later than this after the first SIGTERM or SIGINT
+CROWD_CONNECTIONS = 100  # silent connections; more than the program admits with `CROWD_SOCKETS` descriptors
 CROWD_SOCKETS = 192
 
 
 @dataclass(frozen=True)
 class Step:
-    """One signal of a series, so many seconds after the one before."""
+    """One signal of a series, sent `after_s` seconds after the previous one."""
 
     number: signal.Signals
     after_s: float
 
 
-SERIES: list[list[signal.Signals]] = [
+SIGNAL_SERIES: list[list[signal.Signals]] = [
     [signal.SIGTERM],
     [signal.SIGTERM, signal.SIGTERM],
     [signal.SIGINT, signal.SIGTERM],
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What a seed draws."""
+    """The parameters that a run draws from its seed."""
 
-    deadlines_s: dict[str, float]  # by class
+    deadlines_s: dict[str, float]  # by class name
     crowd: bool
     series: list[Step]
     faults: list[str]
@@ -67,33 +67,33 @@
     def draw(cls, rng: random.Random) -> Plan:
         shortest = rng.choice([0.3, 0.5, 1.0, 2.0, 3.0])
         deadlines_s = {name: shortest * rng.uniform(1.0, 1.2) for name in ("safe", "keyed", "unsafe")}
-        series = [Step(number, rng.uniform(0.001, 0.3)) for number in rng.choice(SERIES)]
+        series = [Step(number, rng.uniform(0.001, 0.3)) for number in rng.choice(SIGNAL_SERIES)]
         faults = rng.sample(sorted(FAULTS), k=3)
         return cls(deadlines_s, rng.random() < 0.25, series, faults)
 
     @property
-    def longest_s(self) -> float:
+    def max_deadline_s(self) -> float:
         return max(self.deadlines_s.values())
 
     def settings(self) -> dict[str, Any]:
-        facts = settings()
-        (usual,) = facts["grades"]
-        effects = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-        facts["grades"] = [
-            usual
+        document = settings()
+        (default_class,) = document["grades"]
+        idempotency = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+        document["grades"] = [
+            default_class
             | {
                 "name": name,
-                "effect": effects[name],
+                "effect": idempotency[name],
                 "deadlineNs": int(deadline_s * NS),
                 "aimNs": int(deadline_s * NS / 3),
             }
             for name, deadline_s in self.deadlines_s.items()
         ]
-        return facts
+        return document
 
 
-class Play:
-    """One seed."""
+class SoakRun:
+    """One run of the soak, determined by its seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -106,69 +106,69 @@
         self.tasks: list[asyncio.Task[Any]] = []
 
     async def run(self) -> Verdict:
-        lag = asyncio.create_task(self.judge.watch_lag())
+        lag_task = asyncio.create_task(self.judge.watch_lag())
         try:
             async with asyncio.timeout(60.0):
                 return await self._run()
         finally:
-            for task in (lag, *self.tasks):
+            for task in (lag_task, *self.tasks):
                 task.cancel()
             await self._close()
 
     async def _run(self) -> Verdict:
         stage, judge = self.stage, self.judge
         program = await stage.up(self.plan.settings())
-        callers = Callers(program.port, judge, self.plan.deadlines_s, self.rng, RATE)
+        load = LoadGenerator(program.port, judge, self.plan.deadlines_s, self.rng, RATE)
         async with keeping_book(stage):
-            self._begin(callers.run())
+            self._start_task(load.run())
             if self.plan.crowd:
-                self._begin(stage.guests("crowd").say_nothing(CROWD, PLAY_S))
-            await self._trouble()
-            await self._end(program, callers)
-            await self._second_life(program, callers)
+                self._start_task(stage.guests("crowd").say_nothing(CROWD_CONNECTIONS, RUN_S))
+            await self._inject_faults()
+            await self._shut_down(program, load)
+            await self._restart(program, load)
         return judge.verdict()
 
-    def _begin(self, work: Any) -> None:
-        self.tasks.append(asyncio.create_task(work))
+    def _start_task(self, coroutine: Any) -> None:
+        self.tasks.append(asyncio.create_task(coroutine))
 
-    async def _trouble(self) -> None:
-        """The drawn faults, one after the other, with the last still on at the end."""
+    async def _inject_faults(self) -> None:
+        """Start the drawn faults one after the other; the last is still active at shutdown."""
         for name in self.plan.faults:
-            await asyncio.sleep(PLAY_S / 8)
-            self._begin(FAULTS[name](self.stage))
-            await asyncio.sleep(PLAY_S / 8 + self.rng.random())
+            await asyncio.sleep(RUN_S / 8)
+            self._start_task(FAULTS[name](self.stage))
+            await asyncio.sleep(RUN_S / 8 + self.rng.random())
 
-    async def _end(self, program: Program, callers: Callers) -> None:
-        """The series of signals; SIGKILL at the earliest moment after the first that ends it."""
-        ends_at = 0.0
+    async def _shut_down(self, program: Program, load: LoadGenerator) -> None:
+        """Send the series of signals; SIGKILL the program if it still runs after the longest deadline."""
+        shutdown_at = 0.0
         for step in self.plan.series:
             await asyncio.sleep(step.after_s)
             if program.process is not None and program.process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
                     program.signal(step.number)
-            if step.number is not signal.SIGHUP and not ends_at:
-                ends_at = time.monotonic()
-                callers.dial_until = ends_at + NEW_CONNECTIONS_S
-        kill_at = ends_at + min(self.plan.longest_s, MAX_DEADLINE_S) + KILL_AFTER_S
+            if step.number is not signal.SIGHUP and not shutdown_at:
+                shutdown_at = time.monotonic()
+                load.connect_until = shutdown_at + NEW_CONNECTION_GRACE_S
+        kill_at = shutdown_at + min(self.plan.max_deadline_s, MAX_DEADLINE_S) + KILL_AFTER_S
         assert program.process is not None
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(program.process.wait(), kill_at - time.monotonic())
         if program.process.returncode is None:
-            self.judge.killed += 1
+            self.judge.forced_kills += 1
         await program.kill()
         self.judge.exit_codes.append(program.process.returncode)
-        callers.ended()
+        load.program_exited()
 
-    async def _second_life(self, program: Program, callers: Callers) -> None:
-        """A start at once, under the clients that went on, until they have stopped."""
-        began = time.monotonic()
+    async def _restart(self, program: Program, load: LoadGenerator) -> None:
+        """Restart at once while the clients continue, then stop the clients and wait for their requests."""
+        started_at = time.monotonic()
         self.stage.discovery.begins_anew(self.stage.discovery.views[0])
         await program.start()
-        self.judge.ready_s = time.monotonic() - began
-        callers.dial_until = float("inf")
+        self.judge.ready_s = time.monotonic() - started_at
+        load.connect_until = float("inf")
         await asyncio.sleep(1.0)
-        callers.stop()
-        await callers.settle()
+        load.stop()
+        await load.settle()
 
     async def _close(self) -> None:
         program = self.stage.program
@@ -180,61 +180,61 @@
         self.stage.discovery.close()
 
 
-# Trouble
+# Faults
 
 
 async def _hang(stage: Stage) -> None:
-    """Two servers read nothing and say nothing until the play ends."""
+    """Two servers neither read nor write until the run ends."""
     for server in stage.rng.sample(stage.servers, 2):
         server.silent = True
 
 
 async def _crash(stage: Stage) -> None:
-    """Two servers die at once and come back cold."""
+    """Two servers crash at the same time and restart cold."""
     victims = [server for server in stage.servers if not server.silent][:2]
     await stage.outage(victims, 1.0)
 
 
 async def _drain(stage: Stage) -> None:
-    """A server drains, as discovery tells; it goes on answering what it has."""
+    """A server drains, as discovery reports; it continues to answer the requests that it has."""
     server = stage.rng.choice(stage.servers)
     server.draining = True
     stage.discovery.publish([server.member("DRAINING")])
 
 
 async def _slow(stage: Stage) -> None:
-    """Two servers are six times slower, and one of them fails every second request: retries begin late."""
+    """Two servers are six times slower, and one of them fails every second request, so retries start late."""
     slow, failing = stage.rng.sample(stage.servers, 2)
     slow.slow = failing.slow = 6.0
     failing.error_rate = 0.5
 
 
 async def _discovery_down(stage: Stage) -> None:
-    """Discovery refuses everybody for 1.5 s; a server drains meanwhile."""
+    """Discovery refuses all connections for 1.5 s; a server drains meanwhile."""
     await stage.discovery.become(Mood.DOWN)
     await asyncio.sleep(0.5)
     await _drain(stage)
     await asyncio.sleep(1.0)
-    _known_from_now(stage)
+    _mark_known_now(stage)
     await stage.discovery.become(Mood.GOOD)
 
 
 async def _discovery_turns_away(stage: Stage) -> None:
-    """Discovery has too many callers for 2 s; a server drains meanwhile."""
+    """Discovery is overloaded for 2 s and rejects calls; a server drains meanwhile."""
     stage.discovery.capacity, stage.discovery.patience_s = 0.5, 0.3
     stage.discovery.free_at = time.monotonic() + 2.0
     stage.discovery.forget_watches()
     await _drain(stage)
     await asyncio.sleep(2.0)
     stage.discovery.capacity = 0.0
-    _known_from_now(stage)
+    _mark_known_now(stage)
 
 
-def _known_from_now(stage: Stage) -> None:
-    """What discovery has can be reached from now on."""
-    known = stage.discovery.known_at
-    for name in known:
-        known[name] = time.monotonic()
+def _mark_known_now(stage: Stage) -> None:
+    """Count the current list of discovery as available from now on, not from when it was published."""
+    known_at = stage.discovery.known_at
+    for name in known_at:
+        known_at[name] = time.monotonic()
 
 
 FAULTS: dict[str, Callable[[Stage], Awaitable[None]]] = {
@@ -250,25 +250,25 @@
 # Many seeds
 
 
-async def plays(seeds: list[int], jobs: int = JOBS) -> dict[int, Verdict]:
-    """The verdict of each seed."""
-    room = asyncio.Semaphore(jobs)
+async def run_seeds(seeds: list[int], jobs: int = JOBS) -> dict[int, Verdict]:
+    """Run the seeds, at most `jobs` at a time; returns the verdict of each seed."""
+    limiter = asyncio.Semaphore(jobs)
 
-    async def one(seed: int) -> tuple[int, Verdict]:
-        async with room:
-            verdict = await Play(seed).run()
+    async def run_seed(seed: int) -> tuple[int, Verdict]:
+        async with limiter:
+            verdict = await SoakRun(seed).run()
             print(f"seed {seed}: {verdict}", file=sys.stderr, flush=True)
             return seed, verdict
 
-    return dict(await asyncio.gather(*map(one, seeds)))
+    return dict(await asyncio.gather(*map(run_seed, seeds)))
 
 
 async def play(seed: int, seconds: float | None, as_json: bool, runs: int = 1) -> bool:
-    """For `python -m rigs`; whether nothing was broken."""
-    verdicts = await plays(list(range(seed, seed + runs)))
+    """Entry point of `python -m rigs soak`; true where no run broke a rule."""
+    verdicts = await run_seeds(list(range(seed, seed + runs)))
     broken = {number: verdict.faults for number, verdict in verdicts.items() if verdict.faults}
     if as_json:
         print(json.dumps({"runs": len(verdicts), "broken": broken}))
     else:
-        print(f"{len(verdicts)} runs, {len(broken)} with a broken rule: {broken}")
+        print(f"{len(verdicts)} runs, {len(broken)} with broken rules: {broken}")
     return not broken
--- a/rigs/soak_callers.py
+++ b/rigs/soak_callers.py
@@ -1,4 +1,7 @@
-"""The soak's clients: three classes, kept connections, pieces, early leaves, and sending up to the kill."""
+"""The clients of the soak: three request classes, kept connections, split writes and early closes.
+
+They send until the program is killed.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 from standins.wire import Message, WireError, read_message, request
 
 MAX_CONNECTIONS = 40
-LEAVES = 0.05  # share of clients that close before their answer
-PIECES = 0.1  # share of requests that come in pieces
-PATIENCE_S = 1.5  # after a request's time, until its client takes it for lost
-MAX_SENDINGS = 3  # of a request whose connection was closed unread
+ABANDON_SHARE = 0.05  # share of requests whose client closes before the answer
+SPLIT_SHARE = 0.1  # share of requests that are written in two parts
+ANSWER_TIMEOUT_MARGIN_S = 1.5  # how long after the deadline a client waits before it closes the connection
+MAX_SENDS = 3  # of a request whose kept connections were closed without an answer
 
 
-class Callers:
-    """Open-loop arrivals on one program's port until `stop`."""
+class LoadGenerator:
+    """Sends open-loop traffic of `rate` requests per second to one program's port until `stop`."""
 
     def __init__(
         self, port: int, judge: Judge, deadlines_s: dict[str, float], rng: random.Random, rate: float
@@ -34,24 +37,24 @@
         self.rate = rate
         self.idle: list[Line] = []
         self.allowance = Allowance(MAX_CONNECTIONS)
-        self.dial_until = float("inf")  # no new connections later
-        self.alive = True
+        self.connect_until = float("inf")  # monotonic time after which no connections are opened
+        self.running = True
         self.errands = Errands()
-        self.numbers = count()
+        self.request_numbers = count()
 
     async def run(self) -> None:
         due = time.monotonic()
-        while self.alive:
+        while self.running:
             due += self.rng.expovariate(self.rate)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            if self.alive:
-                self.errands.begin(self._ask())
+            if self.running:
+                self.errands.begin(self._send_request())
 
     def stop(self) -> None:
-        self.alive = False
+        self.running = False
 
-    def ended(self) -> None:
-        """The program has ended: nothing kept leads anywhere."""
+    def program_exited(self) -> None:
+        """Close the idle connections, whose peer process has exited."""
         for line in self.idle:
             line.close()
         self.idle.clear()
@@ -61,93 +64,93 @@
 
     # One request
 
-    async def _ask(self) -> None:
-        effect = self.rng.choice(sorted(self.deadlines_s))
-        call_id = f"{effect}-{next(self.numbers):05d}"
-        budget_s = self.deadlines_s[effect] * self.rng.uniform(0.6, 1.0)
-        key = f"k-{call_id}" if effect == "keyed" else ""
-        text = self._text(effect, call_id, key, budget_s)
+    async def _send_request(self) -> None:
+        class_name = self.rng.choice(sorted(self.deadlines_s))
+        call_id = f"{class_name}-{next(self.request_numbers):05d}"
+        budget_s = self.deadlines_s[class_name] * self.rng.uniform(0.6, 1.0)
+        key = f"k-{call_id}" if class_name == "keyed" else ""
+        payload = self._encode(class_name, call_id, key, budget_s)
         sent = self.judge.ledger.sends(call_id, key, time.monotonic(), int(budget_s * 1000) / 1000, True)
-        for _ in range(MAX_SENDINGS):
-            line, kept = await self._line()
+        for _ in range(MAX_SENDS):
+            line, reused = await self._connection()
             if line is None:
-                break  # nobody took it
-            ended_unread = await self._exchange(line, text, sent)
-            if not (kept and ended_unread):
+                break  # no connection could be opened
+            ended_unanswered = await self._exchange(line, payload, sent)
+            if not (reused and ended_unanswered):
                 return
-            self.judge.unread.add(call_id)
+            self.judge.closed_unread.add(call_id)
         sent.gone = True
 
     @staticmethod
-    def _text(effect: str, call_id: str, key: str, budget_s: float) -> bytes:
+    def _encode(class_name: str, call_id: str, key: str, budget_s: float) -> bytes:
         headers = {
             "Host": "backend.local",
             "X-Call-Id": call_id,
-            "X-Call-Class": effect,
+            "X-Call-Class": class_name,
             "X-Caller": "t0",
             "X-Budget-Ms": str(int(budget_s * 1000)),
         }
         if key:
             headers["Idempotency-Key"] = key
-        safe = effect == "safe"
+        safe = class_name == "safe"
         return request("GET" if safe else "POST", "/api?user=u1", headers, b"" if safe else b"{}")
 
-    async def _line(self) -> tuple[Line | None, bool]:
-        """A connection, the freshest idle one or else a new one, and whether it was kept."""
+    async def _connection(self) -> tuple[Line | None, bool]:
+        """Return the most recently used idle connection or else a new one, and whether it was kept."""
         while self.idle:
             line = self.idle.pop()
             if not line.ended():
                 return line, True
             line.close()
-        if time.monotonic() <= self.dial_until:
+        if time.monotonic() <= self.connect_until:
             with contextlib.suppress(OSError, TimeoutError):
                 return await Line.dial(self.port, self.allowance), False
         return None, False
 
-    async def _exchange(self, line: Line, text: bytes, sent: Sent) -> bool:
-        """Whether the connection ended with nothing of an answer, before its client gave up."""
-        leaves = self.rng.random() < LEAVES
+    async def _exchange(self, line: Line, payload: bytes, sent: Sent) -> bool:
+        """Send a request and read its answer; true where the peer closed the connection without an answer."""
+        abandons = self.rng.random() < ABANDON_SHARE
         try:
-            await self._write(line, text, sent)
-            patience_s = sent.budget_s + PATIENCE_S
-            if leaves:
-                patience_s = self.rng.uniform(0.0, sent.budget_s)
-            answer = await asyncio.wait_for(read_message(line.reader), patience_s)
+            await self._write(line, payload, sent)
+            timeout_s = sent.budget_s + ANSWER_TIMEOUT_MARGIN_S
+            if abandons:
+                timeout_s = self.rng.uniform(0.0, sent.budget_s)
+            answer = await asyncio.wait_for(read_message(line.reader), timeout_s)
         except TimeoutError:
             line.close()
-            if leaves:
+            if abandons:
                 sent.gone = True
-                self.judge.left_at[sent.id] = time.monotonic()
+                self.judge.client_closed_at[sent.id] = time.monotonic()
             return False
         except (OSError, WireError, asyncio.IncompleteReadError):
             answer = None
         if answer is None:
             line.close()
             return True
-        self._note(sent, answer)
+        self._record(sent, answer)
         if answer.closes:
             line.close()
         else:
             self.idle.append(line)
         return False
 
-    async def _write(self, line: Line, text: bytes, sent: Sent) -> None:
-        if self.rng.random() < PIECES:
-            cut = self.rng.randrange(1, len(text))
-            line.writer.write(text[:cut])
+    async def _write(self, line: Line, payload: bytes, sent: Sent) -> None:
+        if self.rng.random() < SPLIT_SHARE:
+            split_at = self.rng.randrange(1, len(payload))
+            line.writer.write(payload[:split_at])
             await asyncio.sleep(self.rng.uniform(0.0, 0.05))
-            text = text[cut:]
-        line.writer.write(text)
+            payload = payload[split_at:]
+        line.writer.write(payload)
         sent.at = time.monotonic()
         sent.written = True
 
-    def _note(self, sent: Sent, answer: Message) -> None:
+    def _record(self, sent: Sent, answer: Message) -> None:
         now = time.monotonic()
         final: Final = "failed"
         mark = ""
         if answer.status == 200:
-            call_id, _, found = answer.body.decode("latin-1").partition(" ")
-            final, mark = "served", found if call_id == sent.id else ""
+            call_id, _, body_mark = answer.body.decode("latin-1").partition(" ")
+            final, mark = "served", body_mark if call_id == sent.id else ""
         elif answer.status in (429, 503):
             final = "refused"
         self.judge.ledger.answered(sent.id, final, now, mark)
--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -1,7 +1,7 @@
-"""What the soak's peers saw, and which rules that broke; times are seconds of one monotonic clock.
+"""Checks of a soak run on what its clients and servers recorded; times are seconds of one monotonic clock.
 
-All peers live in one process, which may be held up itself: the longest delay that a play saw of its own loop
-(`lag_s`) is added to every bound in time, and told with the verdict.
+All peers run in one process, whose event loop may lag: the longest delay of the loop during a run (`lag_s`)
+is added to every time bound and reported with the verdict.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from standins.ledger import Ledger, Sent
 from standins.wire import Message
 
-LATE_S = 0.5  # after a request's time: its answer earns nothing, and later it is lost
-LEFT_S = 0.1  # after its client left nothing may begin for a request
-TOLD_S = 0.15  # that a server may be told of more than the client has left
-HEARTBEAT_S = 0.02
-READY_MOST_S = 10.0
+MAX_ANSWER_DELAY_S = 0.5  # an answer later than this after the deadline breaks the rule `late`
+MAX_ARRIVAL_AFTER_CLOSE_S = 0.1  # an attempt that reaches a server later after its client's close is a fault
+MAX_BUDGET_EXCESS_S = 0.15  # by which the budget sent to a server may exceed the client's remaining time
+LAG_SAMPLE_S = 0.02
+MAX_READY_S = 10.0
 
 
 @dataclass
 class Verdict:
-    """One play: the faults, and the figures beside them."""
+    """The result of one run: broken rules, counts of requests and measured times."""
 
     faults: list[str]
     sent: int
@@ -32,7 +32,7 @@
     refused: int
     failed: int
     lag_s: float
-    killed: int
+    forced_kills: int
     ready_s: float
 
     def __str__(self) -> str:
@@ -42,39 +42,40 @@
 
 @dataclass
 class Judge:
-    """Takes in what clients and servers see."""
+    """Records what clients and servers observe in a run and derives its verdict."""
 
     ledger: Ledger
     lag_s: float = 0.0
-    left_at: dict[str, float] = field(default_factory=dict)  # by request: when its client closed
-    unread: set[str] = field(default_factory=set)  # closed unread on a kept connection: to be sent again
-    late_begins: list[tuple[str, float]] = field(default_factory=list)
-    told_too_much: list[tuple[str, float]] = field(default_factory=list)
+    client_closed_at: dict[str, float] = field(default_factory=dict)  # by request id
+    # Ids of requests whose kept connection was closed without an answer; their clients resend them.
+    closed_unread: set[str] = field(default_factory=set)
+    late_arrivals: list[tuple[str, float]] = field(default_factory=list)
+    budget_excesses: list[tuple[str, float]] = field(default_factory=list)
     exit_codes: list[int | None] = field(default_factory=list)
-    killed: int = 0
+    forced_kills: int = 0
     ready_s: float = 0.0
 
     async def watch_lag(self) -> None:
-        """Note how late this process's own loop gets, until it is cancelled."""
+        """Measure the lag of this process's event loop until cancelled."""
         due = time.monotonic()
         while True:
-            due += HEARTBEAT_S
+            due += LAG_SAMPLE_S
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            late = time.monotonic() - due
-            self.lag_s = max(self.lag_s, late)
+            delay_s = time.monotonic() - due
+            self.lag_s = max(self.lag_s, delay_s)
             due = max(due, time.monotonic())
 
-    def begins(self, call_id: str, told_s: float | None) -> None:
-        """A whole request is at a server, which was told that there are `told_s` seconds."""
+    def request_arrived(self, call_id: str, budget_s: float | None) -> None:
+        """Record that a server read a whole request whose budget header holds `budget_s` seconds."""
         now = time.monotonic()
-        left_at = self.left_at.get(call_id)
-        if left_at is not None and now > left_at + LEFT_S:
-            self.late_begins.append((call_id, now - left_at))
+        client_closed_at = self.client_closed_at.get(call_id)
+        if client_closed_at is not None and now > client_closed_at + MAX_ARRIVAL_AFTER_CLOSE_S:
+            self.late_arrivals.append((call_id, now - client_closed_at))
         sent = self.ledger.sent.get(call_id)
-        if sent is not None and told_s is not None and sent.written:
-            self.told_too_much.append((call_id, now + told_s - (sent.at + sent.budget_s)))
+        if sent is not None and budget_s is not None and sent.written:
+            self.budget_excesses.append((call_id, now + budget_s - (sent.at + sent.budget_s)))
 
-    # Judgement
+    # Verdict
 
     def verdict(self) -> Verdict:
         tally = self.ledger.tally()
@@ -85,57 +86,74 @@
             tally["refused"],
             tally["failed"],
             round(self.lag_s, 3),
-            self.killed,
+            self.forced_kills,
             self.ready_s,
         )
 
     def _faults(self) -> list[str]:
-        found: list[str] = []
+        faults: list[str] = []
 
-        def note(rule: str, cases: list[Any]) -> None:
+        def check(rule: str, cases: list[Any]) -> None:
             if cases:
-                found.append(f"{rule}: {len(cases)}, as {cases[0]}")
+                faults.append(f"{rule}: {len(cases)} cases, first: {cases[0]}")
 
         slack = self.lag_s
         sent = self.ledger.sent.values()
         broken_keys = set(self.ledger.twice())
-        note("no answer", self.ledger.missing())
-        note("late", [one.id for one in sent if self._late(one)])
-        note("wrong answer", self.ledger.wrong_answers)
-        note("answered twice", self.ledger.doubled())
-        note("ran, and its client does not know", [one.id for one in sent if self._unknown(one)])
-        note("run twice", [one for one in self.ledger.ran if self._twice(one, broken_keys)])
-        note("drain", [late for late in self.ledger.late_sends if late[2] > 0.5 + 0.05 + slack])
-        note("cold", [life.server for life in self.ledger.lives if self.ledger.pushed_over(life)])
-        note("after its client left", [one for one in self.late_begins if one[1] > LEFT_S + slack])
-        note("told too much time", [one for one in self.told_too_much if one[1] > TOLD_S + slack])
-        note("exit code", [code for code in self.exit_codes if code not in (0, -9)])
-        note("not ended by itself", [self.killed] if self.killed else [])
-        note("ready late", [self.ready_s] if self.ready_s > READY_MOST_S else [])
-        return found
-
-    def _late(self, one: Sent) -> bool:
-        return one.final is not None and one.final_at > one.at + one.budget_s + LATE_S + self.lag_s
-
-    def _unknown(self, one: Sent) -> bool:
-        """Run by a server while its client waited, and closed as if it had not been read."""
-        ran = one.id in self.ledger.ran and one.id not in self.left_at
-        return ran and one.final is None and one.id in self.unread
-
-    def _twice(self, call_id: str, broken_keys: set[str]) -> bool:
-        """Whether a request broke the rule of its class; `broken_keys` broke that of keyed ones."""
+        check("no answer", self.ledger.missing())
+        check("late", [request.id for request in sent if self._late(request)])
+        check("wrong answer", self.ledger.wrong_answers)
+        check("answered twice", self.ledger.doubled())
+        check(
+            "ran, but its client saw it closed unread",
+            [request.id for request in sent if self._ran_closed_unread(request)],
+        )
+        check(
+            "ran twice", [call_id for call_id in self.ledger.ran if self._ran_too_often(call_id, broken_keys)]
+        )
+        check("drain", [late for late in self.ledger.late_sends if late[2] > 0.5 + 0.05 + slack])
+        check("cold", [life.server for life in self.ledger.lives if self.ledger.pushed_over(life)])
+        check(
+            "reached a server after its client left",
+            [arrival for arrival in self.late_arrivals if arrival[1] > MAX_ARRIVAL_AFTER_CLOSE_S + slack],
+        )
+        check(
+            "budget sent to a server exceeds the time left",
+            [excess for excess in self.budget_excesses if excess[1] > MAX_BUDGET_EXCESS_S + slack],
+        )
+        check("exit code", [code for code in self.exit_codes if code not in (0, -9)])
+        check("still running at SIGKILL", [self.forced_kills] if self.forced_kills else [])
+        check("became ready late", [self.ready_s] if self.ready_s > MAX_READY_S else [])
+        return faults
+
+    def _late(self, request: Sent) -> bool:
+        return (
+            request.final is not None
+            and request.final_at > request.at + request.budget_s + MAX_ANSWER_DELAY_S + self.lag_s
+        )
+
+    def _ran_closed_unread(self, request: Sent) -> bool:
+        """Whether a server ran a request whose waiting client saw the connection closed without an answer."""
+        ran = request.id in self.ledger.ran and request.id not in self.client_closed_at
+        return ran and request.final is None and request.id in self.closed_unread
+
+    def _ran_too_often(self, call_id: str, broken_keys: set[str]) -> bool:
+        """Whether a request ran more often than its class allows.
+
+        `broken_keys` holds the ids of keyed requests whose idempotency key ran more than once.
+        """
         runs, sent = self.ledger.ran[call_id], self.ledger.sent[call_id]
-        effect = call_id.split("-")[0]
-        if effect == "safe":
+        class_name = call_id.split("-")[0]
+        if class_name == "safe":
             return False
         refused = sent.final == "refused" and any(run.at <= sent.final_at for run in runs)
-        if effect == "unsafe":
+        if class_name == "unsafe":
             return refused or len(runs) > 1
         return refused or call_id in broken_keys
 
 
 class WatchedServer(CheckServer):
-    """A check server that shows the judge each request's head."""
+    """A check server that reports the head of each request to the judge."""
 
     judge: Judge
 
@@ -148,7 +166,9 @@
         return watched
 
     async def _answer(self, message: Message) -> bytes:
-        told = message.headers.get("x-budget-ms")
+        budget_ms = message.headers.get("x-budget-ms")
         call_id = message.headers.get("x-call-id", "")
-        self.judge.begins(call_id, int(told) / 1000 if told and told.isdigit() else None)
+        self.judge.request_arrived(
+            call_id, int(budget_ms) / 1000 if budget_ms and budget_ms.isdigit() else None
+        )
         return await super()._answer(message)
