--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -101,25 +101,23 @@
         sent = self.ledger.sent.values()
         broken_keys = set(self.ledger.twice())
         check("no answer", self.ledger.missing())
-        check("late", [request.id for request in sent if self._late(request)])
+        check("late", [item.id for item in sent if self._late(item)])
         check("wrong answer", self.ledger.wrong_answers)
         check("answered twice", self.ledger.doubled())
         check(
             "ran, but its client saw it closed unread",
-            [request.id for request in sent if self._ran_closed_unread(request)],
-        )
-        check(
-            "ran twice", [call_id for call_id in self.ledger.ran if self._ran_too_often(call_id, broken_keys)]
+            [item.id for item in sent if self._ran_closed_unread(item)],
         )
+        check("ran twice", [item for item in self.ledger.ran if self._ran_too_often(item, broken_keys)])
         check("drain", [late for late in self.ledger.late_sends if late[2] > 0.5 + 0.05 + slack])
         check("cold", [life.server for life in self.ledger.lives if self.ledger.pushed_over(life)])
         check(
             "reached a server after its client left",
-            [arrival for arrival in self.late_arrivals if arrival[1] > MAX_ARRIVAL_AFTER_CLOSE_S + slack],
+            [item for item in self.late_arrivals if item[1] > MAX_ARRIVAL_AFTER_CLOSE_S + slack],
         )
         check(
             "budget sent to a server exceeds the time left",
-            [excess for excess in self.budget_excesses if excess[1] > MAX_BUDGET_EXCESS_S + slack],
+            [item for item in self.budget_excesses if item[1] > MAX_BUDGET_EXCESS_S + slack],
         )
         check("exit code", [code for code in self.exit_codes if code not in (0, -9)])
         check("still running at SIGKILL", [self.forced_kills] if self.forced_kills else [])
