--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -107,14 +107,14 @@
     def figures(self, fleet: Fleet) -> dict[str, Any]:
         ledger, ready = fleet.ledger, self.ready_at
         good, tries = ledger.in_time(AIM_S, ready, ready + 1.0)
-        able = min(tries, fleet.able(ready, ready + 1.0))
+        able = min(tries, fleet.server_capacity(ready, ready + 1.0))
         calls = [at for at in fleet.discovery.worked_times if self.killed_at <= at < self.until]
         return {
             "full_service_s": recovered_after(ledger, ready, AIM_S, self.until, FULL_SHARE),
             "first_second_share": round(good / max(1.0, able), 3),
             "first_second": f"{good} of {tries}, the servers could do {able:.0f}",
             "down_s": round(ready - self.killed_at, 2),
-            "dials_server_peak_100ms": fleet.dials_peak(0.1, self.killed_at, self.until),
+            "dials_server_peak_100ms": fleet.peak_dials(0.1, self.killed_at, self.until),
             "discovery_overrun_s": round(overrun_s(calls, CAPACITY), 2),
         } | (self.penalty(fleet) if self.ailing else {})
 
@@ -204,8 +204,8 @@
         "stale_sends": len(fleet.ledger.late_sends),
         "repeats_in_two_racks": two_racks,
         "repeats_that_nobody_could_know": excused,
-        "state_loads": fleet.logged("state: "),
-        "state_rejected": fleet.logged("is not used", "is broken", "cannot be read"),
+        "state_loads": fleet.count_log_lines("state: "),
+        "state_rejected": fleet.count_log_lines("is not used", "is broken", "cannot be read"),
     }
     if two_racks:
         report.unkept.append(f"{two_racks} keys ran in two racks, and their sidecars could know")
--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -52,7 +52,7 @@
 class FaultyStage(Stage):
     """A stage whose servers have failing connections; keeps those that have gone, for the count."""
 
-    def _server(self, number: int) -> FaultyServer:
+    def _new_server(self, number: int) -> FaultyServer:
         rack = self.racks[number % len(self.racks)]
         rng = random.Random(self.rng.getrandbits(32))
         server = FaultyServer(
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -1,6 +1,6 @@
-"""The fleet's stage: many real processes, a link for every pair, faults by schedule.
+"""Test cluster of many real processes with a simulated link between each pair and scheduled faults.
 
-Everything random comes from the seed; the schedule that was drawn is printed and can be replayed.
+All randomness comes from the seed; the resolved schedule is printed and can be replayed.
 """
 
 from __future__ import annotations
@@ -14,8 +14,17 @@
 from pathlib import Path
 from typing import Any
 
-from rigs.schedule import GROUP_VERBS, LINK_VERBS, OTHER_VERBS, Fault, drawn, ends, read, written
-from rigs.stage import NOTICE_S, Stage, now
+from rigs.schedule import (
+    GROUP_VERBS,
+    LINK_VERBS,
+    OTHER_VERBS,
+    Fault,
+    format_schedule,
+    parse_link,
+    parse_schedule,
+    resolve,
+)
+from rigs.stage import DISCOVERY_DELAY_S, Stage, now
 from standins.check_server import CheckServer
 from standins.clients import Allowance, Application, Habits
 from standins.discovery import Member, Mood, View
@@ -24,34 +33,34 @@
 from standins.platform import ROOT, Program, settings
 
 SOCKETS = 256
-LONG_BYTES = 100 * 1024 * 1024
-KEPT_S = 1.5  # before a kill, by which what was told is in the state that is kept every half second
+OVERSIZED_BYTES = 100 * 1024 * 1024
+STATE_SAVED_S = 1.5  # an update older than this at a kill is in the state, which is saved every 0.5 s
 
 
 @dataclass
 class Node:
-    """One program of the fleet, its application, and what it sees of the others."""
+    """One program of the fleet with its application, its links and its view of discovery."""
 
     name: str
     program: Program
     view: View
     application: Application
-    links: dict[str, Link] = field(default_factory=dict)  # by `d` or the port of a server
+    links: dict[str, Link] = field(default_factory=dict)  # by `d` (discovery) or the port of a server
     ready_at: float = 0.0
     killed_at: float = 0.0
     down: bool = False
-    known: dict[str, Any] = field(default_factory=dict)
-    state_lost: bool = False  # or spoilt, since it was killed
-    losses: list[float] = field(default_factory=list)  # when it was
-    starts_s: list[float] = field(default_factory=list)  # from each start to ready
-    turn: asyncio.Lock = field(default_factory=asyncio.Lock)  # a kill waits for a start that is under way
+    initial_list: dict[str, Any] = field(default_factory=dict)
+    state_lost: bool = False  # whether the state files were changed since the kill
+    state_loss_times: list[float] = field(default_factory=list)  # times of `record_state_loss`
+    starts_s: list[float] = field(default_factory=list)  # duration of each start until ready
+    lifecycle: asyncio.Lock = field(default_factory=asyncio.Lock)  # serializes kills and starts
 
-    def loses_state(self) -> None:
+    def record_state_loss(self) -> None:
         self.state_lost = True
-        self.losses.append(now())
+        self.state_loss_times.append(now())
 
     def rewrite(self, member: Member) -> Member:
-        """A server's entry with the address of this program's link to it."""
+        """Return a server's entry with its address replaced by that of this program's link to it."""
         port = member["host_port"].rpartition(":")[2]
         link = self.links.get(port)
         return member | {"host_port": f"127.0.0.1:{link.port}"} if link is not None else member
@@ -59,39 +68,39 @@
 
 @dataclass
 class Plan:
-    """What a fleet is: sizes, rates and habits."""
+    """Sizes, rates and client behaviour of a fleet."""
 
     programs: int = 24
-    later: int = 0  # of those, so many are not started with the others
-    told_size: int = 0  # as the settings tell it; 0: as it is
+    later: int = 0  # how many of the programs are not started with the others
+    told_size: int = 0  # fleet size in the settings; 0: the real one
     servers: int = 12
-    rate: float = 160.0  # first tries a second, of all
+    rate: float = 160.0  # first tries per second, of all applications
     ramp_s: float = 6.0
     work_s: float = 0.08
-    capacity: float = 0.0  # calls to discovery a second
+    capacity: float = 0.0  # calls per second that discovery handles
     retries: int = 2
-    honours: float = 0.0  # share of the applications that wait as they are advised
+    honours: float = 0.0  # share of the applications that obey Retry-After
     retry_after: bool = False
-    operator: str = ""  # the text of the operator's file; empty: none
-    root: Path = ROOT  # of the checkout that is run
+    operator: str = ""  # content of the operator file; empty: no file
+    root: Path = ROOT  # of the checkout whose program runs
 
 
 class Fleet(Stage):
-    """N programs over one set of peers."""
+    """A test cluster of several programs over one set of servers and one discovery."""
 
     def __init__(self, seed: int, plan: Plan) -> None:
         super().__init__(seed, plan.servers, SOCKETS, ramp_s=plan.ramp_s, work_s=plan.work_s)
         self.plan = plan
         self.discovery.capacity = plan.capacity
-        self.every = list(self.servers)  # also those that have gone
+        self.every = list(self.servers)  # including replaced and drained ones
         self.nodes: dict[str, Node] = {}
 
     # Opening and closing
 
     async def open(self) -> None:
-        """All peers and all programs are up."""
+        """Start all peers and all programs."""
         for number in range(self.plan.programs):
-            self._node(f"n{number}")
+            self._add_node(f"n{number}")
         await self.open_peers()
         for node in self.nodes.values():
             node.links["d"] = await Link(f"{node.name}-d", node.view.port).open()
@@ -101,20 +110,20 @@
         self.discovery.publish(server.member() for server in self.servers)
         for node in self.nodes.values():
             node.view.known_at.clear()
-            node.known = self.discovery.snapshot(node.view)
+            node.initial_list = self.discovery.snapshot(node.view)
         await self.meet()
         first = list(self.nodes.values())[: self.plan.programs - self.plan.later]
         await asyncio.gather(*(self._start(node) for node in first))
 
     async def meet(self) -> None:
-        """All programs are known and none has started: what lies between them is made."""
+        """Hook for subclasses: create the links between the programs, before any of them starts."""
 
-    def _node(self, name: str) -> None:
+    def _add_node(self, name: str) -> None:
         plan, number = self.plan, len(self.nodes)
-        facts = settings(plan.told_size or plan.programs, plan.ramp_s, plan.retry_after)
-        facts["slotNo"] = number
+        document = settings(plan.told_size or plan.programs, plan.ramp_s, plan.retry_after)
+        document["slotNo"] = number
         seed = self.rng.getrandbits(32)
-        program = Program(0, seed, {}, facts, self.sockets, root=plan.root, name=name)
+        program = Program(0, seed, {}, document, self.sockets, root=plan.root, name=name)
         if plan.operator:
             file = Path(program.folder.name) / "operator.toml"
             file.write_text(plan.operator)
@@ -133,7 +142,7 @@
         self.nodes[name] = node
 
     async def _connect(self, server: CheckServer) -> None:
-        """A link from every program to this server."""
+        """Open a link from every program to this server."""
         port = str(server.port)
         for node in self.nodes.values():
             if port not in node.links:
@@ -145,9 +154,9 @@
             node.links[str(server.port)].shut()
 
     async def _start(self, node: Node) -> None:
-        node.program.told["known"] = node.known
-        kept = self.plan.operator and not node.state_lost
-        self.discovery.begins_anew(node.view, node.killed_at - KEPT_S if kept else float("-inf"))
+        node.program.told["known"] = node.initial_list
+        state_kept = self.plan.operator and not node.state_lost
+        self.discovery.begins_anew(node.view, node.killed_at - STATE_SAVED_S if state_kept else float("-inf"))
         node.state_lost = False
         began = now()
         await node.program.start()
@@ -156,9 +165,9 @@
         node.starts_s.append(node.ready_at - began)
 
     async def close(self) -> list[int]:
-        """The programs' exit codes."""
-        began = [node.program for node in self.nodes.values() if node.program.process is not None]
-        codes = await asyncio.gather(*(program.stop() for program in began))
+        """Stop all programs and peers; returns the programs' exit codes."""
+        started = [node.program for node in self.nodes.values() if node.program.process is not None]
+        codes = await asyncio.gather(*(program.stop() for program in started))
         for node in self.nodes.values():
             node.program.cleanup()
             for link in node.links.values():
@@ -171,7 +180,7 @@
     # Sending
 
     async def send(self, seconds: float) -> None:
-        """All applications at their rates, while the schedule is played."""
+        """Run all applications at their rates for `seconds`."""
         await asyncio.gather(*(node.application.run(seconds) for node in self.nodes.values()))
 
     async def settle(self) -> None:
@@ -180,69 +189,71 @@
     # The schedule
 
     def draw(self, text: str) -> list[Fault]:
-        """Read a schedule and give its parties names."""
+        """Parse a schedule and replace each `N of M` by drawn names."""
         parties = {"n": list(self.nodes), "s": [server.name for server in self.servers]}
-        return drawn(read(text), self.rng, parties)
+        return resolve(parse_schedule(text), self.rng, parties)
 
     async def play(self, schedule: list[Fault]) -> None:
-        """Carry out faults at their times; returns when the last has ended."""
-        self.progress.say("schedule:\n" + written(schedule))
-        begins = now()
-        await asyncio.gather(*(self._at(begins, fault) for fault in schedule))
+        """Inject the faults at their times; returns when the last has ended."""
+        self.progress.say("schedule:\n" + format_schedule(schedule))
+        started_at = now()
+        await asyncio.gather(*(self._at(started_at, fault) for fault in schedule))
 
-    async def _at(self, begins: float, fault: Fault) -> None:
-        await asyncio.sleep(max(0.0, begins + fault.at - now()))
+    async def _at(self, started_at: float, fault: Fault) -> None:
+        await asyncio.sleep(max(0.0, started_at + fault.at - now()))
         self.progress.say(str(fault))
         verb = fault.verb.replace("-", "_")
         if fault.verb in LINK_VERBS:
-            await self._on_links(fault)
+            await self._apply_link_fault(fault)
         elif fault.verb in OTHER_VERBS + GROUP_VERBS:
             await getattr(self, f"do_{verb}")(fault)
         else:
-            who = fault.who if fault.who != ("all",) else [n for n, node in self.nodes.items() if node.down]
-            await asyncio.gather(*(getattr(self, f"do_{verb}")(one, fault) for one in who))
+            targets = (
+                fault.who if fault.who != ("all",) else [n for n, node in self.nodes.items() if node.down]
+            )
+            await asyncio.gather(*(getattr(self, f"do_{verb}")(target, fault) for target in targets))
 
     # Programs
 
     async def do_kill(self, name: str, fault: Fault) -> None:
         node = self.nodes[name]
-        async with node.turn:
+        async with node.lifecycle:
             node.down, node.killed_at = True, now()
-            node.known = self.discovery.snapshot(node.view)
+            node.initial_list = self.discovery.snapshot(node.view)
             for sent in self.ledger.sent.values():
                 if sent.via == name and sent.final is None and sent.written:
-                    sent.gone = True  # it was held by the process that is killed
+                    sent.gone = True  # the killed process held the request
             await node.program.kill()
 
     async def do_start(self, name: str, fault: Fault) -> None:
         node = self.nodes[name]
-        async with node.turn:
+        async with node.lifecycle:
             if node.down:
                 await self._start(node)
 
     async def do_end(self, name: str, fault: Fault) -> None:
-        """A planned restart."""
+        """Restart a program gracefully."""
         node = self.nodes[name]
-        async with node.turn:
+        async with node.lifecycle:
             await node.program.stop()
-            node.known = self.discovery.snapshot(node.view)
+            node.initial_list = self.discovery.snapshot(node.view)
             await self._start(node)
 
     async def do_stall(self, name: str, fault: Fault) -> None:
         await self.nodes[name].program.pause(fault.for_s)
 
     async def do_lose_state(self, name: str, fault: Fault) -> None:
-        self.nodes[name].loses_state()
-        self._state_files(name, lambda file: os.unlink(file))
+        self.nodes[name].record_state_loss()
+        self._change_state_files(name, lambda file: os.unlink(file))
 
     async def do_old_state(self, name: str, fault: Fault) -> None:
-        self.nodes[name].loses_state()
+        self.nodes[name].record_state_loss()
         kept = self.nodes[name].program.state.parent / "kept"
         if kept.is_dir():
             shutil.copytree(kept, self.nodes[name].program.state, dirs_exist_ok=True)
 
     def set_state_aside(self) -> None:
-        """Keep a copy of what every program has now, for `old-state`; what is still being written is none."""
+        """Copy the state files of every program for `old-state`, except files still being written."""
         for node in self.nodes.values():
             kept = node.program.state.parent / "kept"
             kept.mkdir(exist_ok=True)
@@ -251,31 +262,32 @@
                     shutil.copyfile(file, kept / file.name)
 
     async def do_swap_state(self, name: str, fault: Fault) -> None:
-        """It finds the next program's state."""
+        """Replace the program's state files by those of the next program."""
         names = list(self.nodes)
         other = self.nodes[names[(names.index(name) + 1) % len(names)]].program
         own = self.nodes[name].program.state
-        self.nodes[name].loses_state()
-        self._state_files(name, lambda file: os.unlink(file))
+        self.nodes[name].record_state_loss()
+        self._change_state_files(name, lambda file: os.unlink(file))
         for file in other.state.iterdir():
             own_name = file.name.replace(f"-{other.told['name']}", f"-{name}", 1)
             shutil.copyfile(file, own / own_name)
 
     async def do_spoil_state(self, name: str, fault: Fault) -> None:
-        """A bit of each file is flipped, or it is cut, or has become very long."""
-        self.nodes[name].loses_state()
-        self._state_files(name, self._spoil)
+        """Corrupt each state file: flip a bit, truncate it, or extend it to `OVERSIZED_BYTES`."""
+        self.nodes[name].record_state_loss()
+        self._change_state_files(name, self._corrupt)
 
-    def _spoil(self, file: Path) -> None:
-        size, way = file.stat().st_size, self.rng.randrange(3)
-        if way == 0 and size:
+    def _corrupt(self, file: Path) -> None:
+        size, kind = file.stat().st_size, self.rng.randrange(3)
+        if kind == 0 and size:
             data = bytearray(file.read_bytes())
             data[self.rng.randrange(size)] ^= 1 << self.rng.randrange(8)
             file.write_bytes(data)
         else:
-            os.truncate(file, size // 2 if way == 1 else LONG_BYTES)  # sparse: it takes no room
+            # Extending creates a sparse file, which needs no disk space.
+            os.truncate(file, size // 2 if kind == 1 else OVERSIZED_BYTES)
 
-    def _state_files(self, name: str, change: Any) -> None:
+    def _change_state_files(self, name: str, change: Any) -> None:
         for file in self.nodes[name].program.state.iterdir():
             if file.is_file():
                 change(file)
@@ -283,18 +295,18 @@
     # Links
 
     def links_of(self, words: str) -> list[tuple[Link, tuple[Way, ...]]]:
-        """The links that a schedule's word names, with the ways that are meant."""
-        one, other, both = ends(words)
-        turned = not one.startswith("n")
-        program, peer = (other, one) if turned else (one, other)
-        ways = tuple(Way) if both else ((Way.BACK,) if turned else (Way.OUT,))
+        """Return the links that a schedule's word names, with the affected directions."""
+        first, second, both = parse_link(words)
+        reverse = not first.startswith("n")
+        program, peer = (second, first) if reverse else (first, second)
+        ways = tuple(Way) if both else ((Way.BACK,) if reverse else (Way.OUT,))
         node = self.nodes[program]
         key = "d" if peer == "d" else next((str(s.port) for s in self.every if s.name == peer), "")
         return [(node.links[key], ways)] if key in node.links else []
 
-    async def _on_links(self, fault: Fault) -> None:
-        touched = [pair for words in fault.who for pair in self.links_of(words)]
-        for link, ways in touched:
+    async def _apply_link_fault(self, fault: Fault) -> None:
+        affected = [pair for words in fault.who for pair in self.links_of(words)]
+        for link, ways in affected:
             if fault.verb == "cut":
                 link.cut()
             for way in ways:
@@ -302,7 +314,7 @@
                 link.faults[way].dropped |= fault.verb == "drop"
                 link.faults[way].delay_s = fault.by_s
         await asyncio.sleep(fault.for_s)
-        for link, _ in touched:
+        for link, _ in affected:
             await link.mend()
 
     # Servers
@@ -311,12 +323,12 @@
         return next(server for server in self.every if server.name == name)
 
     async def do_replace(self, name: str, fault: Fault, reuse: bool = False) -> None:
-        """A server dies at once, and a new one comes cold in its place; discovery tells of both."""
+        """Crash a server and start a new, cold one in its place; discovery publishes both changes."""
         old = self.server_named(name)
         old.crash()
         self._disconnect(old)
-        new = self._server(self.names)
-        self.names += 1
+        new = self._new_server(self.next_server_number)
+        self.next_server_number += 1
         new.rack = old.rack
         if reuse:
             new.port = old.port
@@ -324,10 +336,10 @@
         await self._connect(new)
         self.servers[self.servers.index(old)] = new
         self.every.append(new)
-        await asyncio.sleep(NOTICE_S if not self._everybody_is_down() else 0.1)
+        await asyncio.sleep(DISCOVERY_DELAY_S if not self._all_programs_down() else 0.1)
         self.discovery.publish([new.member(), old.member("DELETED")])
 
-    def _everybody_is_down(self) -> bool:
+    def _all_programs_down(self) -> bool:
         return all(node.down for node in self.nodes.values())
 
     async def do_reuse(self, name: str, fault: Fault) -> None:
@@ -340,11 +352,11 @@
         await asyncio.sleep(fault.for_s)
         await server.start(cold=True)
         await self._connect(server)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(DISCOVERY_DELAY_S)
         self.discovery.publish([server.member()])
 
     async def do_drain(self, name: str, fault: Fault) -> None:
-        """It turns new work away from now on, and is told of; then it is gone."""
+        """Mark a server as draining, publish that, and remove it after the fault's duration."""
         server = self.server_named(name)
         server.draining = True
         self.discovery.publish([server.member("DRAINING")])
@@ -367,8 +379,8 @@
 
     # Figures
 
-    def able(self, since: float, until: float) -> float:
-        """Requests that the servers could do in a span, by their warmth."""
+    def server_capacity(self, since: float, until: float) -> float:
+        """Number of requests that the servers can handle between two times, given their slow start."""
         return sum(
             self.ledger.able(server.life, since, until) / server.work_s
             for server in self.servers
@@ -376,36 +388,36 @@
         )
 
     def ready_within_s(self, share: float) -> float:
-        """The time within which this share of all starts were ready; the first of each program is none."""
-        took = sorted(took for node in self.nodes.values() for took in node.starts_s[1:])
-        return took[min(len(took) - 1, int(share * len(took)))] if took else 0.0
+        """Quantile `share` of the start durations, without the first start of each program."""
+        seconds = sorted(seconds for node in self.nodes.values() for seconds in node.starts_s[1:])
+        return seconds[min(len(seconds) - 1, int(share * len(seconds)))] if seconds else 0.0
 
     def repeats_in_two_racks(self) -> tuple[int, int]:
-        """Keys that ran in two racks; and of those that did, the ones whose sidecar could not know of it.
+        """Count the keys that ran in two racks: avoidable for their sidecar, and unavoidable.
 
-        It can't where its state was lost or spoilt between two tries.
+        A repeat in another rack is unavoidable where the state was lost or corrupted between two tries.
         """
         by_key: dict[str, list[Sent]] = {}
         for sent in self.ledger.sent.values():
             by_key.setdefault(sent.key, []).append(sent)
-        known = unknown = 0
+        avoidable = unavoidable = 0
         for tries in by_key.values():
             cells = {run.cell for sent in tries for run in self.ledger.ran.get(sent.id, ())}
             if len(cells) > 1:
                 first, last = min(sent.at for sent in tries), max(sent.at for sent in tries)
-                losses = [at for sent in tries for at in self.nodes[sent.via].losses]
+                losses = [at for sent in tries for at in self.nodes[sent.via].state_loss_times]
                 excused = any(first <= at <= last for at in losses)
-                unknown += excused
-                known += not excused
-        return known, unknown
+                unavoidable += excused
+                avoidable += not excused
+        return avoidable, unavoidable
 
-    def logged(self, *words: str) -> int:
-        """How many lines of all programs' logs hold one of these."""
+    def count_log_lines(self, *words: str) -> int:
+        """Count the lines of all programs' logs that contain one of `words`."""
         lines = [line for node in self.nodes.values() for line in node.program.log.read_text().splitlines()]
         return sum(any(word in line for word in words) for line in lines)
 
-    def dials_peak(self, window_s: float, since: float, until: float) -> int:
-        """The most dials at one server within such a window, from all programs."""
+    def peak_dials(self, window_s: float, since: float, until: float) -> int:
+        """Maximum number of connections opened to one server within `window_s`, from all programs."""
         by_port: dict[str, list[float]] = {}
         for node in self.nodes.values():
             for port, link in node.links.items():
@@ -415,7 +427,7 @@
 
 
 def overrun_s(times: list[float], capacity: float) -> float:
-    """The longest backlog, in seconds of work, that calls at these times make at such a capacity."""
+    """Longest backlog, in seconds of work, of calls at these times with `capacity` calls per second."""
     backlog, last, worst = 0.0, 0.0, 0.0
     for at in sorted(times):
         backlog = max(0.0, backlog - (at - last)) + 1.0 / capacity
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -33,7 +33,7 @@
 
 
 class GrpcStage(Stage):
-    def _server(self, number: int) -> GrpcCheckServer:
+    def _new_server(self, number: int) -> GrpcCheckServer:
         rack = self.racks[number % len(self.racks)]
         rng = random.Random(self.rng.getrandbits(32))
         return GrpcCheckServer(f"s{number}", rack, self.ledger, rng, self.work_s, self.ramp_s)
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -1,4 +1,4 @@
-"""What rigs share: a small estate of check servers, a discovery and the real program before them."""
+"""Test cluster shared by the rigs: check servers, a discovery server and the real program before them."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     settings,
 )
 
-LOOK_S = 0.25
-NOTICE_S = 0.8  # from a fact to its news
+POLL_INTERVAL_S = 0.25
+DISCOVERY_DELAY_S = 0.8  # from a change of a server to its publication
 
 
 class Stage:
-    """The peers of one rig; everything random comes from its seed."""
+    """The program and the peers of one rig; all randomness comes from `seed`."""
 
     def __init__(
         self,
@@ -53,12 +53,12 @@
         self.discovery = Discovery(self.ledger)
         self.allowance = Allowance(sockets // 3)
         self.racks = [Rack(cell, WINDOW_S) for cell in range(max(1, servers // 3))]
-        self.servers = [self._server(number) for number in range(servers)]
-        self.names = servers
+        self.servers = [self._new_server(number) for number in range(servers)]
+        self.next_server_number = servers
         self.program: Program | None = None
-        self.listed = True  # whether discovery tells of the servers
+        self.listed = True  # whether discovery publishes the servers
 
-    def _server(self, number: int) -> CheckServer:
+    def _new_server(self, number: int) -> CheckServer:
         rack = self.racks[number % len(self.racks)]
         rng = random.Random(self.rng.getrandbits(32))
         return CheckServer(
@@ -66,25 +66,25 @@
         )
 
     async def open_peers(self) -> None:
-        """The check servers and discovery listen."""
+        """Start the check servers and discovery."""
         for server in self.servers:
             await server.start()
         await self.discovery.start()
 
     async def up(
-        self, facts: dict[str, Any] | None = None, environment: dict[str, str] | None = None
+        self, document: dict[str, Any] | None = None, environment: dict[str, str] | None = None
     ) -> Program:
-        """The program runs before its peers, which are opened where they are not yet."""
+        """Start the program, and its peers first where they do not run yet."""
         if not self.discovery.port:
             await self.open_peers()
         if self.listed:
             self.discovery.publish(server.member() for server in self.servers)
-        self.discovery.known_at.clear()  # the program begins with this list
+        self.discovery.known_at.clear()  # the program starts with this list
         self.program = Program(
             self.discovery.port,
             self.rng.getrandbits(32),
             self.discovery.snapshot(),
-            facts or settings(ramp_s=self.ramp_s),
+            document or settings(ramp_s=self.ramp_s),
             sockets=self.sockets,
             environment=environment,
         )
@@ -110,7 +110,7 @@
         return Guests(name, self.program.port, self.ledger, self.allowance, rng)
 
     def give_up_open(self) -> None:
-        """The program is about to be killed: what its own front holds is the client's to retry."""
+        """Mark unanswered HTTP/1.1 requests as lost, before a kill; their clients have to retry."""
         for sent in self.ledger.sent.values():
             if sent.final is None and sent.id.startswith("http-"):
                 sent.gone = True
@@ -118,19 +118,19 @@
     # Faults
 
     async def outage(self, servers: list[CheckServer], seconds: float) -> None:
-        """These die at once and come back cold, as new lives of the same entries."""
+        """Crash servers at once and restart them cold after `seconds`, under the same entries."""
         for server in servers:
             server.crash()
         await asyncio.sleep(seconds)
         for server in servers:
             await server.start(cold=True)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(DISCOVERY_DELAY_S)
         self.discovery.publish(server.member() for server in servers)
 
     async def replace(self, server: CheckServer) -> CheckServer:
-        """One step of a rolling release: a new server comes, the old one drains and goes."""
-        new = self._server(self.names)
-        self.names += 1
+        """One step of a rolling release: start a new server, then drain and remove the old one."""
+        new = self._new_server(self.next_server_number)
+        self.next_server_number += 1
         await new.start(cold=True)
         self.servers.append(new)
         await asyncio.sleep(0.2)
@@ -143,10 +143,10 @@
         return new
 
     async def watch(self, waits_s: float) -> None:
-        """Keep the book of what counts as told, for as long as it is not cancelled."""
+        """Until cancelled, record which published changes the program should have by now."""
         while True:
             self.discovery.deem_told(waits_s)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 @contextlib.asynccontextmanager
@@ -163,9 +163,9 @@
 def recovered_after(
     ledger: Ledger, cause_ended: float, aim_s: float, until: float, share: float = 0.9
 ) -> float:
-    """Seconds from a cause's end to the first half second from which on first tries are served in time.
+    """Seconds from the end of a cause until the share of first tries served in time stays at `share`.
 
-    Windows of half a second, with at least 5 first tries, must hold from there to `until`.
+    The share is taken over windows of 0.5 s; windows with fewer than 5 first tries are ignored.
     """
     width = 0.5
     last_bad = cause_ended
@@ -178,18 +178,21 @@
     return last_bad - cause_ended
 
 
-class Lasting(Protocol):
-    """A part of a play; a frozen dataclass."""
+class Timed(Protocol):
+    """An act of a rig with a duration; a frozen dataclass."""
 
     @property
     def seconds(self) -> float: ...
 
 
-A = TypeVar("A", bound=Lasting)
+A = TypeVar("A", bound=Timed)
 
 
 def fitting(acts: Sequence[A], calm_s: float, seconds: float | None, least_s: float) -> list[A]:
-    """All acts; where `seconds` is given the first, at least so long, and those that fit behind it."""
+    """Select the acts that fit into `seconds`; all of them where it is None.
+
+    The first act is always included and lasts at least `least_s`.
+    """
     if seconds is None:
         return list(acts)
     first: Any = acts[0]
--- a/tests/rigs/test_schedule.py
+++ b/tests/rigs/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: text and faults are one another's, what is no fault is refused, and a seed draws the same."""
+"""Schedules: the text form round-trips, invalid lines are rejected, and a seed resolves the same targets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from rigs.fleet import overrun_s
-from rigs.schedule import ScheduleError, drawn, ends, parse, read, written
+from rigs.schedule import ScheduleError, format_schedule, parse_fault, parse_link, parse_schedule, resolve
 from standins.ledger import peak
 
 TEXT = """
@@ -27,17 +27,17 @@
 
 
 def test_what_is_written_is_read_back_in_the_order_of_its_times() -> None:
-    schedule = read(TEXT)
+    schedule = parse_schedule(TEXT)
     assert [fault.at for fault in schedule] == sorted(fault.at for fault in schedule)
-    assert read(written(schedule)) == schedule
+    assert parse_schedule(format_schedule(schedule)) == schedule
 
 
 def test_a_seed_draws_the_same_parties_and_as_large_a_part_of_a_smaller_fleet() -> None:
-    one, other = (drawn(read(TEXT), Random(7), PARTIES) for _ in range(2))
-    assert one == other
-    killed = next(fault for fault in one if fault.verb == "kill")
-    servers = [name for fault in one if fault.verb in ("replace", "reuse") for name in fault.who]
-    assert len(servers) == len(set(servers)) == 2  # nobody is replaced twice
+    first, second = (resolve(parse_schedule(TEXT), Random(7), PARTIES) for _ in range(2))
+    assert first == second
+    killed = next(fault for fault in first if fault.verb == "kill")
+    servers = [name for fault in first if fault.verb in ("replace", "reuse") for name in fault.who]
+    assert len(servers) == len(set(servers)) == 2  # no server is replaced twice
     assert len(killed.who) == 8 and set(killed.who) < set(PARTIES["n"])
 
 
@@ -60,12 +60,12 @@
 )
 def test_what_is_no_fault_is_refused(line: str) -> None:
     with pytest.raises(ScheduleError):
-        parse(line)
+        parse_fault(line)
 
 
 def test_a_link_names_its_ends_and_ways() -> None:
-    assert ends("n3-s1") == ("n3", "s1", True)
-    assert ends("d>n2") == ("d", "n2", False)
+    assert parse_link("n3-s1") == ("n3", "s1", True)
+    assert parse_link("d>n2") == ("d", "n2", False)
 
 
 def test_peaks_and_backlogs_are_counted_exactly() -> None:
