--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -1,4 +1,4 @@
-"""The demo: six check servers, discovery, the sidecar and an application; a crash, a drain, live counts."""
+"""The demo: six check servers, discovery, the sidecar and an application, with a crash and a drain."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 SERVERS = 6
 SOCKETS = 384
 RATE = 60.0
-USUAL_S = 12.0
+DEFAULT_S = 12.0
 COUNT_EVERY_S = 1.0
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds`; a crash comes after a quarter and a replacement after the half of it."""
-    length = seconds or USUAL_S
+    """Send for `seconds`; a server crashes after a quarter of it, and later another one is replaced."""
+    length = seconds or DEFAULT_S
     stage = Stage(seed, SERVERS, SOCKETS)
     report = Report("demo", seed)
-    print("starting six check servers, a discovery and the sidecar", file=sys.stderr)
+    print("starting six check servers, a discovery server and the sidecar", file=sys.stderr)
     await stage.up()
-    began = now()
+    started_at = now()
     application = stage.application("app", Habits(rate=RATE))
     async with keeping_book(stage):
-        sending = asyncio.create_task(application.run(length))
-        events = asyncio.create_task(_events(stage, length))
-        counting = asyncio.create_task(count_live(stage))
-        await asyncio.gather(sending, events)
+        send_task = asyncio.create_task(application.run(length))
+        event_task = asyncio.create_task(_events(stage, length))
+        count_task = asyncio.create_task(count_live(stage))
+        await asyncio.gather(send_task, event_task)
         await application.settle()
-        counting.cancel()
-    good, tries = stage.ledger.in_time(AIM_S)
+        count_task.cancel()
+    in_time, tries = stage.ledger.in_time(AIM_S)
     report.fields = {
-        "first_try_in_time": round(good / max(1, tries), 4),
+        "first_try_in_time": round(in_time / max(1, tries), 4),
         "attempts": stage.ledger.counts["attempts"],
         "connections_to_servers": sum(server.opened for server in stage.servers),
         "discovery_calls": stage.discovery.calls,
-        "seconds": round(now() - began, 1),
+        "seconds": round(now() - started_at, 1),
     }
     code = await stage.down()
     if code:
-        report.unkept.append(f"the program ended with code {code}")
+        report.unkept.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
 
 async def _events(stage: Stage, length: float) -> None:
     await asyncio.sleep(length / 4)
-    stage.progress.say("a check server dies, and will come back cold")
+    stage.progress.say("a check server crashes and will restart cold")
     await stage.outage(stage.servers[:1], min(2.0, length / 6))
     await asyncio.sleep(length / 8)
     stage.progress.say("a check server is drained and replaced by a new one")
@@ -58,7 +58,7 @@
 
 
 async def count_live(stage: Stage) -> None:
-    """Say how things stand, once a second, until it is cancelled."""
+    """Print the counts once per second until cancelled."""
     while True:
         await asyncio.sleep(COUNT_EVERY_S)
         stage.progress.say("")
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -1,4 +1,4 @@
-"""The demo of the external processor: two proxies that call once a request; a crash, a restart, a drain."""
+"""The demo of the external processor: two proxies that call it once per request, with three faults."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import sys
 import tempfile
 
-from rigs.demo import SERVERS, SOCKETS, USUAL_S, count_live
+from rigs.demo import DEFAULT_S, SERVERS, SOCKETS, count_live
 from rigs.external_processor import new_proxy, operator_file
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
@@ -19,36 +19,36 @@
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds`; a crash comes after a quarter, a planned restart and a drain after that."""
-    length = seconds or USUAL_S
+    """Send for `seconds`; a server crashes after a quarter of it, then come a planned restart and a drain."""
+    length = seconds or DEFAULT_S
     stage = Stage(seed, SERVERS, SOCKETS)
     report = Report("demo-external-processor", seed)
-    print("starting six check servers, a discovery, the program and two proxies", file=sys.stderr)
+    print("starting six check servers, a discovery server, the program and two proxies", file=sys.stderr)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         port = PORTS.take()
         program = await stage.up(environment=operator_file(folder, port))
         proxies = [new_proxy(stage, f"p{n}", port, Ways()) for n in range(PROXIES)]
-        began = now()
+        started_at = now()
         async with keeping_book(stage):
-            counting = asyncio.create_task(count_live(stage))
-            await asyncio.gather(*(one.run(RATE, length) for one in proxies), _events(stage, length))
-            for one in proxies:
-                await one.settle()
-            counting.cancel()
-        for one in proxies:
-            await one.close()
-        good, tries = stage.ledger.in_time(AIM_S)
-        times = sorted(time for one in proxies for time in one.decided_s) or [0.0]
+            count_task = asyncio.create_task(count_live(stage))
+            await asyncio.gather(*(proxy.run(RATE, length) for proxy in proxies), _events(stage, length))
+            for proxy in proxies:
+                await proxy.settle()
+            count_task.cancel()
+        for proxy in proxies:
+            await proxy.close()
+        in_time, tries = stage.ledger.in_time(AIM_S)
+        latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
         report.fields = {
-            "first_try_in_time": round(good / max(1, tries), 4),
-            "decisions": len(times),
-            "decision_ms_p50": round(times[len(times) // 2] * 1000, 2),
+            "first_try_in_time": round(in_time / max(1, tries), 4),
+            "decisions": len(latencies_s),
+            "decision_ms_p50": round(latencies_s[len(latencies_s) // 2] * 1000, 2),
             "restarts": program.starts - 1,
-            "seconds": round(now() - began, 1),
+            "seconds": round(now() - started_at, 1),
         }
         code = await stage.down()
     if code:
-        report.unkept.append(f"the program ended with code {code}")
+        report.unkept.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
@@ -56,7 +56,7 @@
 async def _events(stage: Stage, length: float) -> None:
     assert stage.program is not None
     await asyncio.sleep(length / 4)
-    stage.progress.say("a check server dies, and will come back cold")
+    stage.progress.say("a check server crashes and will restart cold")
     await stage.outage(stage.servers[:1], min(2.0, length / 6))
     stage.progress.say("a planned restart of the program")
     await stage.program.restart()
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -1,8 +1,8 @@
-"""The rig `external-processor`: four proxies through crashes, drains, restarts, give-ups and duplicate ids.
+"""The rig `external-processor`: four proxies with crashes, drains, restarts, cancelled calls, duplicate ids.
 
-Twelve check servers, 400 requests a second in all. The program runs with its HTTP/1.1 front and the processor
-over one module; a planned and a forced restart come while decisions are pending. Counts come from the
-sockets of the proxies and the servers.
+There are twelve check servers and 400 requests per second in all. The program's HTTP/1.1 front and processor
+share one decision module; a planned and a forced restart happen while decisions are pending. Counts come from
+the sockets of the proxies and the servers.
 """
 
 from __future__ import annotations
@@ -22,47 +22,47 @@
 from standins.proxy import Proxy, Ways
 
 SERVERS = 12
-RATE = 90.0  # of each proxy; the HTTP/1.1 application brings the rest
+RATE = 90.0  # of each proxy; the HTTP/1.1 application adds `HTTP_RATE`
 HTTP_RATE = 40.0
-USUAL_S = 20.0
-WORK_S = 0.035  # of two cores at each server: some 690 requests a second in all
-SERVED_LEAST = 0.9
+DEFAULT_S = 20.0
+WORK_S = 0.035  # per request; with two cores per server the capacity is some 690 requests per second
+MIN_SERVED_SHARE = 0.9
 KEYS = ("5a" * 16, "a5" * 16)
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds` (20); true where every promise held."""
-    length = seconds or USUAL_S
+    """Send for `seconds` (default 20); true where every requirement was met."""
+    length = seconds or DEFAULT_S
     stage = Stage(seed, SERVERS, sockets=1024, work_s=WORK_S)
     report = Report("external-processor", seed)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         port = PORTS.take()
         program = await stage.up(environment=operator_file(folder, port))
-        proxies = [new_proxy(stage, f"p{n}", port, ways) for n, ways in enumerate(_ways(stage))]
+        proxies = [new_proxy(stage, f"p{n}", port, ways) for n, ways in enumerate(_proxy_ways(stage))]
         application = stage.application("http", Habits(rate=HTTP_RATE, retries=0))
-        began = now()
+        started_at = now()
         async with keeping_book(stage):
-            sending = [asyncio.create_task(proxy.run(RATE, length)) for proxy in proxies]
-            sending.append(asyncio.create_task(application.run(length)))
-            twins = asyncio.create_task(_twins(proxies, length))
+            send_tasks = [asyncio.create_task(proxy.run(RATE, length)) for proxy in proxies]
+            send_tasks.append(asyncio.create_task(application.run(length)))
+            twins_task = asyncio.create_task(_send_duplicate_ids(proxies, length))
             await _faults(stage, length)
-            await asyncio.gather(*sending, twins)
+            await asyncio.gather(*send_tasks, twins_task)
             for proxy in proxies:
                 await proxy.settle()
             await application.settle()
         for proxy in proxies:
             await proxy.close()
-        _judge(report, stage, proxies, began)
+        _judge(report, stage, proxies, started_at)
         report.fields["restarts"] = program.starts - 1
         code = await stage.down()
     if code:
-        report.unkept.append(f"the program ended with code {code}")
+        report.unkept.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
 
 def operator_file(folder: str, port: int) -> dict[str, str]:
-    """Write a file that switches the processor on; the environment that names it."""
+    """Write an operator file that enables the processor; returns the environment that names it."""
     file = Path(folder) / "operator.toml"
     keys = ", ".join(f'"{key}"' for key in KEYS)
     file.write_text(f'[external_processor]\nlisten = "127.0.0.1:{port}"\nkeys = [{keys}]\n')
@@ -73,44 +73,44 @@
     return Proxy(name, port, stage.ledger, random.Random(stage.rng.getrandbits(32)), ways)
 
 
-def _ways(stage: Stage) -> list[Ways]:
-    """The proxies' ways: all lose clients and hold decisions; one forges tokens, one fails open.
+def _proxy_ways(stage: Stage) -> list[Ways]:
+    """Settings of the proxies: all lose clients and delay decisions; one forges tokens, one fails open.
 
-    The servers that it sends to then are not among those that die or drain.
+    The proxy that fails open sends to servers that neither crash nor drain.
     """
     usual = Ways(gives_up=0.02, holds=0.01)
-    kept = tuple(f"127.0.0.1:{server.port}" for server in stage.servers[6:])
-    return [usual, usual, replace(usual, forges=0.3), replace(usual, fails_open=kept)]
+    stable = tuple(f"127.0.0.1:{server.port}" for server in stage.servers[6:])
+    return [usual, usual, replace(usual, forges=0.3), replace(usual, fails_open=stable)]
 
 
-async def _twins(proxies: list[Proxy], length: float) -> None:
-    """Two proxies ask with one id at the same moment: at most one decision may come of it."""
+async def _send_duplicate_ids(proxies: list[Proxy], length: float) -> None:
+    """Two proxies call with the same id at the same time; at most one of them may get a decision."""
     ledger = proxies[0].ledger
     for number in range(10):
         await asyncio.sleep(length / 12)
         headers = proxies[0]._headers(f"twin-{number}", "k", 2.0)
-        asked = [proxy.ask() for proxy in proxies[:2]]
-        told = await asyncio.gather(*(one.decide(headers, 1.0) for one in asked))
-        decided = [one for one in told if one is not None and one.address]
+        calls = [proxy.ask() for proxy in proxies[:2]]
+        decisions = await asyncio.gather(*(call.decide(headers, 1.0) for call in calls))
+        decided = [one for one in decisions if one is not None and one.address]
         ledger.counts["twins_decided_twice"] += len(decided) > 1
         ledger.counts["twins"] += 1
-        for one in asked:
-            one.cancel()
+        for call in calls:
+            call.cancel()
 
 
 async def _faults(stage: Stage, length: float) -> None:
-    program, say = stage.program, stage.progress.say
+    program, log = stage.program, stage.progress.say
     assert program is not None
     await asyncio.sleep(length * 0.15)
-    say("a quarter of the servers dies and comes back cold")
+    log("a quarter of the servers crashes and restarts cold")
     await stage.outage(stage.servers[:3], min(2.0, length * 0.1))
-    say("a planned restart")
+    log("a planned restart")
     await program.restart()
     await asyncio.sleep(length * 0.1)
-    say("two servers are drained and replaced")
+    log("two servers are drained and replaced")
     await asyncio.gather(stage.replace(stage.servers[4]), stage.replace(stage.servers[5]))
     await asyncio.sleep(length * 0.1)
-    say("a forced restart")
+    log("a forced restart")
     stage.give_up_open()
     program.signal(signal.SIGKILL)
     assert program.process is not None
@@ -119,27 +119,30 @@
     await asyncio.sleep(length * 0.1)
 
 
-def _judge(report: Report, stage: Stage, proxies: list[Proxy], began: float) -> None:
+def _judge(report: Report, stage: Stage, proxies: list[Proxy], started_at: float) -> None:
     ledger = stage.ledger
-    good, tries = ledger.in_time(AIM_S)
-    times = sorted(time for proxy in proxies for time in proxy.decided_s) or [0.0]
+    in_time, tries = ledger.in_time(AIM_S)
+    latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
     report.fields = {
-        "first_try_in_time": round(good / max(1, tries), 4),
+        "first_try_in_time": round(in_time / max(1, tries), 4),
         "tokens_checked": sum(sum(proxy.tokens.values()) for proxy in proxies),
         "tokens_rejected": sum(
-            count for proxy in proxies for said, count in proxy.tokens.items() if said.startswith("rejected")
+            count
+            for proxy in proxies
+            for outcome, count in proxy.tokens.items()
+            if outcome.startswith("rejected")
         ),
         "sent_without_decision": sum(proxy.opened for proxy in proxies),
         "stale_decisions": sum(proxy.stale for proxy in proxies),
-        "decision_ms_p50": round(times[len(times) // 2] * 1000, 2),
-        "decision_ms_p99": round(times[int(len(times) * 0.99)] * 1000, 2),
+        "decision_ms_p50": round(latencies_s[len(latencies_s) // 2] * 1000, 2),
+        "decision_ms_p99": round(latencies_s[int(len(latencies_s) * 0.99)] * 1000, 2),
         "twins": ledger.counts["twins"],
         "twins_decided_twice": ledger.counts["twins_decided_twice"],
         "attempts": ledger.counts["attempts"],
-        "seconds": round(now() - began, 1),
+        "seconds": round(now() - started_at, 1),
     }
     if ledger.counts["twins_decided_twice"]:
-        report.unkept.append("two proxies with one id both had a decision")
+        report.unkept.append("two proxies with the same id both got a decision")
     served = ledger.tally()["served"]
-    if served < SERVED_LEAST * ledger.tally()["sent"]:
+    if served < MIN_SERVED_SHARE * ledger.tally()["sent"]:
         report.unkept.append(f"only {served} of {ledger.tally()['sent']} requests were served")
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -1,8 +1,8 @@
 """The rig `grpc`: one fault script over HTTP/1.1 and gRPC clients at once, at the same check servers.
 
-Eight servers speak both on grpcio and our own HTTP/1.1, with one queue and one book; two cold returns, two
-drains and a server with errors come while both applications send alike. Their outcome counts must match.
-Then every status of gRPC, and streams that last through a drain.
+Eight servers accept gRPC (grpcio) and HTTP/1.1 with one queue and one ledger. Two servers restart cold, two
+drain and one returns errors while both applications send the same load. Their shares of outcomes must match.
+The rig also checks every gRPC status code, and streams that last through a drain.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from standins.ports import PORTS
 
 SERVERS = 8
-RATE = 70.0  # of either application
-USUAL_S = 16.0
-WORK_S = 0.04  # of two cores at each server: some 400 requests a second in all
-APART = 0.03  # by which the shares of outcomes of both protocols may differ
+RATE = 70.0  # of each application
+DEFAULT_S = 16.0
+WORK_S = 0.04  # per request; with two cores per server the capacity is some 400 requests per second
+MAX_SHARE_DIFFERENCE = 0.03  # allowed difference between the outcome shares of both protocols
 STREAMS = 6
 INTERNAL = 13
-RETRIED = (4, 8, 14)  # a server's own words that an unsafe call's client must not be given
+RETRIED_CODES = (4, 8, 14)  # a server's status codes that the client of an unsafe call must not receive
 
 
 class GrpcStage(Stage):
@@ -40,8 +40,8 @@
 
 
 async def play(seed: int, seconds: float | None, as_json: bool) -> bool:
-    """Send for `seconds` (16); true where every promise held."""
-    length = seconds or USUAL_S
+    """Send for `seconds` (default 16); true where every requirement was met."""
+    length = seconds or DEFAULT_S
     stage = GrpcStage(seed, SERVERS, sockets=768, work_s=WORK_S)
     report = Report("grpc", seed)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
@@ -50,30 +50,30 @@
         http = stage.application("http", Habits(rate=RATE, retries=2))
         rng = random.Random(stage.rng.getrandbits(32))
         grpc = GrpcApplication("grpc", port, stage.ledger, rng, RATE)
-        began = now()
+        started_at = now()
         assert stage.program is not None and stage.program.process is not None
-        resting = _kb(stage.program.process.pid, "VmRSS")
+        initial_kb = _kb(stage.program.process.pid, "VmRSS")
         async with keeping_book(stage):
             streams = [asyncio.create_task(grpc.stream(40, length / 60)) for _ in range(STREAMS)]
             await asyncio.gather(http.run(length), grpc.run(length), _faults(stage, length))
             await http.settle()
             await grpc.settle()
             await asyncio.gather(*streams)
-            stage.progress.say("every status")
-            mismatches = [told for code in CODES if (told := await _status(grpc, code))]
+            stage.progress.say("every status code")
+            mismatches = [mismatch for code in CODES if (mismatch := await _check_status(grpc, code))]
         await grpc.close()
-        _judge(report, stage, grpc, mismatches, began)
+        _judge(report, stage, grpc, mismatches, started_at)
         assert stage.program is not None and stage.program.process is not None
-        report.fields["peak_buffer_kb"] = _kb(stage.program.process.pid, "VmHWM") - resting
+        report.fields["peak_buffer_kb"] = _kb(stage.program.process.pid, "VmHWM") - initial_kb
         code = await stage.down()
     if code:
-        report.unkept.append(f"the program ended with code {code}")
+        report.unkept.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
 
 def _kb(pid: int, field: str) -> int:
-    """A figure of the program's memory, in KiB."""
+    """Read a memory field of `/proc/PID/status`, in KiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(field + ":"))
 
@@ -93,33 +93,39 @@
     rng = random.Random(stage.rng.getrandbits(32))
     chosen = rng.sample(stage.servers, 5)
     await asyncio.sleep(length * 0.1)
-    stage.progress.say("one server answers a fifth with errors")
+    stage.progress.say("one server answers a fifth of its requests with errors")
     chosen[0].error_rate = 0.2
     await asyncio.sleep(length * 0.15)
     chosen[0].error_rate = 0.0
-    stage.progress.say("two servers die and come back cold")
+    stage.progress.say("two servers crash and restart cold")
     await stage.outage(list(chosen[1:3]), length * 0.08)
     await asyncio.sleep(length * 0.15)
     stage.progress.say("two servers are drained and replaced")
     await asyncio.gather(stage.replace(chosen[3]), stage.replace(chosen[4]))
 
 
-async def _status(grpc: GrpcApplication, code: int) -> str:
-    """What is wrong with the answer to a call whose server says `code`; nothing where it is by the table."""
-    got, message, mark = await grpc.status(code)
-    if code in RETRIED:
-        return "" if got in (INTERNAL, 4) and (code == 4 or got == INTERNAL) else f"{code} came as {got}"
-    if got != code or mark != f"status {code}":
-        return f"{code} came as {got} with {mark!r}"
-    return "" if code == 0 or message == f"100% {CODES[code].name}" else f"{code} came with {message!r}"
+async def _check_status(grpc: GrpcApplication, code: int) -> str:
+    """Call a server that returns `code` and describe a wrong answer; empty where it follows the mapping."""
+    received, message, mark = await grpc.status(code)
+    if code in RETRIED_CODES:
+        return (
+            ""
+            if received in (INTERNAL, 4) and (code == 4 or received == INTERNAL)
+            else f"{code} arrived as {received}"
+        )
+    if received != code or mark != f"status {code}":
+        return f"{code} arrived as {received} with {mark!r}"
+    return "" if code == 0 or message == f"100% {CODES[code].name}" else f"{code} arrived with {message!r}"
 
 
-def _judge(report: Report, stage: Stage, grpc: GrpcApplication, mismatches: list[str], began: float) -> None:
+def _judge(
+    report: Report, stage: Stage, grpc: GrpcApplication, mismatches: list[str], started_at: float
+) -> None:
     ledger = stage.ledger
-    good, tries = ledger.in_time(AIM_S)
+    in_time, tries = ledger.in_time(AIM_S)
     counts = {name: _counts(ledger, name) for name in ("http", "grpc")}
     report.fields = {
-        "first_try_in_time": round(good / max(1, tries), 4),
+        "first_try_in_time": round(in_time / max(1, tries), 4),
         "http1": counts["http"],
         "grpc": counts["grpc"],
         "mapping_mismatches": len(mismatches),
@@ -127,18 +133,18 @@
         "streams": grpc.streams,
         "streams_broken": grpc.streams_broken,
         "attempts": ledger.counts["attempts"],
-        "seconds": round(now() - began, 1),
+        "seconds": round(now() - started_at, 1),
     }
     if mismatches:
-        report.unkept.append(f"statuses: {mismatches}")
+        report.unkept.append(f"wrong status codes: {mismatches}")
     if grpc.trailers_changed:
         report.unkept.append("trailers were changed")
     for final in ("served", "refused", "failed"):
-        shares = [told[final] / max(1, sum(told.values())) for told in counts.values()]
-        if abs(shares[0] - shares[1]) > APART:
+        shares = [outcomes[final] / max(1, sum(outcomes.values())) for outcomes in counts.values()]
+        if abs(shares[0] - shares[1]) > MAX_SHARE_DIFFERENCE:
             report.unkept.append(f"the shares of {final} differ: {shares[0]:.3f} and {shares[1]:.3f}")
 
 
 def _counts(ledger: Ledger, name: str) -> dict[str, Any]:
-    finals = [one.final for call_id, one in ledger.sent.items() if call_id.startswith(name + "-")]
+    finals = [sent.final for call_id, sent in ledger.sent.items() if call_id.startswith(name + "-")]
     return {final: finals.count(final) for final in ("served", "refused", "failed")}
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -1,4 +1,4 @@
-"""What a rig says: progress while it runs, a table at its end, and one JSON object where asked."""
+"""Output of a rig: progress lines while it runs, then a table or one JSON object with its results."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from standins.ledger import Ledger
 
 
-class Closing(Protocol):
-    """What a rig has played on."""
+class ClosableCluster(Protocol):
+    """A test cluster that can be closed at the end of a rig."""
 
     ledger: Ledger
 
     async def close(self) -> list[int]:
-        """The programs' exit codes."""
+        """Stop the cluster; returns the exit codes of its programs."""
 
 
 @dataclass
 class Report:
-    """One run of a rig; `fields` are its own figures, beside those that every rig has."""
+    """The results of one run of a rig; `fields` holds the results that only this rig reports."""
 
     name: str
     seed: int
     fields: dict[str, Any] = field(default_factory=dict)
-    unkept: list[str] = field(default_factory=list)  # promises beside the rules that did not hold
+    unkept: list[str] = field(default_factory=list)  # failed requirements, beside the ledger's rules
 
     def figures(self, ledger: Ledger) -> dict[str, Any]:
         return {
@@ -41,36 +41,36 @@
         }
 
     def held(self, ledger: Ledger) -> bool:
-        """Whether every promise held."""
+        """Whether requests were sent and every rule and requirement was met."""
         tally = ledger.tally()
-        wrong = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.unkept)
-        return tally["sent"] > 0 and not wrong
+        violations = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.unkept)
+        return tally["sent"] > 0 and not violations
 
 
 class Progress:
-    """A line for each step to standard error, so that standard output ends with the figures."""
+    """Writes a line per step to standard error; standard output is left to the results."""
 
     def __init__(self, ledger: Ledger, out: TextIO = sys.stderr) -> None:
         self.ledger = ledger
         self.out = out
-        self.began = time.monotonic()
+        self.start = time.monotonic()
 
     def say(self, text: str) -> None:
         tally = self.ledger.tally()
         print(
-            f"{time.monotonic() - self.began:6.1f} s  sent {tally['sent']:6d}  served {tally['served']:6d}"
+            f"{time.monotonic() - self.start:6.1f} s  sent {tally['sent']:6d}  served {tally['served']:6d}"
             f"  refused {tally['refused']:5d}  failed {tally['failed']:4d}  {text}",
             file=self.out,
             flush=True,
         )
 
 
-async def finished(report: Report, fleet: Closing, began: float, as_json: bool) -> bool:
-    """Close the fleet, print the report, and tell whether every promise held."""
+async def finished(report: Report, fleet: ClosableCluster, began: float, as_json: bool) -> bool:
+    """Close the cluster and print the report; true where every rule and requirement was met."""
     report.fields["seconds"] = round(time.monotonic() - began, 1)
     codes = await fleet.close()
     if any(codes):
-        report.unkept.append(f"programs ended with codes {codes}")
+        report.unkept.append(f"programs exited with codes {codes}")
     print_report(report, fleet.ledger, as_json)
     return report.held(fleet.ledger)
 
@@ -81,6 +81,6 @@
         print(json.dumps(figures))
         return
     for name, value in figures.items():
-        shown = f"{value:.3f}" if isinstance(value, float) else value
-        print(f"{name:24} {shown}")
-    print("every promise held" if report.held(ledger) else "A PROMISE WAS BROKEN")
+        text = f"{value:.3f}" if isinstance(value, float) else value
+        print(f"{name:24} {text}")
+    print("every requirement was met" if report.held(ledger) else "A REQUIREMENT WAS NOT MET")
