--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -44,9 +44,9 @@
         async with keeping_book(stage):
             send_tasks = [asyncio.create_task(proxy.run(RATE, length)) for proxy in proxies]
             send_tasks.append(asyncio.create_task(application.run(length)))
-            twins_task = asyncio.create_task(_send_duplicate_ids(proxies, length))
+            duplicates_task = asyncio.create_task(_send_duplicate_ids(proxies, length))
             await _faults(stage, length)
-            await asyncio.gather(*send_tasks, twins_task)
+            await asyncio.gather(*send_tasks, duplicates_task)
             for proxy in proxies:
                 await proxy.settle()
             await application.settle()
@@ -90,12 +90,12 @@
         await asyncio.sleep(length / 12)
         headers = proxies[0]._headers(f"twin-{number}", "k", 2.0)
         calls = [proxy.ask() for proxy in proxies[:2]]
-        decisions = await asyncio.gather(*(call.decide(headers, 1.0) for call in calls))
-        decided = [one for one in decisions if one is not None and one.address]
+        decisions = await asyncio.gather(*(item.decide(headers, 1.0) for item in calls))
+        decided = [item for item in decisions if item is not None and item.address]
         ledger.counts["twins_decided_twice"] += len(decided) > 1
         ledger.counts["twins"] += 1
-        for call in calls:
-            call.cancel()
+        for item in calls:
+            item.cancel()
 
 
 async def _faults(stage: Stage, length: float) -> None:
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -53,12 +53,12 @@
     def __init__(self, ledger: Ledger, out: TextIO = sys.stderr) -> None:
         self.ledger = ledger
         self.out = out
-        self.start = time.monotonic()
+        self.start_s = time.monotonic()
 
     def say(self, text: str) -> None:
         tally = self.ledger.tally()
         print(
-            f"{time.monotonic() - self.start:6.1f} s  sent {tally['sent']:6d}  served {tally['served']:6d}"
+            f"{time.monotonic() - self.start_s:6.1f} s  sent {tally['sent']:6d}  served {tally['served']:6d}"
             f"  refused {tally['refused']:5d}  failed {tally['failed']:4d}  {text}",
             file=self.out,
             flush=True,
--- a/tests/rigs/test_fleet.py
+++ b/tests/rigs/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several real processes under one schedule of faults between them; what must hold is counted at peers."""
+"""Several real processes under one fault schedule; the rules are checked at their peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SMALL = Plan(programs=6, servers=9, rate=90.0)
 
 
-async def played(seed: int, schedule: str, seconds: float) -> Fleet:
+async def run_schedule(seed: int, schedule: str, seconds: float) -> Fleet:
     fleet = Fleet(seed, SMALL)
     await fleet.open()
     async with keeping_book(fleet, waits_s=10.0):
@@ -23,21 +23,21 @@
     codes = await fleet.close()
     assert not any(codes), codes
     tally = fleet.ledger.tally()
-    ends = ("served", "refused", "failed", "gone", "missing")
-    assert sum(tally[name] for name in ends) == tally["sent"] > 200
+    outcomes = ("served", "refused", "failed", "gone", "missing")
+    assert sum(tally[name] for name in outcomes) == tally["sent"] > 200
     return fleet
 
 
 @pytest.mark.parametrize("seed", [5, 6])
 def test_a_process_that_wakes_sends_nothing_to_a_server_that_drained_meanwhile(seed: int) -> None:
-    """Its clients and discovery have both written to it while it stood still."""
+    """Clients and discovery write to a process while it is stopped; it handles both when it resumes."""
     schedule = "stall 3 of 6 for 2 s at 1\ndrain 3 of 9 for 2.5 s at 1.2"
-    fleet = asyncio.run(played(seed, schedule, 4.5))
+    fleet = asyncio.run(run_schedule(seed, schedule, 4.5))
     assert not fleet.ledger.late_sends
     assert fleet.ledger.broken().total() == 0
 
 
 def test_links_that_drop_or_hold_one_way_lose_no_request() -> None:
     schedule = "drop n0>s1 n1-s2 for 1.5 s at 1\nhold s3>n2 for 1 s at 1\ncut n3-d n4-s4 for 1 s at 1.5"
-    fleet = asyncio.run(played(7, schedule, 4.0))
+    fleet = asyncio.run(run_schedule(7, schedule, 4.0))
     assert fleet.ledger.broken().total() == 0
