--- a/garnethaven/membership/zookeeper/source.py
+++ b/garnethaven/membership/zookeeper/source.py
@@ -38,7 +38,7 @@
         self.merger = merger
         self.loop = loop
         self.rng = Random(seed)
-        self.telling = SourceOutput(ZOOKEEPER, merger, loop, names, log, settings.cache)
+        self.output = SourceOutput(ZOOKEEPER, merger, loop, names, log, settings.cache)
         self.troubles = 0
         self.retry_timer: asyncio.TimerHandle | None = None
         self.generation = 0
@@ -50,8 +50,8 @@
     def _set_up(self, settings: ZooKeeper) -> None:
         self.settings = settings
         self.generation += 1
-        self.telling.fully_read = False
-        payload = self.telling.payload(settings.rules)
+        self.output.fully_read = False
+        payload = self.output.payload(settings.rules)
         self.following = DirectoryFollower(settings.root, payload, settings.persistent)
         session = Session(settings.session_timeout_ms, settings.digest or None, settings.read_only)
         self.client = Client(
@@ -64,9 +64,9 @@
         )
 
     def start(self) -> None:
-        if self.telling.cache is not None:
-            self.telling.load_cache()
-            self.telling.set_contact(False)
+        if self.output.cache is not None:
+            self.output.load_cache()
+            self.output.set_contact(False)
         self.client.start()
 
     def registers(self, address: tuple[str, int]) -> None:
@@ -78,7 +78,7 @@
         if registration.address is None:
             registration = replace(registration, address=SocketAddress(address))
         self.register = NodeRegistration(
-            registration, self.settings.digest or None, self.client, self.telling.log
+            registration, self.settings.digest or None, self.client, self.output.log
         )
         if self.client.up_at:
             self.register.up()
@@ -111,7 +111,7 @@
         for task in list(self.closing):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-        self.telling.close()
+        self.output.close()
 
     # Callbacks of the client
 
@@ -122,13 +122,13 @@
 
     def down(self, reason: str) -> None:
         self.following.names.lost()
-        self.telling.set_contact(False)
-        self.telling.log_limited(
+        self.output.set_contact(False)
+        self.output.log_limited(
             "down", f"registry: {reason}; the last list is kept, {self.age_s():.1f} s old"
         )
 
     def expired(self) -> None:
-        self.telling.log_limited(
+        self.output.log_limited(
             "expired", "registry: the session has expired; a new one is started, the servers are kept"
         )
         if self.register is not None:
@@ -158,23 +158,23 @@
         if outcome.error:
             self._directory_failed(outcome.error)
         if self.following.last_flaw:
-            self.telling.log_limited(
+            self.output.log_limited(
                 "flaw", f"registry: node {self.following.last_flaw}; its server is not used"
             )
             self.following.last_flaw = ""
 
     def _directory_complete(self, prefix: str) -> None:
         """The directory has been read completely: contact is good, servers of an earlier list are removed."""
-        self.telling.set_contact(True)
-        if not self.telling.fully_read:
+        self.output.set_contact(True)
+        if not self.output.fully_read:
             current_keys = {prefix + name for name in self.following.names.current}
-            self.merger.change(ZOOKEEPER, self.telling.initial_removals(current_keys))
+            self.merger.change(ZOOKEEPER, self.output.initial_removals(current_keys))
 
     def _directory_failed(self, error: str) -> None:
         """The directory can't be followed at present: keep the servers and read it again after a delay."""
         self.troubles += 1
-        self.telling.set_contact(False)
-        self.telling.log_limited("trouble", f"registry: {error}; the last list is kept")
+        self.output.set_contact(False)
+        self.output.log_limited("trouble", f"registry: {error}; the last list is kept")
         if self.retry_timer is None:
             self.retry_timer = self.loop.call_later(FOLLOW_RETRY_DELAY_S, self._retry_follow)
 
@@ -188,11 +188,11 @@
 
     def age_s(self) -> float:
         """Seconds since the list was last known to be current; 0 while it is followed."""
-        return self.telling.age_s()
+        return self.output.age_s()
 
     def figures(self) -> dict[str, object]:
         return {
-            "servers": len(self.telling.facts()),
+            "servers": len(self.output.facts()),
             "standing": self.following.names.sync_state.value,
             "age_s": round(self.age_s(), 3),
             "troubles": self.troubles,
