--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -120,7 +120,9 @@
 
 
 @contextlib.asynccontextmanager
-async def stage(*answers: Answer, cells: list[int] | None = None, **settings: Any) -> AsyncIterator[Harness]:
+async def grpc_harness(
+    *answers: Answer, cells: list[int] | None = None, **settings: Any
+) -> AsyncIterator[Harness]:
     servers = [await Server(answer).start() for answer in answers]
     sidecar = Sidecar([])
     transport = GrpcTransport(
@@ -147,7 +149,7 @@
 
 def test_a_unary_call_is_served_with_its_metadata_and_trailers_kept() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             metadata = (("x-call-id", "c1"), ("x-a", "1"), ("x-a", "2"), ("y-bin", b"\x00\x01"))
             answer, code, trailers = await harness.unary(metadata=metadata, timeout=2.0)
             assert (answer, code) == (b"<hi>", grpc.StatusCode.OK)
@@ -166,7 +168,7 @@
 
 def test_streams_of_all_forms_pass_untouched() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             messages = [
                 message async for message in harness.channel.unary_stream(STREAM)(b"50", timeout=10.0)
             ]
@@ -186,7 +188,7 @@
 @pytest.mark.parametrize("code", [code for code in grpc.StatusCode if code is not grpc.StatusCode.OK])
 def test_every_status_ends_in_exactly_one_outcome(code: grpc.StatusCode) -> None:
     async def case() -> None:
-        async with stage(failing(code)) as harness:
+        async with grpc_harness(failing(code)) as harness:
             details, received_code, _ = await harness.unary(method="/t.Checks/Unsafe")
             name = code.name
             if name in ("UNAVAILABLE", "RESOURCE_EXHAUSTED"):
@@ -204,7 +206,7 @@
 
 def test_a_call_that_was_turned_away_is_served_elsewhere() -> None:
     async def case() -> None:
-        async with stage(failing(grpc.StatusCode.UNAVAILABLE, rejected=True), ok) as harness:
+        async with grpc_harness(failing(grpc.StatusCode.UNAVAILABLE, rejected=True), ok) as harness:
             for number in range(6):
                 _, code, _ = await harness.unary(
                     method="/t.Checks/Unsafe", metadata=(("x-call-id", f"c{number}"),)
@@ -217,7 +219,7 @@
 
 def test_a_keyed_call_that_failed_is_repeated_in_its_rack_and_an_unsafe_one_never() -> None:
     async def case() -> None:
-        async with stage(failing(grpc.StatusCode.INTERNAL), ok, cells=[0, 0]) as harness:
+        async with grpc_harness(failing(grpc.StatusCode.INTERNAL), ok, cells=[0, 0]) as harness:
             for number in range(6):
                 _, code, _ = await harness.unary(metadata=(("x-call-id", f"k{number}"),))
                 assert code == grpc.StatusCode.OK
@@ -232,7 +234,7 @@
 
 def test_with_nobody_there_a_call_is_refused_at_once_and_unrouted_methods_are_unimplemented() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             harness.list_servers(State.DRAINING)
             details, code, _ = await harness.unary()
             assert (code, "harmless" in details) == (grpc.StatusCode.UNAVAILABLE, True)
@@ -246,7 +248,7 @@
 
 def test_a_stream_that_fails_after_a_part_was_passed_on_keeps_its_status_and_is_not_repeated() -> None:
     async def case() -> None:
-        async with stage(ok, ok) as harness:
+        async with grpc_harness(ok, ok) as harness:
             call = harness.channel.unary_stream(STREAM)(b"3", timeout=10.0)
             messages = []
             with pytest.raises(grpc.aio.AioRpcError) as raised:
@@ -266,7 +268,7 @@
             await asyncio.sleep(20)
             return b""
 
-        async with stage(slow) as harness:
+        async with grpc_harness(slow) as harness:
             _, code, _ = await harness.unary(timeout=0.3)
             assert code == grpc.StatusCode.DEADLINE_EXCEEDED
             await wait_until(lambda: harness.is_idle() and harness.servers[0].cancelled == 1)
@@ -283,7 +285,7 @@
             await asyncio.sleep(20)
             return b""
 
-        async with stage(slow) as harness:
+        async with grpc_harness(slow) as harness:
             call = harness.channel.unary_unary(UNARY)(b"x", timeout=15.0)
             pending_call = asyncio.ensure_future(call)
             await started.wait()
@@ -305,7 +307,7 @@
             await proceed.wait()
             return b"done"
 
-        async with stage(answer_after_event) as harness:
+        async with grpc_harness(answer_after_event) as harness:
             pending_call = asyncio.ensure_future(harness.unary())
             await wait_until(lambda: bool(harness.servers[0].calls))
             closing = asyncio.create_task(harness.front.close(10.0))
@@ -320,7 +322,7 @@
 
 def test_a_server_that_goes_away_gently_is_left_without_a_lost_call() -> None:
     async def case() -> None:
-        async with stage(ok, ok) as harness:
+        async with grpc_harness(ok, ok) as harness:
             assert (await harness.unary())[1] == grpc.StatusCode.OK
             stopping = asyncio.create_task(harness.servers[0].server.stop(5.0))  # sends GOAWAY, then closes
             for number in range(20):
@@ -333,7 +335,7 @@
 
 def test_large_messages_pass_within_the_windows() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             body = bytes(range(256)) * 4000  # a megabyte: too long to be kept for a retry
             answer, code, _ = await harness.unary(body)
             assert code == grpc.StatusCode.OK and answer == b"<" + body + b">"
@@ -344,7 +346,7 @@
 
 def test_a_slow_reader_stalls_neither_its_neighbours_nor_fills_our_memory() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             slow_call = harness.channel.unary_stream(STREAM)(b"20000", timeout=15.0)  # about nine megabytes
             assert await slow_call.read() == b"0" * 100
             for number in range(10):
@@ -367,7 +369,7 @@
 )
 def test_whoever_speaks_something_else_gets_a_clear_end(hello: bytes) -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.front.port)
             writer.write(hello)
             assert (await reader.read()).startswith(b"HTTP/1.1 505")
@@ -379,7 +381,7 @@
 
 def test_a_stream_that_is_turned_away_before_its_request_is_whole_goes_on_elsewhere() -> None:
     async def case() -> None:
-        async with stage(ok, ok) as harness:
+        async with grpc_harness(ok, ok) as harness:
             harness.servers[0].rejects_streams = True
             for _ in range(4):
                 call = harness.channel.stream_stream(ECHO)(timeout=10.0)
@@ -396,7 +398,7 @@
 
 def test_a_planned_end_with_a_long_stream_open_lets_it_go_on_for_its_grace() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
             call = harness.channel.stream_stream(ECHO)(timeout=15.0)
             await call.write(b"1")
             assert await call.read() == b"1"
@@ -413,7 +415,7 @@
 
 def test_a_time_out_ends_a_call_whose_request_waits_for_a_window() -> None:
     async def case() -> None:
-        async with stage(ok) as harness:
+        async with grpc_harness(ok) as harness:
 
             async def never_read(requests: Any, context: Any) -> AsyncIterator[bytes]:
                 await asyncio.sleep(20)
@@ -444,7 +446,7 @@
             await proceed.wait()
             return b"done"
 
-        async with stage(answer_after_event) as harness:
+        async with grpc_harness(answer_after_event) as harness:
             first_call = asyncio.ensure_future(harness.unary(metadata=(("x-call-id", "same"),)))
             await wait_until(lambda: bool(harness.servers[0].calls))
             assert (await harness.unary(metadata=(("x-call-id", "same"),)))[1] == grpc.StatusCode.ABORTED
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -25,8 +25,8 @@
 from garnethaven.net import listener as listening
 from tests.extproc.test_front import processor_harness as processor_stage
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
+from tests.grpcs.test_on_sockets import grpc_harness as grpc_stage
 from tests.grpcs.test_on_sockets import ok
-from tests.grpcs.test_on_sockets import stage as grpc_stage
 from tests.loopback import (
     ANSWER,
     WAIT_S,
