--- a/tests/grpcs/test_hostile.py
+++ b/tests/grpcs/test_hostile.py
@@ -27,7 +27,7 @@
     fields,
     frame,
 )
-from tests.grpcs.test_on_sockets import Harness, grpc_harness, ok
+from tests.grpcs.test_on_sockets import Harness, answer_in_brackets, grpc_harness
 from tests.loopback import run, wait_until
 
 Script = Callable[[RawClient], None]
@@ -113,7 +113,7 @@
 )
 def test_a_hostile_client_ends_by_itself_and_its_neighbours_are_served(script: Script) -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             client = await RawClient().connect(harness.front.port)
             script(client)
             ended = False
@@ -131,7 +131,7 @@
 
 def test_noise_that_the_protocol_allows_is_ignored() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             client = await RawClient().connect(harness.front.port)
             client.write(frame(0xEE, 0xFF, 0, b"unknown") + frame(PRIORITY, 0, 1, struct.pack(">IB", 0, 5)))
             client.write(client.headers(1, fields()))
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("cut", range(1, len(PREFACE) + 3))
 def test_a_preface_may_be_cut_at_every_byte(cut: int) -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             client = RawClient()
             hello = PREFACE + frame(SETTINGS, 0, 0)
             await _write_in_two_parts(client, harness, hello, cut)
@@ -180,7 +180,7 @@
 )
 def test_a_call_that_can_not_be_taken_is_told_its_status(more: dict[str, str], status: str) -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             client = await RawClient().connect(harness.front.port)
             client.write(client.headers(1, fields(**more)))
             received = await client.read_until(HEADERS)
--- a/tests/grpcs/test_on_sockets.py
+++ b/tests/grpcs/test_on_sockets.py
@@ -77,7 +77,7 @@
             yield request
 
 
-async def ok(request: bytes, context: Any) -> bytes:
+async def answer_in_brackets(request: bytes, context: Any) -> bytes:
     context.set_trailing_metadata((("x-made-by", "me"), ("x-bin", b"\x00\xff"), ("x-bin", b"2")))
     return b"<" + request + b">"
 
@@ -149,7 +149,7 @@
 
 def test_a_unary_call_is_served_with_its_metadata_and_trailers_kept() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             metadata = (("x-call-id", "c1"), ("x-a", "1"), ("x-a", "2"), ("y-bin", b"\x00\x01"))
             answer, code, trailers = await harness.unary(metadata=metadata, timeout=2.0)
             assert (answer, code) == (b"<hi>", grpc.StatusCode.OK)
@@ -168,7 +168,7 @@
 
 def test_streams_of_all_forms_pass_untouched() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             messages = [
                 message async for message in harness.channel.unary_stream(STREAM)(b"50", timeout=10.0)
             ]
@@ -206,7 +206,9 @@
 
 def test_a_call_that_was_turned_away_is_served_elsewhere() -> None:
     async def case() -> None:
-        async with grpc_harness(failing(grpc.StatusCode.UNAVAILABLE, rejected=True), ok) as harness:
+        async with grpc_harness(
+            failing(grpc.StatusCode.UNAVAILABLE, rejected=True), answer_in_brackets
+        ) as harness:
             for number in range(6):
                 _, code, _ = await harness.unary(
                     method="/t.Checks/Unsafe", metadata=(("x-call-id", f"c{number}"),)
@@ -219,7 +221,9 @@
 
 def test_a_keyed_call_that_failed_is_repeated_in_its_rack_and_an_unsafe_one_never() -> None:
     async def case() -> None:
-        async with grpc_harness(failing(grpc.StatusCode.INTERNAL), ok, cells=[0, 0]) as harness:
+        async with grpc_harness(
+            failing(grpc.StatusCode.INTERNAL), answer_in_brackets, cells=[0, 0]
+        ) as harness:
             for number in range(6):
                 _, code, _ = await harness.unary(metadata=(("x-call-id", f"k{number}"),))
                 assert code == grpc.StatusCode.OK
@@ -234,7 +238,7 @@
 
 def test_with_nobody_there_a_call_is_refused_at_once_and_unrouted_methods_are_unimplemented() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             harness.list_servers(State.DRAINING)
             details, code, _ = await harness.unary()
             assert (code, "harmless" in details) == (grpc.StatusCode.UNAVAILABLE, True)
@@ -248,7 +252,7 @@
 
 def test_a_stream_that_fails_after_a_part_was_passed_on_keeps_its_status_and_is_not_repeated() -> None:
     async def case() -> None:
-        async with grpc_harness(ok, ok) as harness:
+        async with grpc_harness(answer_in_brackets, answer_in_brackets) as harness:
             call = harness.channel.unary_stream(STREAM)(b"3", timeout=10.0)
             messages = []
             with pytest.raises(grpc.aio.AioRpcError) as raised:
@@ -322,7 +326,7 @@
 
 def test_a_server_that_goes_away_gently_is_left_without_a_lost_call() -> None:
     async def case() -> None:
-        async with grpc_harness(ok, ok) as harness:
+        async with grpc_harness(answer_in_brackets, answer_in_brackets) as harness:
             assert (await harness.unary())[1] == grpc.StatusCode.OK
             stopping = asyncio.create_task(harness.servers[0].server.stop(5.0))  # sends GOAWAY, then closes
             for number in range(20):
@@ -335,7 +339,7 @@
 
 def test_large_messages_pass_within_the_windows() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             body = bytes(range(256)) * 4000  # a megabyte: too long to be kept for a retry
             answer, code, _ = await harness.unary(body)
             assert code == grpc.StatusCode.OK and answer == b"<" + body + b">"
@@ -346,7 +350,7 @@
 
 def test_a_slow_reader_stalls_neither_its_neighbours_nor_fills_our_memory() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             slow_call = harness.channel.unary_stream(STREAM)(b"20000", timeout=15.0)  # about nine megabytes
             assert await slow_call.read() == b"0" * 100
             for number in range(10):
@@ -369,7 +373,7 @@
 )
 def test_whoever_speaks_something_else_gets_a_clear_end(hello: bytes) -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.front.port)
             writer.write(hello)
             assert (await reader.read()).startswith(b"HTTP/1.1 505")
@@ -381,7 +385,7 @@
 
 def test_a_stream_that_is_turned_away_before_its_request_is_whole_goes_on_elsewhere() -> None:
     async def case() -> None:
-        async with grpc_harness(ok, ok) as harness:
+        async with grpc_harness(answer_in_brackets, answer_in_brackets) as harness:
             harness.servers[0].rejects_streams = True
             for _ in range(4):
                 call = harness.channel.stream_stream(ECHO)(timeout=10.0)
@@ -398,7 +402,7 @@
 
 def test_a_planned_end_with_a_long_stream_open_lets_it_go_on_for_its_grace() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             call = harness.channel.stream_stream(ECHO)(timeout=15.0)
             await call.write(b"1")
             assert await call.read() == b"1"
@@ -415,7 +419,7 @@
 
 def test_a_time_out_ends_a_call_whose_request_waits_for_a_window() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
 
             async def never_read(requests: Any, context: Any) -> AsyncIterator[bytes]:
                 await asyncio.sleep(20)
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -20,7 +20,7 @@
 from garnethaven.grpcs.transport import GrpcTransport
 from garnethaven.tables import SocketAddress, merge_reloaded
 from tests.grpcs.raw import PREFACE, SETTINGS, frame
-from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of, grpc_harness, ok
+from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of, answer_in_brackets, grpc_harness
 from tests.loopback import ANSWER, answers_with, run, running_sidecar
 from tests.rigs.test_rigs import imported_at_start, play
 
@@ -67,7 +67,7 @@
 
 def test_routes_are_taken_over_and_what_else_changed_is_said_to_wait() -> None:
     async def case() -> None:
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             current = harness.front.table
             harness.front.renew(replace(current, routes=()))
             assert (await harness.unary())[1] == grpc.StatusCode.UNIMPLEMENTED
@@ -89,7 +89,7 @@
         certificate = authority.issue_cert("127.0.0.1")
         certificate.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
         certificate.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             table = Grpc(routes=ROUTES, cert=str(tmp_path / "cert.pem"), key=str(tmp_path / "key.pem"))
             engine = harness.sidecar.engine
             context = ssl.create_default_context()
--- a/tests/keys/test_keyring.py
+++ b/tests/keys/test_keyring.py
@@ -20,7 +20,7 @@
 from garnethaven.keys.files import KeysError, certificate_facts, load_certificates
 from garnethaven.keys.keyring import KeyPaths, Keyring
 from garnethaven.keys.validity import DAY_S
-from tests.grpcs.test_on_sockets import ROUTES, UNARY, grpc_harness, ok
+from tests.grpcs.test_on_sockets import ROUTES, UNARY, answer_in_brackets, grpc_harness
 from tests.loopback import run
 
 
@@ -228,7 +228,7 @@
     async def case() -> None:
         keys = Keys(tmp_path)
         keyring = Keyring(keys.paths(), ["h2"], lambda text: None)
-        async with grpc_harness(ok) as harness:
+        async with grpc_harness(answer_in_brackets) as harness:
             parts = harness.sidecar.engine, harness.front.transport, harness.sidecar.listener.classes
             front = Front(Grpc(routes=ROUTES), *parts, keyring.context, keyring.is_allowed_client)
             await front.start(("127.0.0.1", 0))
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -25,8 +25,8 @@
 from garnethaven.net import listener as listening
 from tests.extproc.test_front import processor_harness as processor_stage
 from tests.grpcs.raw import GOAWAY, PREFACE, SETTINGS, frame
+from tests.grpcs.test_on_sockets import answer_in_brackets
 from tests.grpcs.test_on_sockets import grpc_harness as grpc_stage
-from tests.grpcs.test_on_sockets import ok
 from tests.loopback import (
     ANSWER,
     WAIT_S,
@@ -174,7 +174,7 @@
 
 def test_a_full_backlog_of_a_draining_grpc_front_is_told_to_go_elsewhere() -> None:
     async def case() -> None:
-        async with grpc_stage(ok) as made:
+        async with grpc_stage(answer_in_brackets) as made:
             hello = PREFACE + frame(SETTINGS, 0, 0)
             clients = [connected(made.front.port, hello) for _ in range(MANY)]
             reading = [asyncio.create_task(asyncio.to_thread(read_all, client)) for client in clients]
