--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -139,7 +139,7 @@
 
     # Discovery
 
-    def told_end(self, server: str, at: float, via: str = "") -> None:
+    def record_end_delivered(self, server: str, at: float, via: str = "") -> None:
         """Record that program `via` has been informed that the server is draining or removed."""
         self.ended_at.setdefault((via, server), at)
 
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -75,7 +75,7 @@
 
 def test_a_send_after_the_grace_breaks_the_drain() -> None:
     ledger = make_ledger()
-    ledger.told_end("s0", 10.0)
+    ledger.record_end_delivered("s0", 10.0)
     ledger.request_arrived("a", "s0", 10.5)
     assert ledger.broken().drain == 0
     ledger.request_arrived("b", "s0", 10.5 + DRAIN_SLACK_S + 0.01)
