--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -143,7 +143,7 @@
         """Record that program `via` has been informed that the server is draining or removed."""
         self.ended_at.setdefault((via, server), at)
 
-    def told_up(self, server: str, via: str = "") -> None:
+    def record_serving_delivered(self, server: str, via: str = "") -> None:
         """Record that program `via` has been informed that the server is serving."""
         self.ended_at.pop((via, server), None)
 
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -80,7 +80,7 @@
     assert ledger.broken().drain == 0
     ledger.request_arrived("b", "s0", 10.5 + DRAIN_SLACK_S + 0.01)
     assert ledger.broken().drain == 1
-    ledger.told_up("s0")
+    ledger.record_serving_delivered("s0")
     ledger.request_arrived("c", "s0", 20.0)
     assert ledger.broken().drain == 1
 
