--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -122,7 +122,7 @@
 
     # Clients
 
-    def sends(
+    def record_sent(
         self, call_id: str, key: str, at: float, budget_s: float, first_try: bool, via: str = ""
     ) -> Sent:
         sent = self.sent[call_id] = Sent(call_id, key, at, budget_s, first_try, via=via)
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -42,7 +42,7 @@
         statuses = []
         for _ in range(count):
             call_id = f"r{len(self.ledger.sent)}"
-            self.ledger.sends(call_id, "k1", 0.0, 3.0, True)
+            self.ledger.record_sent(call_id, "k1", 0.0, 3.0, True)
             statuses.append((await self.sidecar.ask(request(X_Call_Id=call_id)))[0])
         return statuses
 
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -27,7 +27,7 @@
 
 def test_no_answer_is_missing_and_lost_unless_the_client_gave_it_up() -> None:
     ledger = make_ledger()
-    sent = ledger.sends("a", "k", 10.0, 3.0, True)
+    sent = ledger.record_sent("a", "k", 10.0, 3.0, True)
     assert (ledger.missing(), ledger.broken().lost) == (["a"], 1)
     sent.gone = True
     assert (ledger.missing(), ledger.broken().lost) == ([], 0)
@@ -35,14 +35,14 @@
 
 def test_a_late_answer_is_lost() -> None:
     ledger = make_ledger()
-    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.answered("a", "failed", 13.0 + LATE_S + 0.01)
     assert ledger.broken().lost == 1
 
 
 def test_an_answer_that_no_server_made_is_lost() -> None:
     ledger = make_ledger()
-    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
     ledger.answered("a", "served", 10.1, "of another request")
     assert ledger.broken().lost == 1
@@ -67,7 +67,7 @@
 
 def test_a_refusal_of_what_ran_is_twice_for_the_client_may_send_it_again() -> None:
     ledger = make_ledger()
-    ledger.sends("a", "k", 10.0, 3.0, True)
+    ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
     ledger.answered("a", "refused", 10.1)
     assert ledger.broken().twice == 1
