--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -128,7 +128,7 @@
         sent = self.sent[call_id] = Sent(call_id, key, at, budget_s, first_try, via=via)
         return sent
 
-    def answered(self, call_id: str, final: Final, at: float, mark: str = "") -> None:
+    def record_answer(self, call_id: str, final: Final, at: float, mark: str = "") -> None:
         """Record a final answer; `mark` is the part of a served body that identifies the execution."""
         self.answers[call_id] += 1
         sent = self.sent[call_id]
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -36,7 +36,7 @@
 def test_a_late_answer_is_lost() -> None:
     ledger = make_ledger()
     ledger.record_sent("a", "k", 10.0, 3.0, True)
-    ledger.answered("a", "failed", 13.0 + LATE_S + 0.01)
+    ledger.record_answer("a", "failed", 13.0 + LATE_S + 0.01)
     assert ledger.broken().lost == 1
 
 
@@ -44,14 +44,14 @@
     ledger = make_ledger()
     ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
-    ledger.answered("a", "served", 10.1, "of another request")
+    ledger.record_answer("a", "served", 10.1, "of another request")
     assert ledger.broken().lost == 1
 
 
 def test_a_second_answer_is_doubled() -> None:
     ledger = make_ledger()
     served(ledger, "a")
-    ledger.answered("a", "served", 10.2, "m")
+    ledger.record_answer("a", "served", 10.2, "m")
     assert ledger.doubled() == ["a"]
 
 
@@ -69,7 +69,7 @@
     ledger = make_ledger()
     ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
-    ledger.answered("a", "refused", 10.1)
+    ledger.record_answer("a", "refused", 10.1)
     assert ledger.broken().twice == 1
 
 
