--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -206,9 +206,9 @@
 
     def cold(self) -> int:
         """The number of server lifetimes that were overloaded while cold."""
-        return sum(self.pushed_over(life) for life in self.lives)
+        return sum(self.overloaded_while_cold(life) for life in self.lives)
 
-    def pushed_over(self, life: Life) -> bool:
+    def overloaded_while_cold(self, life: Life) -> bool:
         """Whether any window that starts during the ramp received more work than allowed."""
         receipts = life.receipts
         for first in range(len(receipts)):
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -96,16 +96,16 @@
     ledger = make_ledger()
     # Capacity in the first 3 s: 2 cores x 3 s x 0.4 average warmth = 2.4 s of work, or 24 requests.
     allowed_rate = (3 * 24 + COLD_SLACK - 1) / 3.0
-    assert not ledger.pushed_over(cold_life(allowed_rate, 3.0))
-    assert ledger.pushed_over(cold_life(allowed_rate * 1.2, 3.0))
+    assert not ledger.overloaded_while_cold(cold_life(allowed_rate, 3.0))
+    assert ledger.overloaded_while_cold(cold_life(allowed_rate * 1.2, 3.0))
 
 
 def test_a_burst_is_enough() -> None:
     ledger = make_ledger()
     life = cold_life(1000.0, 0.1)
-    assert ledger.pushed_over(life)
+    assert ledger.overloaded_while_cold(life)
 
 
 def test_a_warm_server_is_never_pushed_over() -> None:
     ledger = make_ledger()
-    assert not ledger.pushed_over(cold_life(1000.0, 0.1, ramp_s=0.0))
+    assert not ledger.overloaded_while_cold(cold_life(1000.0, 0.1, ramp_s=0.0))
