--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -219,12 +219,12 @@
                 if receipt.at > start + self.overload_window_s:
                     break
                 work += receipt.work_s
-            capacity_s = self.able(life, start, start + self.overload_window_s)
+            capacity_s = self.capacity_between_s(life, start, start + self.overload_window_s)
             if work > self.overload_factor * capacity_s + COLD_SLACK * receipts[first].work_s:
                 return True
         return False
 
-    def able(self, life: Life, start: float, end: float) -> float:
+    def capacity_between_s(self, life: Life, start: float, end: float) -> float:
         """Capacity between two times, in seconds of one warm core: the integral of cores times warmth."""
         steps = 10
         width = (end - start) / steps
