--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -116,7 +116,7 @@
         self.ended_at: dict[tuple[str, str], float] = {}
         self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_sends: list[tuple[str, str, float]] = []
-        self.own_ways: set[str] = set()  # requests that a proxy forwarded without a decision
+        self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
         self.lives: list[Life] = []
         self.counts: dict[str, int] = defaultdict(int)
 
@@ -153,7 +153,7 @@
         """Record that the first byte of a request reached a server."""
         sent = self.sent.get(call_id)
         ended = self.ended_at.get((sent.via if sent is not None else "", server))
-        if call_id in self.own_ways:
+        if call_id in self.sent_without_decision:
             return
         if ended is not None:
             self.latest_send_s = max(self.latest_send_s, at - ended)
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -171,6 +171,6 @@
             sent = ledger.sent["q1"]
             assert proxy.opened == len(peer.requests) == int(opens)
             assert sent.final == ("served" if opens else "refused")
-            assert ledger.own_ways == ({"q1"} if opens else set())
+            assert ledger.sent_without_decision == ({"q1"} if opens else set())
 
     run(case())
