--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -40,7 +40,7 @@
     first_try: bool
     final: Final | None = None
     final_at: float = 0.0
-    gone: bool = False  # the client canceled it, or the program was killed while handling it
+    abandoned: bool = False  # the client canceled it, or the program was killed while handling it
     written: bool = False
     via: str = ""  # name of the program that it was sent to, if there are several
 
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -29,7 +29,7 @@
     ledger = make_ledger()
     sent = ledger.record_sent("a", "k", 10.0, 3.0, True)
     assert (ledger.missing(), ledger.broken().lost) == (["a"], 1)
-    sent.gone = True
+    sent.abandoned = True
     assert (ledger.missing(), ledger.broken().lost) == ([], 0)
 
 
