--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -113,7 +113,7 @@
         self.made: dict[str, set[str]] = defaultdict(set)
         self.wrong_answers: list[str] = []
         # When the program was informed of the server's end, by program and server.
-        self.ended_at: dict[tuple[str, str], float] = {}
+        self.end_delivered_at: dict[tuple[str, str], float] = {}
         self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_sends: list[tuple[str, str, float]] = []
         self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
@@ -141,18 +141,18 @@
 
     def record_end_delivered(self, server: str, at: float, via: str = "") -> None:
         """Record that program `via` has been informed that the server is draining or removed."""
-        self.ended_at.setdefault((via, server), at)
+        self.end_delivered_at.setdefault((via, server), at)
 
     def record_serving_delivered(self, server: str, via: str = "") -> None:
         """Record that program `via` has been informed that the server is serving."""
-        self.ended_at.pop((via, server), None)
+        self.end_delivered_at.pop((via, server), None)
 
     # Check servers
 
     def request_arrived(self, call_id: str, server: str, at: float) -> None:
         """Record that the first byte of a request reached a server."""
         sent = self.sent.get(call_id)
-        ended = self.ended_at.get((sent.via if sent is not None else "", server))
+        ended = self.end_delivered_at.get((sent.via if sent is not None else "", server))
         if call_id in self.sent_without_decision:
             return
         if ended is not None:
