--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -109,7 +109,7 @@
             [item.id for item in sent if self._ran_closed_unread(item)],
         )
         check("ran twice", [item for item in self.ledger.ran if self._ran_too_often(item, broken_keys)])
-        check("drain", [late for late in self.ledger.late_sends if late[2] > 0.5 + 0.05 + slack])
+        check("drain", [late for late in self.ledger.late_arrivals if late[2] > 0.5 + 0.05 + slack])
         check("cold", [life.server for life in self.ledger.lives if self.ledger.overloaded_while_cold(life)])
         check(
             "reached a server after its client left",
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -115,7 +115,7 @@
         # When the program was informed of the server's end, by program and server.
         self.end_delivered_at: dict[tuple[str, str], float] = {}
         self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
-        self.late_sends: list[tuple[str, str, float]] = []
+        self.late_arrivals: list[tuple[str, str, float]] = []
         self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
         self.lives: list[Life] = []
         self.counts: dict[str, int] = defaultdict(int)
@@ -158,7 +158,7 @@
         if ended is not None:
             self.latest_send_s = max(self.latest_send_s, at - ended)
         if ended is not None and at > ended + self.grace_s + DRAIN_SLACK_S:
-            self.late_sends.append((call_id, server, at - ended))
+            self.late_arrivals.append((call_id, server, at - ended))
 
     def runs(self, call_id: str, server: str, cell: int, at: float, mark: str) -> None:
         self.ran[call_id].append(Execution(server, cell, at))
@@ -168,7 +168,7 @@
 
     def broken(self) -> Broken:
         return Broken(
-            lost=len(self.lost()), twice=len(self.twice()), drain=len(self.late_sends), cold=self.cold()
+            lost=len(self.lost()), twice=len(self.twice()), drain=len(self.late_arrivals), cold=self.cold()
         )
 
     def missing(self) -> list[str]:
