--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -114,7 +114,7 @@
         self.wrong_answers: list[str] = []
         # When the program was informed of the server's end, by program and server.
         self.end_delivered_at: dict[tuple[str, str], float] = {}
-        self.latest_send_s = 0.0  # longest time from a recorded end to the arrival of a request
+        self.max_arrival_delay_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_arrivals: list[tuple[str, str, float]] = []
         self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
         self.lives: list[Life] = []
@@ -156,7 +156,7 @@
         if call_id in self.sent_without_decision:
             return
         if ended is not None:
-            self.latest_send_s = max(self.latest_send_s, at - ended)
+            self.max_arrival_delay_s = max(self.max_arrival_delay_s, at - ended)
         if ended is not None and at > ended + self.grace_s + DRAIN_SLACK_S:
             self.late_arrivals.append((call_id, server, at - ended))
 
