--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -42,7 +42,7 @@
     final_at: float = 0.0
     abandoned: bool = False  # the client canceled it, or the program was killed while handling it
     written: bool = False
-    via: str = ""  # name of the program that it was sent to, if there are several
+    program: str = ""  # name of the program that it was sent to, if there are several
 
 
 @dataclass(slots=True)
