--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -18,7 +18,7 @@
 from rigs.stage import Stage, keeping_book, now
 from standins.check_server import CheckServer
 from standins.clients import Habits
-from standins.ledger import Life
+from standins.ledger import ServerLifetime
 from standins.platform import AIM_S
 from standins.zookeeper.ensemble import Ensemble
 from standins.zookeeper.records import Kind
@@ -101,8 +101,8 @@
             self.register(server)
             self.returned_cold += 1
 
-    def _new_life(self, server: CheckServer) -> Life:
-        life = Life(server.name, now(), server.ramp_s, server.cores)
+    def _new_life(self, server: CheckServer) -> ServerLifetime:
+        life = ServerLifetime(server.name, now(), server.ramp_s, server.cores)
         server.life = life  # requests that arrive from now on count as sent to a cold server
         return life
 
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -22,7 +22,7 @@
 from standins.clients import Habits
 from standins.consul.cluster import Cluster as Catalog
 from standins.etcd.cluster import Cluster as Keys
-from standins.ledger import Life
+from standins.ledger import ServerLifetime
 from standins.platform import AIM_S
 
 SERVERS = 12
@@ -277,7 +277,7 @@
     async def new_life(self, server: CheckServer) -> None:
         """Remove the server and register it again within a gap; the sidecar has to treat it as cold."""
         await self.registry.remove([server])
-        life = Life(server.name, now(), server.ramp_s, server.cores)
+        life = ServerLifetime(server.name, now(), server.ramp_s, server.cores)
         server.life = life
         self.stage.ledger.lives.append(life)
         await self.registry.put([server])
@@ -448,7 +448,7 @@
     await scenario.end(all_servers)
     await wait(0.4)
     for server in all_servers:
-        life = Life(server.name, now(), server.ramp_s, server.cores)
+        life = ServerLifetime(server.name, now(), server.ramp_s, server.cores)
         server.life = life
         stage.ledger.lives.append(life)
     await scenario.up(all_servers)
--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -9,7 +9,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from standins.ledger import Ledger, Life, Receipt
+from standins.ledger import Ledger, Receipt, ServerLifetime
 from standins.ports import PORTS
 from standins.wire import Message, WireError, read_message, response
 
@@ -64,7 +64,7 @@
         self.draining = False
         self.port = 0
         self.started_ms = 0
-        self.life: Life | None = None
+        self.life: ServerLifetime | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
@@ -78,7 +78,7 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, backlog=512)
         now = time.monotonic()
         self.started_ms = int(time.time() * 1000) if cold else 0
-        self.life = Life(self.name, now, self.ramp_s if cold else 0.0, self.cores)
+        self.life = ServerLifetime(self.name, now, self.ramp_s if cold else 0.0, self.cores)
         if cold:
             self.ledger.lives.append(self.life)
         self.slots = asyncio.Semaphore(self.cores)
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ServerLifetime:
     """One process lifetime of a check server, for the rule on cold starts."""
 
     server: str
@@ -117,7 +117,7 @@
         self.max_arrival_delay_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_arrivals: list[tuple[str, str, float]] = []
         self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
-        self.lives: list[Life] = []
+        self.lives: list[ServerLifetime] = []
         self.counts: dict[str, int] = defaultdict(int)
 
     # Clients
@@ -208,7 +208,7 @@
         """The number of server lifetimes that were overloaded while cold."""
         return sum(self.overloaded_while_cold(life) for life in self.lives)
 
-    def overloaded_while_cold(self, life: Life) -> bool:
+    def overloaded_while_cold(self, life: ServerLifetime) -> bool:
         """Whether any window that starts during the ramp received more work than allowed."""
         receipts = life.receipts
         for first in range(len(receipts)):
@@ -224,7 +224,7 @@
                 return True
         return False
 
-    def capacity_between_s(self, life: Life, start: float, end: float) -> float:
+    def capacity_between_s(self, life: ServerLifetime, start: float, end: float) -> float:
         """Capacity between two times, in seconds of one warm core: the integral of cores times warmth."""
         steps = 10
         width = (end - start) / steps
@@ -232,7 +232,7 @@
             life.cores * self.warmth(life, start + (step + 0.5) * width) * width for step in range(steps)
         )
 
-    def warmth(self, life: Life, at: float) -> float:
+    def warmth(self, life: ServerLifetime, at: float) -> float:
         """Share of its full capacity that a server has at a time, from `cold_share` to 1."""
         if life.ramp_s <= 0.0:
             return 1.0
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.ledger import COLD_SLACK, DRAIN_SLACK_S, LATE_S, Broken, Ledger, Life, Receipt
+from standins.ledger import COLD_SLACK, DRAIN_SLACK_S, LATE_S, Broken, Ledger, Receipt, ServerLifetime
 
 
 def make_ledger() -> Ledger:
@@ -85,11 +85,11 @@
     assert ledger.broken().drain == 1
 
 
-def cold_life(rate: float, seconds: float, ramp_s: float = 6.0) -> Life:
+def cold_life(rate: float, seconds: float, ramp_s: float = 6.0) -> ServerLifetime:
     """A server with two cores that receives requests of 0.1 s of work at an even rate from its start."""
     count = int(rate * seconds)
     receipts = [Receipt("s0", 50.0 + n / rate, 0.1) for n in range(count)]
-    return Life("s0", 50.0, ramp_s, 2.0, receipts)
+    return ServerLifetime("s0", 50.0, ramp_s, 2.0, receipts)
 
 
 def test_a_cold_server_is_pushed_over_by_more_than_the_multiple() -> None:
