--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -110,7 +110,10 @@
         )
         check("ran twice", [item for item in self.ledger.ran if self._ran_too_often(item, broken_keys)])
         check("drain", [late for late in self.ledger.late_arrivals if late[2] > 0.5 + 0.05 + slack])
-        check("cold", [life.server for life in self.ledger.lives if self.ledger.overloaded_while_cold(life)])
+        check(
+            "cold",
+            [life.server for life in self.ledger.server_lifetimes if self.ledger.overloaded_while_cold(life)],
+        )
         check(
             "reached a server after its client left",
             [item for item in self.late_arrivals if item[1] > MAX_ARRIVAL_AFTER_CLOSE_S + slack],
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -117,7 +117,7 @@
         self.max_arrival_delay_s = 0.0  # longest time from a recorded end to the arrival of a request
         self.late_arrivals: list[tuple[str, str, float]] = []
         self.sent_without_decision: set[str] = set()  # requests that a proxy forwarded without a decision
-        self.lives: list[ServerLifetime] = []
+        self.server_lifetimes: list[ServerLifetime] = []
         self.counts: dict[str, int] = defaultdict(int)
 
     # Clients
@@ -206,7 +206,7 @@
 
     def cold(self) -> int:
         """The number of server lifetimes that were overloaded while cold."""
-        return sum(self.overloaded_while_cold(life) for life in self.lives)
+        return sum(self.overloaded_while_cold(life) for life in self.server_lifetimes)
 
     def overloaded_while_cold(self, life: ServerLifetime) -> bool:
         """Whether any window that starts during the ramp received more work than allowed."""
