--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Broken:
+class Violations:
     """The number of violations of each rule."""
 
     lost: int = 0
@@ -166,8 +166,8 @@
 
     # Violations
 
-    def broken(self) -> Broken:
-        return Broken(
+    def broken(self) -> Violations:
+        return Violations(
             lost=len(self.lost()), twice=len(self.twice()), drain=len(self.late_arrivals), cold=self.cold()
         )
 
--- a/tests/net/test_injected_calls.py
+++ b/tests/net/test_injected_calls.py
@@ -11,7 +11,7 @@
 from rigs.stage import Stage, keeping_book
 from standins.clients import Habits
 from standins.failing_calls import FailingCall, FaultPlan
-from standins.ledger import Broken
+from standins.ledger import Violations
 from tests.loopback import run
 
 WHOLE_RUN_S = 1000.0
@@ -87,5 +87,5 @@
         await client.settle()
     assert await stage.down() == 0
     tally, broken = stage.ledger.tally(), stage.ledger.broken()
-    assert broken == Broken(), (tally, broken)
+    assert broken == Violations(), (tally, broken)
     return tally
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.ledger import COLD_SLACK, DRAIN_SLACK_S, LATE_S, Broken, Ledger, Receipt, ServerLifetime
+from standins.ledger import COLD_SLACK, DRAIN_SLACK_S, LATE_S, Ledger, Receipt, ServerLifetime, Violations
 
 
 def make_ledger() -> Ledger:
@@ -20,7 +20,7 @@
 def test_a_good_request_breaks_nothing() -> None:
     ledger = make_ledger()
     served(ledger, "a")
-    assert ledger.broken() == Broken()
+    assert ledger.broken() == Violations()
     others = dict.fromkeys(("refused", "failed", "gone", "missing", "doubled"), 0)
     assert ledger.tally() == {"sent": 1, "served": 1} | others
 
