--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -166,7 +166,7 @@
 
     # Violations
 
-    def broken(self) -> Violations:
+    def violations(self) -> Violations:
         return Violations(
             lost=len(self.lost()), twice=len(self.twice()), drain=len(self.late_arrivals), cold=self.cold()
         )
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -20,7 +20,7 @@
 def test_a_good_request_breaks_nothing() -> None:
     ledger = make_ledger()
     served(ledger, "a")
-    assert ledger.broken() == Violations()
+    assert ledger.violations() == Violations()
     others = dict.fromkeys(("refused", "failed", "gone", "missing", "doubled"), 0)
     assert ledger.tally() == {"sent": 1, "served": 1} | others
 
@@ -28,16 +28,16 @@
 def test_no_answer_is_missing_and_lost_unless_the_client_gave_it_up() -> None:
     ledger = make_ledger()
     sent = ledger.record_sent("a", "k", 10.0, 3.0, True)
-    assert (ledger.missing(), ledger.broken().lost) == (["a"], 1)
+    assert (ledger.missing(), ledger.violations().lost) == (["a"], 1)
     sent.abandoned = True
-    assert (ledger.missing(), ledger.broken().lost) == ([], 0)
+    assert (ledger.missing(), ledger.violations().lost) == ([], 0)
 
 
 def test_a_late_answer_is_lost() -> None:
     ledger = make_ledger()
     ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.record_answer("a", "failed", 13.0 + LATE_S + 0.01)
-    assert ledger.broken().lost == 1
+    assert ledger.violations().lost == 1
 
 
 def test_an_answer_that_no_server_made_is_lost() -> None:
@@ -45,7 +45,7 @@
     ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
     ledger.record_answer("a", "served", 10.1, "of another request")
-    assert ledger.broken().lost == 1
+    assert ledger.violations().lost == 1
 
 
 def test_a_second_answer_is_doubled() -> None:
@@ -62,7 +62,7 @@
     ledger = make_ledger()
     served(ledger, "a")
     ledger.runs("a", "s1", cell, 10.01 + after, "m2")
-    assert ledger.broken().twice == broken
+    assert ledger.violations().twice == broken
 
 
 def test_a_refusal_of_what_ran_is_twice_for_the_client_may_send_it_again() -> None:
@@ -70,19 +70,19 @@
     ledger.record_sent("a", "k", 10.0, 3.0, True)
     ledger.runs("a", "s0", 0, 10.0, "m")
     ledger.record_answer("a", "refused", 10.1)
-    assert ledger.broken().twice == 1
+    assert ledger.violations().twice == 1
 
 
 def test_a_send_after_the_grace_breaks_the_drain() -> None:
     ledger = make_ledger()
     ledger.record_end_delivered("s0", 10.0)
     ledger.request_arrived("a", "s0", 10.5)
-    assert ledger.broken().drain == 0
+    assert ledger.violations().drain == 0
     ledger.request_arrived("b", "s0", 10.5 + DRAIN_SLACK_S + 0.01)
-    assert ledger.broken().drain == 1
+    assert ledger.violations().drain == 1
     ledger.record_serving_delivered("s0")
     ledger.request_arrived("c", "s0", 20.0)
-    assert ledger.broken().drain == 1
+    assert ledger.violations().drain == 1
 
 
 def cold_life(rate: float, seconds: float, ramp_s: float = 6.0) -> ServerLifetime:
