--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -103,7 +103,7 @@
         check("no answer", self.ledger.missing())
         check("late", [item.id for item in sent if self._late(item)])
         check("wrong answer", self.ledger.wrong_answers)
-        check("answered twice", self.ledger.doubled())
+        check("answered twice", self.ledger.answered_twice())
         check(
             "ran, but its client saw it closed unread",
             [item.id for item in sent if self._ran_closed_unread(item)],
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -175,7 +175,7 @@
         """Ids of requests that have no final answer and were not abandoned."""
         return [sent.id for sent in self.sent.values() if sent.final is None and not sent.gone]
 
-    def doubled(self) -> list[str]:
+    def answered_twice(self) -> list[str]:
         """Ids of requests with more than one final answer."""
         return [call_id for call_id, count in self.answers.items() if count > 1]
 
@@ -250,7 +250,7 @@
             "failed": finals.count("failed"),
             "gone": sum(sent.final is None and sent.gone for sent in self.sent.values()),
             "missing": len(self.missing()),
-            "doubled": len(self.doubled()),
+            "doubled": len(self.answered_twice()),
         }
 
     def in_time(self, target_s: float, since: float = 0.0, until: float = float("inf")) -> tuple[int, int]:
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -52,7 +52,7 @@
     ledger = make_ledger()
     served(ledger, "a")
     ledger.record_answer("a", "served", 10.2, "m")
-    assert ledger.doubled() == ["a"]
+    assert ledger.answered_twice() == ["a"]
 
 
 @pytest.mark.parametrize(
