--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,7 @@
 from garnethaven.peers.membership import PeerSettings
 from rigs.budgets import PER_S, SHARE, Stage, table
 from rigs.stage import keeping_book
-from standins.ledger import peak
+from standins.ledger import max_in_window
 from standins.platform import AIM_S
 
 S = 1_000_000_000
@@ -50,7 +50,7 @@
     times = [at for at, _ in stage.repeats()]
     in_time, first_tries = stage.ledger.in_time(AIM_S)
     await stage.close()
-    return peak(times, 1.0), len(times), in_time / max(1, first_tries)
+    return max_in_window(times, 1.0), len(times), in_time / max(1, first_tries)
 
 
 def storm() -> None:
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -28,7 +28,7 @@
 from standins.check_server import CheckServer
 from standins.clients import Allowance, Application, Habits
 from standins.discovery import Member, Mood, View
-from standins.ledger import Sent, peak
+from standins.ledger import Sent, max_in_window
 from standins.link import Link, Way
 from standins.platform import ROOT, Program, settings
 
@@ -423,7 +423,7 @@
             for port, link in node.links.items():
                 if port != "d":
                     by_port.setdefault(port, []).extend(at for at in link.dial_times if since <= at < until)
-        return max((peak(times, window_s) for times in by_port.values()), default=0)
+        return max((max_in_window(times, window_s) for times in by_port.values()), default=0)
 
 
 def overrun_s(times: list[float], capacity: float) -> float:
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -260,7 +260,7 @@
         return in_target, len(tries)
 
 
-def peak(times: list[float], window_s: float) -> int:
+def max_in_window(times: list[float], window_s: float) -> int:
     """The highest number of these times within any window of this length."""
     times, first, highest = sorted(times), 0, 0
     for last, at in enumerate(times):
--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from standins.check_server import CheckServer
-from standins.ledger import peak
+from standins.ledger import max_in_window
 from standins.wire import read_message
 
 
@@ -71,4 +71,4 @@
 
     def opens_peak(self, since: float, until: float) -> int:
         """The highest number of connections opened within any second of a time span."""
-        return peak([opened.at for opened in self.book if since <= opened.at < until], 1.0)
+        return max_in_window([opened.at for opened in self.book if since <= opened.at < until], 1.0)
--- a/tests/rigs/test_schedule.py
+++ b/tests/rigs/test_schedule.py
@@ -8,7 +8,7 @@
 
 from rigs.fleet import overrun_s
 from rigs.schedule import ScheduleError, format_schedule, parse_fault, parse_link, parse_schedule, resolve
-from standins.ledger import peak
+from standins.ledger import max_in_window
 
 TEXT = """
 kill 20 of 24 at 4
@@ -69,6 +69,6 @@
 
 
 def test_peaks_and_backlogs_are_counted_exactly() -> None:
-    assert peak([0.0, 0.05, 0.09, 0.11, 0.5], 0.1) == 3
+    assert max_in_window([0.0, 0.05, 0.09, 0.11, 0.5], 0.1) == 3
     assert overrun_s([0.0, 0.0, 0.0, 0.0], 4.0) == 1.0
     assert overrun_s([0.0, 0.25, 0.5, 0.75], 4.0) == 0.25
