--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -108,7 +108,9 @@
             "ran, but its client saw it closed unread",
             [item.id for item in sent if self._ran_closed_unread(item)],
         )
-        check("ran twice", [item for item in self.ledger.ran if self._ran_too_often(item, broken_keys)])
+        check(
+            "ran twice", [item for item in self.ledger.executions if self._ran_too_often(item, broken_keys)]
+        )
         check("drain", [late for late in self.ledger.late_arrivals if late[2] > 0.5 + 0.05 + slack])
         check(
             "cold",
@@ -135,7 +137,7 @@
 
     def _ran_closed_unread(self, request: Sent) -> bool:
         """Whether a server ran a request whose waiting client saw the connection closed without an answer."""
-        ran = request.id in self.ledger.ran and request.id not in self.client_closed_at
+        ran = request.id in self.ledger.executions and request.id not in self.client_closed_at
         return ran and request.final is None and request.id in self.closed_unread
 
     def _ran_too_often(self, call_id: str, broken_keys: set[str]) -> bool:
@@ -143,7 +145,7 @@
 
         `broken_keys` holds the ids of keyed requests whose idempotency key ran more than once.
         """
-        runs, sent = self.ledger.ran[call_id], self.ledger.sent[call_id]
+        runs, sent = self.ledger.executions[call_id], self.ledger.sent[call_id]
         class_name = call_id.split("-")[0]
         if class_name == "safe":
             return False
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -108,7 +108,7 @@
         self.cold_share = cold_share
         self.sent: dict[str, Sent] = {}
         self.answers: dict[str, int] = defaultdict(int)
-        self.ran: dict[str, list[Execution]] = defaultdict(list)
+        self.executions: dict[str, list[Execution]] = defaultdict(list)
         # Marks of the answers that servers produced, by request id.
         self.made: dict[str, set[str]] = defaultdict(set)
         self.wrong_answers: list[str] = []
@@ -161,7 +161,7 @@
             self.late_arrivals.append((call_id, server, at - ended))
 
     def runs(self, call_id: str, server: str, cell: int, at: float, mark: str) -> None:
-        self.ran[call_id].append(Execution(server, cell, at))
+        self.executions[call_id].append(Execution(server, cell, at))
         self.made[call_id].add(mark)
 
     # Violations
@@ -189,7 +189,7 @@
 
     def twice(self) -> list[str]:
         violations = []
-        for call_id, runs in self.ran.items():
+        for call_id, runs in self.executions.items():
             first = runs[0]
             not_deduplicated = any(
                 run.cell != first.cell or run.at > first.at + self.window_s + DRAIN_SLACK_S for run in runs
