--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -18,7 +18,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.clients import Allowance, Application, Habits
+from standins.clients import Allowance, Application, ApplicationSettings
 from standins.line_faults import FaultyServer
 from standins.platform import AIM_S, Program, settings
 
@@ -103,7 +103,14 @@
         for slot, program in enumerate(half.programs):
             rng = random.Random(stage.rng.getrandbits(32))
             half.applications.append(
-                Application(f"a{slot}", program.port, stage.ledger, Allowance(170), rng, Habits(rate=RATE))
+                Application(
+                    f"a{slot}",
+                    program.port,
+                    stage.ledger,
+                    Allowance(170),
+                    rng,
+                    ApplicationSettings(rate=RATE),
+                )
             )
         async with keeping_book(stage):
             await asyncio.gather(_send(half, length), _faults(half, length))
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -7,7 +7,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.platform import AIM_S
 
 SERVERS = 6
@@ -25,7 +25,7 @@
     print("starting six check servers, a discovery server and the sidecar", file=sys.stderr)
     await stage.up()
     started_at = now()
-    application = stage.application("app", Habits(rate=RATE))
+    application = stage.application("app", ApplicationSettings(rate=RATE))
     async with keeping_book(stage):
         send_task = asyncio.create_task(application.run(length))
         event_task = asyncio.create_task(_events(stage, length))
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -17,7 +17,7 @@
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
 from standins.check_server import CheckServer
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.ledger import ServerLifetime
 from standins.platform import AIM_S
 from standins.zookeeper.ensemble import Ensemble
@@ -130,7 +130,8 @@
         await scenario.start()
         await stage.up(environment=_operator_file(folder, scenario.ensemble))
         applications = [
-            stage.application(f"app{n}", Habits(rate=REQUESTS_PER_S)) for n in range(APPLICATIONS)
+            stage.application(f"app{n}", ApplicationSettings(rate=REQUESTS_PER_S))
+            for n in range(APPLICATIONS)
         ]
         began_at = now()
         await _until_followed(scenario)
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -16,7 +16,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.platform import AIM_S
 from standins.ports import PORTS
 from standins.proxy import Proxy, Ways
@@ -39,7 +39,7 @@
         port = PORTS.take()
         program = await stage.up(environment=operator_file(folder, port))
         proxies = [new_proxy(stage, f"p{n}", port, ways) for n, ways in enumerate(_proxy_ways(stage))]
-        application = stage.application("http", Habits(rate=HTTP_RATE, retries=0))
+        application = stage.application("http", ApplicationSettings(rate=HTTP_RATE, retries=0))
         started_at = now()
         async with keeping_book(stage):
             send_tasks = [asyncio.create_task(proxy.run(RATE, length)) for proxy in proxies]
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -26,7 +26,7 @@
 )
 from rigs.stage import DISCOVERY_DELAY_S, Stage, now
 from standins.check_server import CheckServer
-from standins.clients import Allowance, Application, Habits
+from standins.clients import Allowance, Application, ApplicationSettings
 from standins.discovery import Member, Mood, View
 from standins.ledger import Sent, max_in_window
 from standins.link import Link, Way
@@ -128,7 +128,7 @@
             file = Path(program.folder.name) / "operator.toml"
             file.write_text(plan.operator)
             program.environment["NODE_OPERATOR"] = str(file)
-        habits = Habits(
+        habits = ApplicationSettings(
             rate=plan.rate / plan.programs,
             retries=plan.retries,
             honours=self.rng.random() < plan.honours,
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -15,7 +15,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.grpc_client import GrpcApplication
 from standins.grpc_server import CODES, OFFSET, GrpcCheckServer
 from standins.ledger import Ledger
@@ -47,7 +47,7 @@
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         port = PORTS.take()
         await stage.up(environment=_operator_file(folder, port))
-        http = stage.application("http", Habits(rate=RATE, retries=2))
+        http = stage.application("http", ApplicationSettings(rate=RATE, retries=2))
         rng = random.Random(stage.rng.getrandbits(32))
         grpc = GrpcApplication("grpc", port, stage.ledger, rng, RATE)
         started_at = now()
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -10,7 +10,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now, recovered_after
-from standins.clients import Application, Habits
+from standins.clients import Application, ApplicationSettings
 from standins.discovery import Mood
 from standins.platform import AIM_S
 
@@ -88,7 +88,7 @@
     async def retry_storm(self) -> None:
         """half of the servers down for 2 s, with clients that retry immediately"""
         retrying = self.stage.application(
-            "storm", Habits(rate=60.0, budget_s=1.0, retries=2, keys=400, most_lines=40)
+            "storm", ApplicationSettings(rate=60.0, budget_s=1.0, retries=2, keys=400, most_lines=40)
         )
         send_task = asyncio.create_task(retrying.run(self._length(6.5)))
         await asyncio.sleep(self._length(0.5))
@@ -144,7 +144,7 @@
     report = Report("limits", seed)
     await stage.up()
     started_at = now()
-    application = stage.application("usual", Habits(rate=RATE, retries=2, most_lines=30))
+    application = stage.application("usual", ApplicationSettings(rate=RATE, retries=2, most_lines=30))
     acts = Acts(stage, (seconds or DEFAULT_S) / DEFAULT_S)
     async with keeping_book(stage):
         send_task = asyncio.create_task(application.run(3600.0))
--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -12,7 +12,7 @@
 
 from rigs.fleet import Fleet, Plan
 from rigs.schedule import Fault, weather_of
-from standins.clients import Application, Habits
+from standins.clients import Application, ApplicationSettings
 from standins.ports import PORTS
 from standins.weather import DatagramLink, Weather
 from standins.wire import read_message, request
@@ -103,7 +103,7 @@
         existing = self.applications.get((name, tenant))
         if existing is not None:
             return existing
-        habits = Habits(retries=0, tenant=tenant, **habit_fields)
+        habits = ApplicationSettings(retries=0, tenant=tenant, **habit_fields)
         rng, allowance = Random(self.rng.getrandbits(32)), self.nodes[name].application.allowance
         port = self.nodes[name].program.port
         application = Application(f"{tenant}-{name}", port, self.ledger, allowance, rng, habits, via=name)
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -19,7 +19,7 @@
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
 from standins.check_server import CheckServer
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.consul.cluster import Cluster as Catalog
 from standins.etcd.cluster import Cluster as Keys
 from standins.ledger import ServerLifetime
@@ -359,7 +359,7 @@
 
 async def _run_load(scenario: RegistryScenario, duration_s: float) -> int:
     stage = scenario.stage
-    application = stage.application(scenario.registry.name, Habits(rate=REQUESTS_PER_S))
+    application = stage.application(scenario.registry.name, ApplicationSettings(rate=REQUESTS_PER_S))
     async with keeping_book(stage):
         sending = asyncio.create_task(application.run(duration_s))
         await _inject_faults(scenario, duration_s)
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -12,7 +12,7 @@
 
 from rigs.report import Progress
 from standins.check_server import CheckServer, Rack
-from standins.clients import Allowance, Application, Guests, Habits
+from standins.clients import Allowance, Application, ApplicationSettings, Guests
 from standins.discovery import Discovery
 from standins.ledger import Ledger
 from standins.platform import (
@@ -99,7 +99,7 @@
         self.discovery.close()
         return code
 
-    def application(self, name: str, habits: Habits) -> Application:
+    def application(self, name: str, habits: ApplicationSettings) -> Application:
         assert self.program is not None
         rng = random.Random(self.rng.getrandbits(32))
         return Application(name, self.program.port, self.ledger, self.allowance, rng, habits)
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class ApplicationSettings:
     """How an application sends.
 
     `retries` follow a refusal or failure at once; with `honours` they wait for Retry-After.
@@ -114,7 +114,7 @@
         ledger: Ledger,
         allowance: Allowance,
         rng: random.Random,
-        habits: Habits,
+        habits: ApplicationSettings,
         via: str = "",
     ) -> None:
         self.name = name
@@ -290,7 +290,12 @@
     async def _send_once_and_hold(self, end: float) -> None:
         self.started += 1
         client = Application(
-            f"{self.name}{self.started}", self.port, self.ledger, self.allowance, self.rng, Habits(retries=0)
+            f"{self.name}{self.started}",
+            self.port,
+            self.ledger,
+            self.allowance,
+            self.rng,
+            ApplicationSettings(retries=0),
         )
         await client._ask()
         for connection in list(client.connections):
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -10,7 +10,7 @@
 
 from garnethaven.membership.discovery import Discovery as Client
 from standins.check_server import CheckServer, Rack
-from standins.clients import Allowance, Application, Guests, Habits
+from standins.clients import Allowance, Application, ApplicationSettings, Guests
 from standins.discovery import Discovery, Mood
 from standins.ledger import Ledger
 from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running_sidecar, wait_until
@@ -214,7 +214,7 @@
             guests = Guests("g", sidecar.port, ledger, allowance, random.Random(1))
             holding = asyncio.create_task(guests.say_nothing(4, 1.0))
             await wait_until(lambda: allowance.held == 4)
-            habits = replace(Habits(), retries=0)
+            habits = replace(ApplicationSettings(), retries=0)
             application = Application("a", sidecar.port, ledger, allowance, random.Random(2), habits)
             await application._ask()
             assert ledger.tally()["refused"] == 1  # the client had no connection left, so nothing was sent
--- a/tests/net/test_injected_calls.py
+++ b/tests/net/test_injected_calls.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rigs.stage import Stage, keeping_book
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.failing_calls import FailingCall, FaultPlan
 from standins.ledger import Violations
 from tests.loopback import run
@@ -77,7 +77,7 @@
     """Run 3 s of load, check that no rule was broken, and return the tally."""
     stage = Stage(11, servers=6, sockets=384, work_s=0.02, ramp_s=3.0)
     await stage.up(environment=plan.environment())
-    client = stage.application("http", Habits(rate=120.0, retries=0, most_lines=2))
+    client = stage.application("http", ApplicationSettings(rate=120.0, retries=0, most_lines=2))
     async with keeping_book(stage):
         sending = asyncio.create_task(client.run(3.0))
         if outage:
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -10,7 +10,7 @@
 import pytest
 
 from rigs.stage import Stage
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from standins.platform import Program, settings
 from standins.wire import read_message, request
 
@@ -37,7 +37,7 @@
     """Serve, kill, corrupt the snapshot, serve again; returns the log of the second process."""
     program = stage.program
     assert program is not None
-    application = stage.application("a", Habits(rate=60.0))
+    application = stage.application("a", ApplicationSettings(rate=60.0))
     await application.run(0.6)
     path = await wait_for_snapshot(program)
     stage.give_up_open()
@@ -60,7 +60,7 @@
         program.state.rmdir()
     program.log.write_text("")
     await program.start()
-    application = stage.application("b", Habits(rate=60.0))
+    application = stage.application("b", ApplicationSettings(rate=60.0))
     await application.run(0.6)
     await application.settle()
     return program.log.read_text()
@@ -157,7 +157,7 @@
     async def play() -> None:
         stage, environment = make_stage(tmp_path, 13)
         program = await stage.up(environment=environment)
-        application = stage.application("a", Habits(rate=60.0))
+        application = stage.application("a", ApplicationSettings(rate=60.0))
         await application.run(0.6)
         path = await wait_for_snapshot(program)
         await block_writes(program)
--- a/tests/test_bad_configuration.py
+++ b/tests/test_bad_configuration.py
@@ -11,7 +11,7 @@
 import pytest
 
 from rigs.stage import Stage
-from standins.clients import Habits
+from standins.clients import ApplicationSettings
 from tests.loopback import run
 
 BAD_FILES = {
@@ -32,7 +32,7 @@
         stage = Stage(3, servers=3, sockets=384, work_s=0.01)
         program = await stage.up()
         try:
-            client = stage.application("http", Habits(rate=60.0))
+            client = stage.application("http", ApplicationSettings(rate=60.0))
             sending = asyncio.create_task(client.run(1.5))
             await asyncio.sleep(0.5)
             spoil(program.path, kind)
@@ -97,7 +97,7 @@
         stage = Stage(5, servers=2, sockets=384, work_s=0.01)
         program = await stage.up(environment={"TMPDIR": str(folder)})
         try:
-            client = stage.application("http", Habits(rate=60.0))
+            client = stage.application("http", ApplicationSettings(rate=60.0))
             await client.run(0.5)
             await client.settle()
             tally = stage.ledger.tally()
