--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -18,7 +18,7 @@
 
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.clients import Allowance, Application, ApplicationSettings
+from standins.clients import Application, ApplicationSettings, ConnectionAllowance
 from standins.line_faults import FaultyServer
 from standins.platform import AIM_S, Program, settings
 
@@ -107,7 +107,7 @@
                     f"a{slot}",
                     program.port,
                     stage.ledger,
-                    Allowance(170),
+                    ConnectionAllowance(170),
                     rng,
                     ApplicationSettings(rate=RATE),
                 )
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -26,7 +26,7 @@
 )
 from rigs.stage import DISCOVERY_DELAY_S, Stage, now
 from standins.check_server import CheckServer
-from standins.clients import Allowance, Application, ApplicationSettings
+from standins.clients import Application, ApplicationSettings, ConnectionAllowance
 from standins.discovery import Member, Mood, View
 from standins.ledger import Sent, max_in_window
 from standins.link import Link, Way
@@ -134,7 +134,7 @@
             honours=self.rng.random() < plan.honours,
         )
         rng = random.Random(self.rng.getrandbits(32))
-        allowance = Allowance(self.sockets // 3)
+        allowance = ConnectionAllowance(self.sockets // 3)
         application = Application(name, program.port, self.ledger, allowance, rng, habits, via=name)
         node = Node(name, program, View(), application)
         node.view = self.discovery.view(name, node.rewrite)
--- a/rigs/soak_callers.py
+++ b/rigs/soak_callers.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from rigs.soak_judge import Judge
-from standins.clients import Allowance, Line
+from standins.clients import ConnectionAllowance, Line
 from standins.errands import Errands
 from standins.ledger import Final, Sent
 from standins.wire import Message, WireError, read_message, request
@@ -36,7 +36,7 @@
         self.rng = random.Random(rng.getrandbits(32))
         self.rate = rate
         self.idle: list[Line] = []
-        self.allowance = Allowance(MAX_CONNECTIONS)
+        self.allowance = ConnectionAllowance(MAX_CONNECTIONS)
         self.connect_until = float("inf")  # monotonic time after which no connections are opened
         self.running = True
         self.errands = Errands()
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -12,7 +12,7 @@
 
 from rigs.report import Progress
 from standins.check_server import CheckServer, Rack
-from standins.clients import Allowance, Application, ApplicationSettings, Guests
+from standins.clients import Application, ApplicationSettings, ConnectionAllowance, Guests
 from standins.discovery import Discovery
 from standins.ledger import Ledger
 from standins.platform import (
@@ -51,7 +51,7 @@
         self.prefix = prefix  # of the servers' names
         self.progress = Progress(self.ledger)
         self.discovery = Discovery(self.ledger)
-        self.allowance = Allowance(sockets // 3)
+        self.allowance = ConnectionAllowance(sockets // 3)
         self.racks = [Rack(cell, WINDOW_S) for cell in range(max(1, servers // 3))]
         self.servers = [self._new_server(number) for number in range(servers)]
         self.next_server_number = servers
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -23,7 +23,7 @@
 MISSED_WINDOW_S = 1.0  # an idle connection counts as missed if another is needed this soon after its close
 
 
-class Allowance:
+class ConnectionAllowance:
     """The maximum number of connections that all clients together may hold open."""
 
     def __init__(self, max_connections: int) -> None:
@@ -46,7 +46,7 @@
     """One client connection to the program; `ended` reports whether the program closed it."""
 
     def __init__(
-        self, allowance: Allowance, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, allowance: ConnectionAllowance, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.allowance = allowance
         self.reader = reader
@@ -55,7 +55,7 @@
         self.dial_started_at = 0.0
 
     @classmethod
-    async def dial(cls, port: int, allowance: Allowance) -> Line | None:
+    async def dial(cls, port: int, allowance: ConnectionAllowance) -> Line | None:
         """Open a connection; None if the allowance is exhausted. Raises OSError if the dial fails."""
         if not allowance.acquire():
             return None
@@ -112,7 +112,7 @@
         name: str,
         port: int,
         ledger: Ledger,
-        allowance: Allowance,
+        allowance: ConnectionAllowance,
         rng: random.Random,
         habits: ApplicationSettings,
         via: str = "",
@@ -260,7 +260,7 @@
     """Clients that occupy connections: they send one request or none, then stay until closed."""
 
     def __init__(
-        self, name: str, port: int, ledger: Ledger, allowance: Allowance, rng: random.Random
+        self, name: str, port: int, ledger: Ledger, allowance: ConnectionAllowance, rng: random.Random
     ) -> None:
         self.name = name
         self.port = port
