--- a/rigs/soak_callers.py
+++ b/rigs/soak_callers.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from rigs.soak_judge import Judge
-from standins.clients import ConnectionAllowance, Line
+from standins.clients import ClientConnection, ConnectionAllowance
 from standins.errands import Errands
 from standins.ledger import Final, Sent
 from standins.wire import Message, WireError, read_message, request
@@ -35,7 +35,7 @@
         self.deadlines_s = deadlines_s
         self.rng = random.Random(rng.getrandbits(32))
         self.rate = rate
-        self.idle: list[Line] = []
+        self.idle: list[ClientConnection] = []
         self.allowance = ConnectionAllowance(MAX_CONNECTIONS)
         self.connect_until = float("inf")  # monotonic time after which no connections are opened
         self.running = True
@@ -95,7 +95,7 @@
         safe = class_name == "safe"
         return request("GET" if safe else "POST", "/api?user=u1", headers, b"" if safe else b"{}")
 
-    async def _connection(self) -> tuple[Line | None, bool]:
+    async def _connection(self) -> tuple[ClientConnection | None, bool]:
         """Return the most recently used idle connection or else a new one, and whether it was kept."""
         while self.idle:
             line = self.idle.pop()
@@ -104,10 +104,10 @@
             line.close()
         if time.monotonic() <= self.connect_until:
             with contextlib.suppress(OSError, TimeoutError):
-                return await Line.dial(self.port, self.allowance), False
+                return await ClientConnection.dial(self.port, self.allowance), False
         return None, False
 
-    async def _exchange(self, line: Line, payload: bytes, sent: Sent) -> bool:
+    async def _exchange(self, line: ClientConnection, payload: bytes, sent: Sent) -> bool:
         """Send a request and read its answer; true where the peer closed the connection without an answer."""
         abandons = self.rng.random() < ABANDON_SHARE
         try:
@@ -134,7 +134,7 @@
             self.idle.append(line)
         return False
 
-    async def _write(self, line: Line, payload: bytes, sent: Sent) -> None:
+    async def _write(self, line: ClientConnection, payload: bytes, sent: Sent) -> None:
         if self.rng.random() < SPLIT_SHARE:
             split_at = self.rng.randrange(1, len(payload))
             line.writer.write(payload[:split_at])
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -42,7 +42,7 @@
         self.held -= 1
 
 
-class Line:
+class ClientConnection:
     """One client connection to the program; `ended` reports whether the program closed it."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self.dial_started_at = 0.0
 
     @classmethod
-    async def dial(cls, port: int, allowance: ConnectionAllowance) -> Line | None:
+    async def dial(cls, port: int, allowance: ConnectionAllowance) -> ClientConnection | None:
         """Open a connection; None if the allowance is exhausted. Raises OSError if the dial fails."""
         if not allowance.acquire():
             return None
@@ -124,8 +124,8 @@
         self.allowance = allowance
         self.rng = rng
         self.habits = habits
-        self.idle: list[Line] = []
-        self.connections: set[Line] = set()
+        self.idle: list[ClientConnection] = []
+        self.connections: set[ClientConnection] = set()
         self.errands = Errands()
         self.recent_closes: list[float] = []  # when the program closed idle connections
         self.idle_closed = 0
@@ -209,7 +209,7 @@
         self.ledger.answered(sent.id, final, now)
         return final, retry_after_s
 
-    async def _get_connection(self, new: bool) -> tuple[Line | None, bool]:
+    async def _get_connection(self, new: bool) -> tuple[ClientConnection | None, bool]:
         """The most recently used idle connection or a new one, and whether it is reused."""
         self.sweep()
         if self.idle and not new:
@@ -222,18 +222,20 @@
         self.recent_closes = recent
         for _ in range(100):  # the port refuses connections while the program restarts
             with contextlib.suppress(OSError, TimeoutError):
-                connection = await Line.dial(self.port, self.allowance)
+                connection = await ClientConnection.dial(self.port, self.allowance)
                 if connection is not None:
                     self.connections.add(connection)
                 return connection, False
             await asyncio.sleep(0.03)
         return None, False
 
-    def _discard(self, connection: Line) -> None:
+    def _discard(self, connection: ClientConnection) -> None:
         self.connections.discard(connection)
         connection.close()
 
-    async def _exchange(self, connection: Line, data: bytes, sent: Sent) -> tuple[Message | None, bool]:
+    async def _exchange(
+        self, connection: ClientConnection, data: bytes, sent: Sent
+    ) -> tuple[Message | None, bool]:
         """The answer, or None; and whether the connection ended without one, as an idle close would."""
         sent.at = time.monotonic()
         try:
@@ -307,7 +309,7 @@
         while time.monotonic() < end:
             connection = None
             with contextlib.suppress(OSError, TimeoutError):
-                connection = await Line.dial(self.port, self.allowance)
+                connection = await ClientConnection.dial(self.port, self.allowance)
             if connection is None:
                 await asyncio.sleep(0.05)
                 continue
@@ -315,7 +317,7 @@
             await self._hold_open(connection, end)
             connection.close()
 
-    async def _hold_open(self, connection: Line, end: float) -> None:
+    async def _hold_open(self, connection: ClientConnection, end: float) -> None:
         """Hold a connection until the program closes it or the time is over."""
         with contextlib.suppress(TimeoutError, OSError):
             await asyncio.wait_for(connection.reader.read(1), max(0.0, end - time.monotonic()))
