--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -12,7 +12,7 @@
 
 from rigs.report import Progress
 from standins.check_server import CheckServer, Rack
-from standins.clients import Application, ApplicationSettings, ConnectionAllowance, Guests
+from standins.clients import Application, ApplicationSettings, ConnectionAllowance, IdleClients
 from standins.discovery import Discovery
 from standins.ledger import Ledger
 from standins.platform import (
@@ -104,10 +104,10 @@
         rng = random.Random(self.rng.getrandbits(32))
         return Application(name, self.program.port, self.ledger, self.allowance, rng, habits)
 
-    def guests(self, name: str) -> Guests:
+    def guests(self, name: str) -> IdleClients:
         assert self.program is not None
         rng = random.Random(self.rng.getrandbits(32))
-        return Guests(name, self.program.port, self.ledger, self.allowance, rng)
+        return IdleClients(name, self.program.port, self.ledger, self.allowance, rng)
 
     def give_up_open(self) -> None:
         """Mark unanswered HTTP/1.1 requests as lost, before a kill; their clients have to retry."""
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -258,7 +258,7 @@
         return answer, False
 
 
-class Guests:
+class IdleClients:
     """Clients that occupy connections: they send one request or none, then stay until closed."""
 
     def __init__(
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -10,7 +10,7 @@
 
 from garnethaven.membership.discovery import Discovery as Client
 from standins.check_server import CheckServer, Rack
-from standins.clients import Application, ApplicationSettings, ConnectionAllowance, Guests
+from standins.clients import Application, ApplicationSettings, ConnectionAllowance, IdleClients
 from standins.discovery import Discovery, Mood
 from standins.ledger import Ledger
 from tests.loopback import ANSWER, Sidecar, answers_with, request, run, running_sidecar, wait_until
@@ -211,7 +211,7 @@
     async def case() -> None:
         async with running_sidecar(answers_with(ANSWER), connections=32) as (sidecar, _):
             ledger, allowance = new_ledger(), ConnectionAllowance(4)
-            guests = Guests("g", sidecar.port, ledger, allowance, random.Random(1))
+            guests = IdleClients("g", sidecar.port, ledger, allowance, random.Random(1))
             holding = asyncio.create_task(guests.say_nothing(4, 1.0))
             await wait_until(lambda: allowance.held == 4)
             habits = replace(ApplicationSettings(), retries=0)
