--- a/standins/clients.py
+++ b/standins/clients.py
@@ -28,18 +28,18 @@
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
-        self.held = 0
+        self.open_connections = 0
         self.rejected = 0
 
     def acquire(self) -> bool:
-        if self.held >= self.max_connections:
+        if self.open_connections >= self.max_connections:
             self.rejected += 1
             return False
-        self.held += 1
+        self.open_connections += 1
         return True
 
     def release(self) -> None:
-        self.held -= 1
+        self.open_connections -= 1
 
 
 class ClientConnection:
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -213,12 +213,12 @@
             ledger, allowance = new_ledger(), ConnectionAllowance(4)
             guests = IdleClients("g", sidecar.port, ledger, allowance, random.Random(1))
             holding = asyncio.create_task(guests.say_nothing(4, 1.0))
-            await wait_until(lambda: allowance.held == 4)
+            await wait_until(lambda: allowance.open_connections == 4)
             habits = replace(ApplicationSettings(), retries=0)
             application = Application("a", sidecar.port, ledger, allowance, random.Random(2), habits)
             await application._ask()
             assert ledger.tally()["refused"] == 1  # the client had no connection left, so nothing was sent
             await holding
-            assert allowance.held == 0
+            assert allowance.open_connections == 0
 
     run(case())
