--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -96,7 +96,7 @@
         """
         applications = [self._application(name, tenant, habits) for name in names]
         for application in applications:
-            application.habits.rate = rate
+            application.settings.rate = rate
         await asyncio.gather(*(application.run(seconds) for application in applications))
 
     def _application(self, name: str, tenant: str, habit_fields: dict[str, Any]) -> Application:
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -123,7 +123,7 @@
         self.ledger = ledger
         self.allowance = allowance
         self.rng = rng
-        self.habits = habits
+        self.settings = habits
         self.idle: list[ClientConnection] = []
         self.connections: set[ClientConnection] = set()
         self.errands = Errands()
@@ -136,7 +136,7 @@
         end = time.monotonic() + seconds
         due = time.monotonic()
         while due < end:
-            due += self.rng.expovariate(self.habits.rate)
+            due += self.rng.expovariate(self.settings.rate)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self.errands.begin(self._ask())
 
@@ -158,30 +158,30 @@
     # One request and its retries
 
     async def _ask(self) -> None:
-        key = f"k{int(self.rng.paretovariate(1.1)) % self.habits.keys}-{next(self.ids)}"
-        for attempt in range(self.habits.retries + 1):
+        key = f"k{int(self.rng.paretovariate(1.1)) % self.settings.keys}-{next(self.ids)}"
+        for attempt in range(self.settings.retries + 1):
             final, retry_after_s = await self._try(key, first=attempt == 0)
             if final == "served":
                 return
-            if self.habits.honours and retry_after_s:
+            if self.settings.honours and retry_after_s:
                 await asyncio.sleep(retry_after_s)
 
     async def _try(self, key: str, first: bool) -> tuple[Final, float]:
         call_id = f"{self.name}-{next(self.ids):06d}"
-        tenant_names = self.habits.invented
+        tenant_names = self.settings.invented
         headers = {
             "Host": "backend.local",
             "X-Call-Id": call_id,
             "X-Call-Class": "check",
-            "X-Caller": f"x{self.rng.randrange(tenant_names)}" if tenant_names else self.habits.tenant,
-            "X-Budget-Ms": str(int(self.habits.budget_s * 1000)),
+            "X-Caller": f"x{self.rng.randrange(tenant_names)}" if tenant_names else self.settings.tenant,
+            "X-Budget-Ms": str(int(self.settings.budget_s * 1000)),
             "Idempotency-Key": key,
         }
-        first = first and not self.habits.marked
+        first = first and not self.settings.marked
         if not first:
             headers["X-Again"] = "1"
         data = request("POST", f"/api?user={key.split('-')[0]}", headers, b"{}")
-        sent = self.ledger.sends(call_id, key, time.monotonic(), self.habits.budget_s, first, self.via)
+        sent = self.ledger.sends(call_id, key, time.monotonic(), self.settings.budget_s, first, self.via)
         answer: Message | None = None
         # A reused connection may be closing just now: retry on a new one.
         for attempt in range(MAX_CONNECTIONS_PER_REQUEST):
@@ -251,7 +251,7 @@
         if answer is None or answer.closes:
             self._discard(connection)
             return answer, answer is None
-        if len(self.idle) >= self.habits.most_lines:
+        if len(self.idle) >= self.settings.most_lines:
             self._discard(connection)
         else:
             self.idle.append(connection)
