--- a/standins/clients.py
+++ b/standins/clients.py
@@ -94,7 +94,7 @@
     rate: float = 100.0  # first tries per second, Poisson arrivals
     budget_s: float = 3.0
     retries: int = 2
-    honours: bool = False
+    respects_retry_after: bool = False
     keys: int = 400
     most_lines: int = 30
     tenant: str = "t0"
@@ -163,7 +163,7 @@
             final, retry_after_s = await self._try(key, first=attempt == 0)
             if final == "served":
                 return
-            if self.settings.honours and retry_after_s:
+            if self.settings.respects_retry_after and retry_after_s:
                 await asyncio.sleep(retry_after_s)
 
     async def _try(self, key: str, first: bool) -> tuple[Final, float]:
