--- a/standins/clients.py
+++ b/standins/clients.py
@@ -99,7 +99,7 @@
     most_lines: int = 30
     tenant: str = "t0"
     marked: bool = False  # every request is marked as a retry
-    invented: int = 0  # number of random tenant names to draw from instead of `tenant`; 0: none
+    random_tenants: int = 0  # number of random tenant names to draw from instead of `tenant`; 0: none
 
 
 class Application:
@@ -168,7 +168,7 @@
 
     async def _try(self, key: str, first: bool) -> tuple[Final, float]:
         call_id = f"{self.name}-{next(self.ids):06d}"
-        tenant_names = self.settings.invented
+        tenant_names = self.settings.random_tenants
         headers = {
             "Host": "backend.local",
             "X-Call-Id": call_id,
