--- a/standins/clients.py
+++ b/standins/clients.py
@@ -98,7 +98,7 @@
     keys: int = 400
     most_lines: int = 30
     tenant: str = "t0"
-    marked: bool = False  # every request is marked as a retry
+    marks_all_as_retries: bool = False  # every request is marked as a retry
     random_tenants: int = 0  # number of random tenant names to draw from instead of `tenant`; 0: none
 
 
@@ -177,7 +177,7 @@
             "X-Budget-Ms": str(int(self.settings.budget_s * 1000)),
             "Idempotency-Key": key,
         }
-        first = first and not self.settings.marked
+        first = first and not self.settings.marks_all_as_retries
         if not first:
             headers["X-Again"] = "1"
         data = request("POST", f"/api?user={key.split('-')[0]}", headers, b"{}")
