--- a/standins/clients.py
+++ b/standins/clients.py
@@ -96,7 +96,7 @@
     retries: int = 2
     respects_retry_after: bool = False
     keys: int = 400
-    most_lines: int = 30
+    max_idle_connections: int = 30
     tenant: str = "t0"
     marks_all_as_retries: bool = False  # every request is marked as a retry
     random_tenants: int = 0  # number of random tenant names to draw from instead of `tenant`; 0: none
@@ -251,7 +251,7 @@
         if answer is None or answer.closes:
             self._discard(connection)
             return answer, answer is None
-        if len(self.idle) >= self.settings.most_lines:
+        if len(self.idle) >= self.settings.max_idle_connections:
             self._discard(connection)
         else:
             self.idle.append(connection)
