--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -169,7 +169,7 @@
         "recovered_after_s": round(max(recovery_s.values()), 2),
         "recoveries": {cause: round(value, 2) for cause, value in recovery_s.items()},
         "idle_closed": application.idle_closed,
-        "idle_closed_then_missed": application.missed,
+        "idle_closed_then_missed": application.missed_connections,
         "no_place": ledger.counts["no_place"],
         "discovery_calls": stage.discovery.calls,
         "list_age_max_s": round(stage.discovery.oldest_news_s, 2),
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -129,7 +129,7 @@
         self.errands = Errands()
         self.recent_closes: list[float] = []  # when the program closed idle connections
         self.idle_closed = 0
-        self.missed = 0
+        self.missed_connections = 0
 
     async def run(self, seconds: float) -> None:
         """Send for this many seconds; return when the last first try has been started."""
@@ -217,7 +217,7 @@
         now = time.monotonic()
         recent = [at for at in self.recent_closes if now - at < MISSED_WINDOW_S]
         if recent:
-            self.missed += 1
+            self.missed_connections += 1
             recent.pop()
         self.recent_closes = recent
         for _ in range(100):  # the port refuses connections while the program restarts
