--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -27,7 +27,7 @@
 from rigs.stage import DISCOVERY_DELAY_S, Stage, now
 from standins.check_server import CheckServer
 from standins.clients import Application, ApplicationSettings, ConnectionAllowance
-from standins.discovery import Member, Mood, View
+from standins.discovery import DiscoveryFault, Member, View
 from standins.ledger import Sent, max_in_window
 from standins.link import Link, Way
 from standins.platform import ROOT, Program, settings
@@ -369,10 +369,10 @@
     # Discovery
 
     async def do_discovery(self, fault: Fault) -> None:
-        await self.discovery.become(Mood[fault.who[0].upper()])
+        await self.discovery.become(DiscoveryFault[fault.who[0].upper()])
         if fault.for_s:
             await asyncio.sleep(fault.for_s)
-            await self.discovery.become(Mood.GOOD)
+            await self.discovery.become(DiscoveryFault.GOOD)
 
     async def do_capacity(self, fault: Fault) -> None:
         self.discovery.capacity = float(fault.who[0])
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -11,7 +11,7 @@
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now, recovered_after
 from standins.clients import Application, ApplicationSettings
-from standins.discovery import Mood
+from standins.discovery import DiscoveryFault
 from standins.platform import AIM_S
 
 SERVERS = 8
@@ -103,12 +103,12 @@
         """a rolling release of all servers; discovery is silent during the first half"""
         discovery = self.stage.discovery
         old_servers = list(self.stage.servers)
-        await discovery.become(Mood.SILENT)
+        await discovery.become(DiscoveryFault.SILENT)
         for number, server in enumerate(old_servers[: SERVERS // 2]):
             if number == 1:
                 await self._interrupt(0.0)
             await self.stage.replace(server)
-        await discovery.become(Mood.GOOD)
+        await discovery.become(DiscoveryFault.GOOD)
         ended = now()
         for server in old_servers[SERVERS // 2 :]:
             await self.stage.replace(server)
@@ -119,11 +119,11 @@
         """discovery that is silent, outdated, then slow by 4 s, each with a reload to the same address"""
         assert self.stage.program is not None
         discovery = self.stage.discovery
-        for mood in (Mood.SILENT, Mood.BEHIND, Mood.SLOW):
+        for mood in (DiscoveryFault.SILENT, DiscoveryFault.BEHIND, DiscoveryFault.SLOW):
             await discovery.become(mood)
             self.stage.program.reload()
             await asyncio.sleep(self._length(1.2))
-        await discovery.become(Mood.GOOD)
+        await discovery.become(DiscoveryFault.GOOD)
         await asyncio.sleep(self._length(0.5))
 
     async def process_pause(self) -> None:
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -21,7 +21,7 @@
 from rigs.soak_callers import LoadGenerator
 from rigs.soak_judge import Judge, Verdict, WatchedServer
 from rigs.stage import Stage, keeping_book
-from standins.discovery import Mood
+from standins.discovery import DiscoveryFault
 from standins.platform import NS, Program, settings
 
 RUN_S = 6.0
@@ -211,12 +211,12 @@
 
 async def _discovery_down(stage: Stage) -> None:
     """Discovery refuses all connections for 1.5 s; a server drains meanwhile."""
-    await stage.discovery.become(Mood.DOWN)
+    await stage.discovery.become(DiscoveryFault.DOWN)
     await asyncio.sleep(0.5)
     await _drain(stage)
     await asyncio.sleep(1.0)
     _mark_known_now(stage)
-    await stage.discovery.become(Mood.GOOD)
+    await stage.discovery.become(DiscoveryFault.GOOD)
 
 
 async def _discovery_turns_away(stage: Stage) -> None:
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -23,7 +23,7 @@
 DELIVERED_AFTER_WAIT_S = 2.0  # the same for long polls: this long after the maximum wait
 
 
-class Mood(Enum):
+class DiscoveryFault(Enum):
     """How discovery treats calls that arrive from now on."""
 
     GOOD = "answers"
@@ -59,7 +59,7 @@
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.mood = Mood.GOOD
+        self.mood = DiscoveryFault.GOOD
         self.lag_s = 4.0
         self.revision = 1
         self.members: dict[str, dict[str, Any]] = {}
@@ -110,13 +110,13 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def become(self, mood: Mood) -> None:
+    async def become(self, mood: DiscoveryFault) -> None:
         """Change the mood. Pending calls continue, except for DOWN, which closes their connections."""
-        if mood is Mood.DOWN:
+        if mood is DiscoveryFault.DOWN:
             self.close()
         else:
             await self.start()
-        if mood is Mood.BEHIND:
+        if mood is DiscoveryFault.BEHIND:
             self.frozen = (max(0, self.revision - 5), list(self.members.values()))
         self.mood = mood
 
@@ -225,14 +225,14 @@
             await writer.drain()
             return
         mood = self.mood
-        if mood is Mood.SILENT:
+        if mood is DiscoveryFault.SILENT:
             await asyncio.sleep(3600)
-        if mood is Mood.SLOW:
+        if mood is DiscoveryFault.SLOW:
             await asyncio.sleep(self.lag_s)
-        if mood is Mood.BEHIND:
+        if mood is DiscoveryFault.BEHIND:
             revision, members = self.frozen
             self._write(view, writer, revision, True, members)
-        elif mood is Mood.EMPTY:
+        elif mood is DiscoveryFault.EMPTY:
             self._write(view, writer, self.revision, True, [])
         else:
             await self._answer_current(view, after, wait_s, writer)
@@ -250,7 +250,7 @@
         if writer.is_closing():  # closed by a fault meanwhile: nothing is delivered
             raise ConnectionError
         # Applies to calls that were already pending, too.
-        if self.mood is Mood.SILENT or generation != self.generation:
+        if self.mood is DiscoveryFault.SILENT or generation != self.generation:
             await asyncio.sleep(3600)
         if after is None or after > self.revision:
             self._write(view, writer, self.revision, True, self.listed())
