--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -156,7 +156,9 @@
     async def _start(self, node: Node) -> None:
         node.program.told["known"] = node.initial_list
         state_kept = self.plan.operator and not node.state_lost
-        self.discovery.begins_anew(node.view, node.killed_at - STATE_SAVED_S if state_kept else float("-inf"))
+        self.discovery.program_restarted(
+            node.view, node.killed_at - STATE_SAVED_S if state_kept else float("-inf")
+        )
         node.state_lost = False
         started_at = now()
         await node.program.start()
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -162,7 +162,7 @@
     async def _restart(self, program: Program, load: LoadGenerator) -> None:
         """Restart at once while the clients continue, then stop the clients and wait for their requests."""
         started_at = time.monotonic()
-        self.stage.discovery.begins_anew(self.stage.discovery.views[0])
+        self.stage.discovery.program_restarted(self.stage.discovery.views[0])
         await program.start()
         self.judge.ready_s = time.monotonic() - started_at
         load.connect_until = float("inf")
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -146,7 +146,7 @@
         members = list(map((view or self.views[0]).rewrite, self.listed()))
         return {"revision": self.revision, "complete": True, "members": members}
 
-    def begins_anew(self, view: View, kept_until: float = float("-inf")) -> None:
+    def program_restarted(self, view: View, kept_until: float = float("-inf")) -> None:
         """A program starts with the state that it had at `kept_until`; later ends are pending updates."""
         now = time.monotonic()
         for name, member in self.members.items():
