--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -145,7 +145,7 @@
     async def watch(self, waits_s: float) -> None:
         """Until cancelled, record which published changes the program should have by now."""
         while True:
-            self.discovery.deem_told(waits_s)
+            self.discovery.expire_pending_updates(waits_s)
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -174,7 +174,7 @@
             else:
                 self.ledger.told_end(name, now, view.via)
 
-    def deem_told(self, wait_s: float) -> None:
+    def expire_pending_updates(self, wait_s: float) -> None:
         """Count updates that are too old as delivered now, although nothing was written."""
         now = time.monotonic()
         for view in self.views:
