--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -46,7 +46,7 @@
     server: asyncio.Server | None = None
     port: int = 0
     # By member: when its pending update, which is not yet written to the program, was published.
-    known_at: dict[str, float] = field(default_factory=dict)
+    pending_since: dict[str, float] = field(default_factory=dict)
     answered_at: float = -1e9
 
 
@@ -86,7 +86,7 @@
     @property
     def known_at(self) -> dict[str, float]:
         """Updates that are not yet written to the program, if there is only one."""
-        return self.views[0].known_at
+        return self.views[0].pending_since
 
     def view(self, via: str, rewrite: Callable[[Member], Member]) -> View:
         """Add the view of one more program; it listens from the next `start` on."""
@@ -135,7 +135,7 @@
             self.members[name] = member
             self.changed_at_revision[name] = self.revision
             for view in self.views:
-                view.known_at[name] = now
+                view.pending_since[name] = now
         updated, self.update_event = self.update_event, asyncio.Event()
         updated.set()
 
@@ -152,7 +152,7 @@
         for name, member in self.members.items():
             informed_at = self.ledger.ended_at.get((view.via, name), now)
             if member["phase"] != "SERVING" and informed_at > kept_until:
-                view.known_at[name] = now
+                view.pending_since[name] = now
                 self.ledger.told_up(name, view.via)
 
     def _record_delivered(self, view: View, members: Iterable[dict[str, Any]], complete: bool) -> None:
@@ -178,7 +178,7 @@
         """Count updates that are too old as delivered now, although nothing was written."""
         now = time.monotonic()
         for view in self.views:
-            for name, published_at in list(view.known_at.items()):
+            for name, published_at in list(view.pending_since.items()):
                 if now > published_at + max(DELIVERED_AFTER_S, wait_s + DELIVERED_AFTER_WAIT_S):
                     self.oldest_news_s = max(self.oldest_news_s, now - published_at)
                     if self.members[name]["phase"] != "SERVING":
