--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -172,7 +172,7 @@
         "idle_closed_then_missed": application.missed_connections,
         "no_place": ledger.counts["no_place"],
         "discovery_calls": stage.discovery.calls,
-        "list_age_max_s": round(stage.discovery.oldest_news_s, 2),
+        "list_age_max_s": round(stage.discovery.max_delivery_delay_s, 2),
         "interruptions": acts.interruptions,
         "attempts": ledger.counts["attempts"],
         "seconds": round(now() - started_at, 1),
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -75,7 +75,7 @@
         self.generation = 0
         self.calls = 0
         self.call_times: list[float] = []
-        self.oldest_news_s = 0.0  # longest time from the publication of an update to its delivery
+        self.max_delivery_delay_s = 0.0  # longest time from the publication of an update to its delivery
         self.writers: set[asyncio.StreamWriter] = set()
         self.start_lock = asyncio.Lock()  # concurrent calls of `start` would bind a port twice
 
@@ -168,7 +168,7 @@
                 continue  # an outdated entry does not carry the current state
             published_at = view.known_at.pop(name, None)
             if published_at is not None:
-                self.oldest_news_s = max(self.oldest_news_s, now - published_at)
+                self.max_delivery_delay_s = max(self.max_delivery_delay_s, now - published_at)
             if member["phase"] == "SERVING":
                 self.ledger.told_up(name, view.via)
             else:
@@ -180,7 +180,7 @@
         for view in self.views:
             for name, published_at in list(view.pending_since.items()):
                 if now > published_at + max(DELIVERED_AFTER_S, wait_s + DELIVERED_AFTER_WAIT_S):
-                    self.oldest_news_s = max(self.oldest_news_s, now - published_at)
+                    self.max_delivery_delay_s = max(self.max_delivery_delay_s, now - published_at)
                     if self.members[name]["phase"] != "SERVING":
                         self.ledger.told_end(name, now, view.via)
 
