--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -67,7 +67,9 @@
         self.capacity = 0.0  # calls per second; 0: unlimited
         self.patience_s = 2.0
         self.free_at = 0.0
-        self.worked_times: list[float] = []  # arrivals of calls that use capacity, also of rejected ones
+        self.capacity_call_times: list[
+            float
+        ] = []  # arrivals of calls that use capacity, also of rejected ones
         self.rejected_calls = 0
         self.views = [View()]
         self.frozen: tuple[int, list[dict[str, Any]]] = (0, [])
@@ -205,7 +207,7 @@
         now = time.monotonic()
         if is_watch and now - view.answered_at <= MAX_WATCH_GAP_S:
             return True
-        self.worked_times.append(now)
+        self.capacity_call_times.append(now)
         if not self.capacity:
             return True
         starts_at = max(now, self.free_at)
