--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -66,7 +66,7 @@
         self.changed_at_revision: dict[str, int] = {}  # by member: revision of its last change
         self.capacity = 0.0  # calls per second; 0: unlimited
         self.patience_s = 2.0
-        self.free_at = 0.0
+        self.next_capacity_at = 0.0
         self.capacity_call_times: list[
             float
         ] = []  # arrivals of calls that use capacity, also of rejected ones
@@ -210,11 +210,11 @@
         self.capacity_call_times.append(now)
         if not self.capacity:
             return True
-        starts_at = max(now, self.free_at)
+        starts_at = max(now, self.next_capacity_at)
         if starts_at - now > self.patience_s:
             self.rejected_calls += 1
             return False
-        self.free_at = starts_at + 1.0 / self.capacity
+        self.next_capacity_at = starts_at + 1.0 / self.capacity
         await asyncio.sleep(starts_at - now)
         return True
 
