--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -65,7 +65,7 @@
         self.members: dict[str, dict[str, Any]] = {}
         self.changed_at_revision: dict[str, int] = {}  # by member: revision of its last change
         self.capacity = 0.0  # calls per second; 0: unlimited
-        self.patience_s = 2.0
+        self.max_queue_wait_s = 2.0
         self.next_capacity_at = 0.0
         self.capacity_call_times: list[
             float
@@ -211,7 +211,7 @@
         if not self.capacity:
             return True
         starts_at = max(now, self.next_capacity_at)
-        if starts_at - now > self.patience_s:
+        if starts_at - now > self.max_queue_wait_s:
             self.rejected_calls += 1
             return False
         self.next_capacity_at = starts_at + 1.0 / self.capacity
