--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -24,7 +24,7 @@
 from rigs.budgets import PER_S, SHARE, Stage, table
 from rigs.stage import keeping_book
 from standins.ledger import max_in_window
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 S = 1_000_000_000
 PROGRAMS = 12
@@ -48,7 +48,7 @@
         )
         await stage.settle()
     times = [at for at, _ in stage.repeats()]
-    in_time, first_tries = stage.ledger.in_time(AIM_S)
+    in_time, first_tries = stage.ledger.in_time(TARGET_S)
     await stage.close()
     return max_in_window(times, 1.0), len(times), in_time / max(1, first_tries)
 
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -20,7 +20,7 @@
 from rigs.comeback import CALM_S, CAPACITY, LOSE, RETURN, STATE, act
 from rigs.fleet import Fleet, Plan
 from rigs.stage import keeping_book, now
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 DURATION_S = 11.0
 STEP_S = 0.1
@@ -42,7 +42,7 @@
         await asyncio.sleep(CALM_S - STATE_COPY_AFTER_S)
         result = await act(fleet, state_variant, fleet.draw(STATE_VARIANTS[state_variant] + RETURN))
         await sending
-        result.until = now() - AIM_S
+        result.until = now() - TARGET_S
         await fleet.settle()
     figures = result.figures(fleet) | fleet.ledger.tally()
     figures["in_time_share"] = in_time(fleet, result.killed_at, result.until)
@@ -54,7 +54,7 @@
 
 
 def in_time(fleet: Fleet, since: float, until: float) -> float:
-    served, first_tries = fleet.ledger.in_time(AIM_S, since, until)
+    served, first_tries = fleet.ledger.in_time(TARGET_S, since, until)
     return served / max(1, first_tries)
 
 
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -26,7 +26,7 @@
 from rigs.members import Links, S, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
 from rigs.stage import keeping_book
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 # Simulated seconds by fleet size; the largest fleet gets few because of its cost.
 DURATION_S_BY_MEMBERS = {16: 40.0, 200: 50.0, 1200: 8.0}
@@ -137,7 +137,7 @@
     shares = []
     for tenant in ("calm", "big"):
         sent = [one for one in fleet.ledger.sent.values() if one.id.startswith(f"{tenant}-")]
-        served_in_time = sum(one.final == "served" and one.final_at - one.at <= AIM_S for one in sent)
+        served_in_time = sum(one.final == "served" and one.final_at - one.at <= TARGET_S for one in sent)
         shares.append(served_in_time / max(1, len(sent)))
     await fleet.close()
     return shares[0], shares[1]
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -17,7 +17,7 @@
 from rigs.report import Report, finished
 from rigs.schedule import SERVER_VERBS, Fault
 from rigs.stage import keeping_book, now, recovered_after
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 CAPACITY = 4.0
 MAX_FULL_SERVICE_S = 2.0
@@ -109,11 +109,11 @@
 
     def figures(self, fleet: Fleet) -> dict[str, Any]:
         ledger, ready = fleet.ledger, self.ready_at
-        in_time, tries = ledger.in_time(AIM_S, ready, ready + 1.0)
+        in_time, tries = ledger.in_time(TARGET_S, ready, ready + 1.0)
         feasible = min(tries, fleet.server_capacity(ready, ready + 1.0))
         calls = [at for at in fleet.discovery.worked_times if self.killed_at <= at < self.until]
         return {
-            "full_service_s": recovered_after(ledger, ready, AIM_S, self.until, FULL_SHARE),
+            "full_service_s": recovered_after(ledger, ready, TARGET_S, self.until, FULL_SHARE),
             "first_second_share": round(in_time / max(1.0, feasible), 3),
             "first_second": f"{in_time} of {tries}, server capacity {feasible:.0f}",
             "down_s": round(ready - self.killed_at, 2),
@@ -159,14 +159,14 @@
             failing = await start_errors(fleet, schedule, at) if scene.name == "kept" else ""
             await asyncio.sleep(max(0.0, at - now()))
             if acts:
-                acts[-1].until = now() - AIM_S
+                acts[-1].until = now() - TARGET_S
             acts.append(await act(fleet, scene.name, schedule))
             if failing:
                 acts[-1].failing = failing
                 fleet.server_named(failing).error_rate = 0.0
             at += scene.seconds
         await send_task
-        acts[-1].until = now() - AIM_S
+        acts[-1].until = now() - TARGET_S
         await fleet.settle()
     judge(report, fleet, acts)
     return await finished(report, fleet, started_at, as_json)
--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -20,7 +20,7 @@
 from rigs.stage import Stage, keeping_book, now
 from standins.clients import Application, ApplicationSettings, ConnectionAllowance
 from standins.line_faults import FaultyServer
-from standins.platform import AIM_S, Program, settings
+from standins.platform import TARGET_S, Program, settings
 
 SERVERS = 12
 PROGRAMS = 8
@@ -167,7 +167,7 @@
 
 def _judge(report: Report, on: Half, off: Half, started_at: float) -> None:
     ledger = on.stage.ledger
-    in_time, tries = ledger.in_time(AIM_S)
+    in_time, tries = ledger.in_time(TARGET_S)
     opened = [item for server in on.stage.all_servers for item in server.book]  # type: ignore[attr-defined]
     ahead = [item for item in opened if item.used_at is None or item.used_at - item.at > MIN_OPENED_AHEAD_S]
     requests = ledger.counts["attempts"]
@@ -251,5 +251,5 @@
 
 def _results(half: Half) -> dict[str, Any]:
     ledger = half.stage.ledger
-    in_time, tries = ledger.in_time(AIM_S)
+    in_time, tries = ledger.in_time(TARGET_S)
     return {**ledger.tally(), "first_try_in_time": round(in_time / max(1, tries), 4)}
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -8,7 +8,7 @@
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
 from standins.clients import ApplicationSettings
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 SERVERS = 6
 SOCKETS = 384
@@ -33,7 +33,7 @@
         await asyncio.gather(send_task, event_task)
         await application.settle()
         count_task.cancel()
-    in_time, tries = stage.ledger.in_time(AIM_S)
+    in_time, tries = stage.ledger.in_time(TARGET_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
         "attempts": stage.ledger.counts["attempts"],
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -10,7 +10,7 @@
 from rigs.external_processor import new_proxy, operator_file
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 from standins.ports import PORTS
 from standins.proxy import Ways
 
@@ -37,7 +37,7 @@
             count_task.cancel()
         for proxy in proxies:
             await proxy.close()
-        in_time, tries = stage.ledger.in_time(AIM_S)
+        in_time, tries = stage.ledger.in_time(TARGET_S)
         latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
         report.fields = {
             "first_try_in_time": round(in_time / max(1, tries), 4),
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -19,7 +19,7 @@
 from standins.check_server import CheckServer
 from standins.clients import ApplicationSettings
 from standins.ledger import ServerLifetime
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 from standins.zookeeper.ensemble import Ensemble
 from standins.zookeeper.records import Kind
 from standins.zookeeper.sessions import Session
@@ -267,7 +267,7 @@
 
 def _evaluate(report: Report, stage: Stage, scenario: EnsembleScenario, began_at: float) -> None:
     ledger = stage.ledger
-    in_time, first_tries = ledger.in_time(AIM_S)
+    in_time, first_tries = ledger.in_time(TARGET_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, first_tries), 4),
         "sessions_killed": scenario.sessions_killed,
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -17,7 +17,7 @@
 from rigs.report import Report, print_report
 from rigs.stage import Stage, keeping_book, now
 from standins.clients import ApplicationSettings
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 from standins.ports import PORTS
 from standins.proxy import Proxy, Ways
 
@@ -121,7 +121,7 @@
 
 def _judge(report: Report, stage: Stage, proxies: list[Proxy], started_at: float) -> None:
     ledger = stage.ledger
-    in_time, tries = ledger.in_time(AIM_S)
+    in_time, tries = ledger.in_time(TARGET_S)
     latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -19,7 +19,7 @@
 from standins.grpc_client import GrpcApplication
 from standins.grpc_server import CODES, OFFSET, GrpcCheckServer
 from standins.ledger import Ledger
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 from standins.ports import PORTS
 
 SERVERS = 8
@@ -122,7 +122,7 @@
     report: Report, stage: Stage, grpc: GrpcApplication, mismatches: list[str], started_at: float
 ) -> None:
     ledger = stage.ledger
-    in_time, tries = ledger.in_time(AIM_S)
+    in_time, tries = ledger.in_time(TARGET_S)
     counts = {name: _counts(ledger, name) for name in ("http", "grpc")}
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -12,7 +12,7 @@
 from rigs.stage import Stage, keeping_book, now, recovered_after
 from standins.clients import Application, ApplicationSettings
 from standins.discovery import DiscoveryFault
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 SERVERS = 8
 SOCKETS = 384
@@ -162,8 +162,8 @@
 
 def judge(report: Report, stage: Stage, acts: Acts, application: Application, started_at: float) -> None:
     ledger = stage.ledger
-    recovery_s = {cause: recovered_after(ledger, ended, AIM_S, until) for cause, ended, until in acts.ends}
-    in_time, tries = ledger.in_time(AIM_S)
+    recovery_s = {cause: recovered_after(ledger, ended, TARGET_S, until) for cause, ended, until in acts.ends}
+    in_time, tries = ledger.in_time(TARGET_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
         "recovered_after_s": round(max(recovery_s.values()), 2),
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -23,7 +23,7 @@
 from standins.consul.cluster import Cluster as Catalog
 from standins.etcd.cluster import Cluster as Keys
 from standins.ledger import ServerLifetime
-from standins.platform import AIM_S
+from standins.platform import TARGET_S
 
 SERVERS = 12
 REQUESTS_PER_S = 90.0  # sent by the one application of each registry
@@ -463,7 +463,7 @@
 
 def _evaluate(report: Report, scenarios: list[RegistryScenario], began_at: float) -> None:
     ledger = scenarios[0].stage.ledger
-    in_time, first_tries = ledger.in_time(AIM_S)
+    in_time, first_tries = ledger.in_time(TARGET_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, first_tries), 4),
         "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 READY_S = 20.0
 STOP_TIMEOUT_S = 10.0
-AIM_S = 1.0
+TARGET_S = 1.0
 WINDOW_S = 6.0
 GRACE_S = 0.5
 COLD_SHARE = 0.2
@@ -34,7 +34,7 @@
     """The settings object of a small deployment with one keyed class."""
     request_class = {
         "name": "check",
-        "aimNs": int(AIM_S * NS),
+        "aimNs": int(TARGET_S * NS),
         "deadlineNs": 3 * NS,
         "effect": "dedup",
         "keyScope": "cell",
