--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -17,9 +17,9 @@
 from standins.ledger import Ledger
 from standins.platform import (
     COLD_SHARE,
-    FALL_S,
     GRACE_S,
     OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_S,
     WINDOW_S,
     Program,
     settings,
@@ -47,7 +47,7 @@
         self.sockets = sockets
         self.ramp_s = ramp_s
         self.work_s = work_s
-        self.ledger = ledger or Ledger(WINDOW_S, GRACE_S, OVERLOAD_FACTOR, FALL_S, COLD_SHARE)
+        self.ledger = ledger or Ledger(WINDOW_S, GRACE_S, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S, COLD_SHARE)
         self.prefix = prefix  # of the servers' names
         self.progress = Progress(self.ledger)
         self.discovery = Discovery(self.ledger)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -25,7 +25,7 @@
 GRACE_S = 0.5
 COLD_SHARE = 0.2
 OVERLOAD_FACTOR = 3.0
-FALL_S = 3.0
+OVERLOAD_WINDOW_S = 3.0
 NS = 1_000_000_000
 SEED_STEP = 0x9E3779B9  # difference between the seeds of two successive starts
 
