--- a/standins/platform.py
+++ b/standins/platform.py
@@ -95,7 +95,7 @@
         self.log = Path(self.folder.name) / "log"
         self.port = PORTS.take()
         self.environment = environment or {}
-        self.told: dict[str, Any] = {
+        self.configuration: dict[str, Any] = {
             "name": name,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{discovery_port}",
@@ -109,8 +109,8 @@
         atexit.register(self.cleanup)  # a rig that ends with an error must not leave a process behind
 
     async def start(self) -> Program:
-        self.told["seed"] = f"{(self.seed + SEED_STEP * self.starts) & 0xFFFFFFFF:x}"
-        self.path.write_text(json.dumps(self.told))
+        self.configuration["seed"] = f"{(self.seed + SEED_STEP * self.starts) & 0xFFFFFFFF:x}"
+        self.path.write_text(json.dumps(self.configuration))
         environment = {"NODE_CONFIG": str(self.path), "PATH": os.environ.get("PATH", "")}
         environment["TMPDIR"] = str(self.state)
         with self.log.open("ab") as log:
@@ -149,8 +149,8 @@
 
     def reload(self, **changes: Any) -> None:
         """Rewrite the configuration with these changes and send SIGHUP."""
-        self.told |= changes
-        self.path.write_text(json.dumps(self.told))
+        self.configuration |= changes
+        self.path.write_text(json.dumps(self.configuration))
         self.signal(signal.SIGHUP)
 
     async def restart(self) -> None:
--- a/tests/test_bad_configuration.py
+++ b/tests/test_bad_configuration.py
@@ -69,7 +69,7 @@
         stage = Stage(4, servers=2, sockets=384, work_s=0.01)
         program = await stage.up()
         try:
-            text = json.dumps(program.told)
+            text = json.dumps(program.configuration)
             for size in (1, len(text) // 2, len(text) - 1):
                 program.path.write_text(text[:size])
                 program.signal(signal.SIGHUP)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -89,8 +89,8 @@
         facts["grades"][0]["deadlineNs"] = facts["grades"][0]["aimNs"] = 20 * 10**9  # the machine may be busy
         initial_list = {"revision": 1, "complete": True, "members": members}
         program = Program(lists.port, 1, initial_list, facts)
-        program.told["limits"]["memory_mb"] = MEMORY_MB
-        program.told["ops"] = f"127.0.0.1:{PORTS.take()}"
+        program.configuration["limits"]["memory_mb"] = MEMORY_MB
+        program.configuration["ops"] = f"127.0.0.1:{PORTS.take()}"
         await program.start()
         try:
             requests = [
@@ -100,7 +100,7 @@
             ]
             assert set(await asyncio.gather(*requests)) == {DIGEST}
             assert program.process is not None
-            assert peak_mb(program.process.pid) < MEMORY_MB, json.dumps(program.told["limits"])
+            assert peak_mb(program.process.pid) < MEMORY_MB, json.dumps(program.configuration["limits"])
         finally:
             await program.stop()
             program.cleanup()
