--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -125,7 +125,7 @@
         seed = self.rng.getrandbits(32)
         program = Program(0, seed, {}, document, self.sockets, root=plan.root, name=name)
         if plan.operator:
-            file = Path(program.folder.name) / "operator.toml"
+            file = Path(program.temporary_folder.name) / "operator.toml"
             file.write_text(plan.operator)
             program.environment["NODE_OPERATOR"] = str(file)
         habits = ApplicationSettings(
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -88,11 +88,13 @@
     ) -> None:
         self.seed = seed
         self.root = root  # root folder of the checkout to run
-        self.folder = tempfile.TemporaryDirectory(prefix="rig-", dir=MEMORY if MEMORY.is_dir() else None)
-        self.path = Path(self.folder.name) / "config.json"
-        self.state = Path(self.folder.name) / "tmp"  # TMPDIR of the program; kept across restarts
+        self.temporary_folder = tempfile.TemporaryDirectory(
+            prefix="rig-", dir=MEMORY if MEMORY.is_dir() else None
+        )
+        self.path = Path(self.temporary_folder.name) / "config.json"
+        self.state = Path(self.temporary_folder.name) / "tmp"  # TMPDIR of the program; kept across restarts
         self.state.mkdir()
-        self.log = Path(self.folder.name) / "log"
+        self.log = Path(self.temporary_folder.name) / "log"
         self.port = PORTS.take()
         self.environment = environment or {}
         self.configuration: dict[str, Any] = {
@@ -190,4 +192,4 @@
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, signal.SIGKILL)  # works after the event loop has been closed, too
-        self.folder.cleanup()
+        self.temporary_folder.cleanup()
