--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -58,7 +58,7 @@
         self.queue = queue
         self.cap = cap
         self.ramp_s = ramp_s
-        self.slow = 1.0  # factor on the work of each request
+        self.work_factor = 1.0  # factor on the work of each request
         self.error_rate = 0.0
         self.silent = False  # partitioned: neither reads nor writes
         self.draining = False
@@ -203,7 +203,9 @@
             async with self.slots:
                 mark = f"{self.name}:{self.rng.getrandbits(48):012x}"
                 self.ledger.runs(call_id, self.name, self.rack.cell, time.monotonic(), mark)
-                await asyncio.sleep(self.work_s * self.slow * self.rng.uniform(0.7, 1.3) / self._warmth())
+                await asyncio.sleep(
+                    self.work_s * self.work_factor * self.rng.uniform(0.7, 1.3) / self._warmth()
+                )
         finally:
             self.in_flight -= 1
         if self.rng.random() < self.error_rate:
