--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -56,7 +56,7 @@
         self.cores = cores
         self.work_s = work_s
         self.queue = queue
-        self.cap = cap
+        self.max_connections = cap
         self.ramp_s = ramp_s
         self.work_factor = 1.0  # factor on the work of each request
         self.error_rate = 0.0
@@ -119,7 +119,7 @@
     # One connection
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.writers) >= self.cap:
+        if len(self.writers) >= self.max_connections:
             writer.transport.abort()
             return
         self.opened += 1
