--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -70,7 +70,7 @@
         self.server: asyncio.Server | None = None
         self.slots = asyncio.Semaphore(cores)
         self.in_flight = 0
-        self.opened = 0  # connections accepted, over all process lifetimes
+        self.accepted_connections = 0  # connections accepted, over all process lifetimes
 
     async def start(self, cold: bool = False) -> CheckServer:
         """Listen, on the same port each time; with `cold` the warm-up ramp starts now."""
@@ -122,7 +122,7 @@
         if len(self.writers) >= self.max_connections:
             writer.transport.abort()
             return
-        self.opened += 1
+        self.accepted_connections += 1
         self.writers.add(writer)
         task = asyncio.current_task()
         assert task is not None
