--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -29,7 +29,7 @@
 from standins.clients import Application, ApplicationSettings, ConnectionAllowance
 from standins.discovery import DiscoveryFault, Member, View
 from standins.ledger import Sent, max_in_window
-from standins.link import Link, Way
+from standins.link import Direction, Link
 from standins.platform import ROOT, Program, settings
 
 SOCKETS = 256
@@ -296,12 +296,12 @@
 
     # Links
 
-    def links_of(self, words: str) -> list[tuple[Link, tuple[Way, ...]]]:
+    def links_of(self, words: str) -> list[tuple[Link, tuple[Direction, ...]]]:
         """Return the links that a schedule's word names, with the affected directions."""
         first, second, both = parse_link(words)
         reverse = not first.startswith("n")
         program, peer = (second, first) if reverse else (first, second)
-        ways = tuple(Way) if both else ((Way.BACK,) if reverse else (Way.OUT,))
+        ways = tuple(Direction) if both else ((Direction.BACK,) if reverse else (Direction.OUT,))
         node = self.nodes[program]
         key = "d" if peer == "d" else next((str(s.port) for s in self.every if s.name == peer), "")
         return [(node.links[key], ways)] if key in node.links else []
--- a/standins/link.py
+++ b/standins/link.py
@@ -25,7 +25,7 @@
 CONNECT_S = 1.0
 
 
-class Way(Enum):
+class Direction(Enum):
     OUT = 0  # from the dialing side to the target
     BACK = 1  # from the target to the dialing side
 
@@ -44,12 +44,16 @@
     """One relayed connection: a transport to the dialing side and one to the target."""
 
     link: Link
-    sides: dict[Way, asyncio.Transport] = field(default_factory=dict)  # by the direction of received bytes
-    buffered: dict[Way, deque[bytes]] = field(default_factory=lambda: {way: deque() for way in Way})
+    sides: dict[Direction, asyncio.Transport] = field(
+        default_factory=dict
+    )  # by the direction of received bytes
+    buffered: dict[Direction, deque[bytes]] = field(
+        default_factory=lambda: {way: deque() for way in Direction}
+    )
     lost_bytes: bool = False  # bytes of this connection were discarded
     ended: bool = False
 
-    def received(self, way: Way, data: bytes) -> None:
+    def received(self, way: Direction, data: bytes) -> None:
         """Forward, buffer or discard bytes received in a direction."""
         fault = self.link.faults[way]
         if fault.dropped:
@@ -61,9 +65,9 @@
         else:
             self.flush(way)
 
-    def flush(self, way: Way) -> None:
+    def flush(self, way: Direction) -> None:
         """Forward the buffered bytes if the other side is connected and the direction is not held."""
-        destination = self.sides.get(Way.BACK if way is Way.OUT else Way.OUT)
+        destination = self.sides.get(Direction.BACK if way is Direction.OUT else Direction.OUT)
         if destination is None or self.ended or self.link.faults[way].held:
             return
         while self.buffered[way]:
@@ -81,7 +85,7 @@
 class RelayProtocol(asyncio.Protocol):
     """One end of a relayed connection; bytes received here travel in direction `way`."""
 
-    def __init__(self, connection: RelayedConnection, way: Way) -> None:
+    def __init__(self, connection: RelayedConnection, way: Direction) -> None:
         self.connection = connection
         self.way = way
 
@@ -91,10 +95,10 @@
             transport.abort()
             return
         self.connection.sides[self.way] = transport
-        if self.way is Way.OUT:
+        if self.way is Direction.OUT:
             self.connection.link.connect_to_target(self.connection)
         else:
-            self.connection.flush(Way.OUT)
+            self.connection.flush(Direction.OUT)
 
     def data_received(self, data: bytes) -> None:
         self.connection.received(self.way, data)
@@ -117,7 +121,7 @@
         self.name = name
         self.target = target
         self.port = PORTS.take()
-        self.faults = {way: Fault() for way in Way}
+        self.faults = {way: Fault() for way in Direction}
         self.connections: set[RelayedConnection] = set()
         self.dial_times: list[float] = []
         self.is_cut = False
@@ -131,7 +135,7 @@
         if self.server is None and not self.is_cut:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
-                lambda: RelayProtocol(RelayedConnection(self), Way.OUT),
+                lambda: RelayProtocol(RelayedConnection(self), Direction.OUT),
                 "127.0.0.1",
                 self.port,
                 backlog=BACKLOG,
@@ -156,13 +160,13 @@
 
     async def mend(self) -> None:
         """End all faults: forward held bytes, and reset connections that lost bytes."""
-        self.faults = {way: Fault() for way in Way}
+        self.faults = {way: Fault() for way in Direction}
         for connection in list(self.connections):
             one_side_closed = any(transport.is_closing() for transport in connection.sides.values())
             if connection.lost_bytes or one_side_closed:
                 connection.end()
             else:
-                for way in Way:
+                for way in Direction:
                     connection.flush(way)
         if self.is_cut:
             self.is_cut = False
@@ -179,7 +183,9 @@
 
     async def _connect(self, connection: RelayedConnection) -> None:
         loop = asyncio.get_running_loop()
-        dial = loop.create_connection(lambda: RelayProtocol(connection, Way.BACK), "127.0.0.1", self.target)
+        dial = loop.create_connection(
+            lambda: RelayProtocol(connection, Direction.BACK), "127.0.0.1", self.target
+        )
         try:
             await asyncio.wait_for(dial, CONNECT_S)
         except (OSError, TimeoutError):
