--- a/standins/link.py
+++ b/standins/link.py
@@ -27,7 +27,7 @@
 
 class Direction(Enum):
     OUT = 0  # from the dialing side to the target
-    BACK = 1  # from the target to the dialing side
+    FROM_TARGET = 1  # from the target to the dialing side
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
 
     def flush(self, way: Direction) -> None:
         """Forward the buffered bytes if the other side is connected and the direction is not held."""
-        destination = self.sides.get(Direction.BACK if way is Direction.OUT else Direction.OUT)
+        destination = self.sides.get(Direction.FROM_TARGET if way is Direction.OUT else Direction.OUT)
         if destination is None or self.ended or self.link.faults[way].held:
             return
         while self.buffered[way]:
@@ -184,7 +184,7 @@
     async def _connect(self, connection: RelayedConnection) -> None:
         loop = asyncio.get_running_loop()
         dial = loop.create_connection(
-            lambda: RelayProtocol(connection, Direction.BACK), "127.0.0.1", self.target
+            lambda: RelayProtocol(connection, Direction.FROM_TARGET), "127.0.0.1", self.target
         )
         try:
             await asyncio.wait_for(dial, CONNECT_S)
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -39,7 +39,7 @@
         async with linked() as (link, _):
             streams = await asyncio.open_connection("127.0.0.1", link.port)
             assert await exchange(streams, b"one") == b"ONE"
-            link.faults[Direction.BACK].held = True
+            link.faults[Direction.FROM_TARGET].held = True
             streams[1].write(b"two")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(streams[0].read(1), 0.1)
