--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -301,7 +301,7 @@
         first, second, both = parse_link(words)
         reverse = not first.startswith("n")
         program, peer = (second, first) if reverse else (first, second)
-        ways = tuple(Direction) if both else ((Direction.FROM_TARGET,) if reverse else (Direction.OUT,))
+        ways = tuple(Direction) if both else ((Direction.FROM_TARGET,) if reverse else (Direction.TO_TARGET,))
         node = self.nodes[program]
         key = "d" if peer == "d" else next((str(s.port) for s in self.every if s.name == peer), "")
         return [(node.links[key], ways)] if key in node.links else []
--- a/standins/link.py
+++ b/standins/link.py
@@ -26,7 +26,7 @@
 
 
 class Direction(Enum):
-    OUT = 0  # from the dialing side to the target
+    TO_TARGET = 0  # from the dialing side to the target
     FROM_TARGET = 1  # from the target to the dialing side
 
 
@@ -67,7 +67,9 @@
 
     def flush(self, way: Direction) -> None:
         """Forward the buffered bytes if the other side is connected and the direction is not held."""
-        destination = self.sides.get(Direction.FROM_TARGET if way is Direction.OUT else Direction.OUT)
+        destination = self.sides.get(
+            Direction.FROM_TARGET if way is Direction.TO_TARGET else Direction.TO_TARGET
+        )
         if destination is None or self.ended or self.link.faults[way].held:
             return
         while self.buffered[way]:
@@ -95,10 +97,10 @@
             transport.abort()
             return
         self.connection.sides[self.way] = transport
-        if self.way is Direction.OUT:
+        if self.way is Direction.TO_TARGET:
             self.connection.link.connect_to_target(self.connection)
         else:
-            self.connection.flush(Direction.OUT)
+            self.connection.flush(Direction.TO_TARGET)
 
     def data_received(self, data: bytes) -> None:
         self.connection.received(self.way, data)
@@ -135,7 +137,7 @@
         if self.server is None and not self.is_cut:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
-                lambda: RelayProtocol(RelayedConnection(self), Direction.OUT),
+                lambda: RelayProtocol(RelayedConnection(self), Direction.TO_TARGET),
                 "127.0.0.1",
                 self.port,
                 backlog=BACKLOG,
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -45,7 +45,7 @@
                 await asyncio.wait_for(streams[0].read(1), 0.1)
             await link.mend()
             assert await asyncio.wait_for(streams[0].readexactly(3), 2.0) == b"TWO"
-            link.faults[Direction.OUT].delay_s = 0.1
+            link.faults[Direction.TO_TARGET].delay_s = 0.1
             before = asyncio.get_running_loop().time()
             assert await exchange(streams, b"three") == b"THREE"
             assert asyncio.get_running_loop().time() - before >= 0.099
@@ -59,7 +59,7 @@
             lost = await asyncio.open_connection("127.0.0.1", link.port)
             kept = await asyncio.open_connection("127.0.0.1", link.port)
             assert await exchange(lost, b"a") == await exchange(kept, b"a") == b"A"
-            link.faults[Direction.OUT].dropped = True
+            link.faults[Direction.TO_TARGET].dropped = True
             lost[1].write(b"gone")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(lost[0].read(1), 0.1)
