--- a/standins/link.py
+++ b/standins/link.py
@@ -144,7 +144,7 @@
             )
         return self
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """Refuse dials and reset open connections."""
         self.should_listen = False
         self._stop()
@@ -194,7 +194,7 @@
             connection.end()
 
     async def close(self) -> None:
-        self.shut()
+        self.stop_listening()
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
