--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -14,7 +14,7 @@
 from rigs.schedule import Fault, weather_of
 from standins.clients import Application, ApplicationSettings
 from standins.ports import PORTS
-from standins.weather import DatagramLink, Weather
+from standins.weather import DatagramLink, NetworkConditions
 from standins.wire import read_message, request
 
 KEY = "000102030405060708090a0b0c0d0e0f"
@@ -32,7 +32,7 @@
         super().__init__(seed, plan)
         self.tables = tables
         self.peers = peers
-        self.weather = Weather(Random(self.rng.getrandbits(32)))
+        self.weather = NetworkConditions(Random(self.rng.getrandbits(32)))
         self.ports: dict[str, int] = {}
         self.views: dict[str, int] = {}
         self.mesh: dict[tuple[str, str], DatagramLink] = {}
--- a/standins/weather.py
+++ b/standins/weather.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Weather:
+class NetworkConditions:
     """Network conditions of all links. `cut`: partitioned pairs of sender and receiver.
 
     `loss` and `repeat` are the shares of datagrams that are lost and duplicated.
@@ -65,7 +65,7 @@
 class DatagramLink:
     """A relay from one member to the port of another: forwards requests, and their answers back."""
 
-    def __init__(self, weather: Weather, sender: str, receiver: str, target: int) -> None:
+    def __init__(self, weather: NetworkConditions, sender: str, receiver: str, target: int) -> None:
         self.weather = weather
         self.sender = sender
         self.receiver = receiver
--- a/tests/standins/test_weather.py
+++ b/tests/standins/test_weather.py
@@ -6,15 +6,15 @@
 import socket
 from random import Random
 
-from standins.weather import DatagramLink, Weather
+from standins.weather import DatagramLink, NetworkConditions
 
 
 def test_fates_follow_the_weather() -> None:
-    weather = Weather(Random(5))
+    weather = NetworkConditions(Random(5))
     assert weather.delays("a", "b") == [0.0]
     weather.cut = {("a", "b")}
     assert weather.delays("a", "b") == [] and weather.delays("b", "a") == [0.0]
-    weather = Weather(Random(5), loss=0.25, delay_s=1.0, jitter_s=0.5, repeat=0.5)
+    weather = NetworkConditions(Random(5), loss=0.25, delay_s=1.0, jitter_s=0.5, repeat=0.5)
     delays = [weather.delays("a", "b") for _ in range(4_000)]
     assert 0.2 < sum(not arrivals for arrivals in delays) / 4_000 < 0.3
     assert (
@@ -36,7 +36,7 @@
             for sock in (requester, responder):
                 sock.bind(("127.0.0.1", 0))
                 sock.setblocking(False)
-            weather = Weather(Random(5))
+            weather = NetworkConditions(Random(5))
             link = await DatagramLink(weather, "a", "b", responder.getsockname()[1]).open()
             try:
                 await loop.sock_sendto(requester, b"question", ("127.0.0.1", link.port))
