--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -32,13 +32,13 @@
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
-        self.book: list[Opened] = []
+        self.connection_log: list[Opened] = []
         self.swallowed: list[tuple[str, float]] = []  # requests on a dead connection: call id, arrival time
         self.idle_close_count = 0
 
     async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         opened = Opened(time.monotonic())
-        self.book.append(opened)
+        self.connection_log.append(opened)
         while True:
             idle_from = time.monotonic()
             reused = opened.used_at is not None
@@ -71,4 +71,4 @@
 
     def opens_peak(self, since: float, until: float) -> int:
         """The highest number of connections opened within any second of a time span."""
-        return max_in_window([opened.at for opened in self.book if since <= opened.at < until], 1.0)
+        return max_in_window([opened.at for opened in self.connection_log if since <= opened.at < until], 1.0)
