--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -33,7 +33,9 @@
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
         self.connection_log: list[Opened] = []
-        self.swallowed: list[tuple[str, float]] = []  # requests on a dead connection: call id, arrival time
+        self.requests_on_dead_connections: list[
+            tuple[str, float]
+        ] = []  # requests on a dead connection: call id, arrival time
         self.idle_close_count = 0
 
     async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -55,11 +57,11 @@
                 opened.used_at = now
             call_id = message.headers.get("x-call-id", "")
             if reused and self.drops_idle_s and now - idle_from > self.drops_idle_s:
-                self.swallowed.append((call_id, now))
+                self.requests_on_dead_connections.append((call_id, now))
                 await reader.read()  # no answer until the peer closes the connection
                 return
             if reused and self.rng.random() < self.resets_kept:
-                self.swallowed.append((call_id, now))
+                self.requests_on_dead_connections.append((call_id, now))
                 return  # resets the connection without handling the request
             answer = await self._unless_closed(self._answer(message), reader)
             if answer is None:
