--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -26,7 +26,9 @@
     """A check server with connection faults; 0 or False turns a fault off."""
 
     idle_close_s = 0.0  # closes a connection after this idle time, earlier than announced
-    drops_idle_s = 0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
+    silent_drop_after_idle_s = (
+        0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
+    )
     closes_after = False  # closes after each answer without `Connection: close`
     resets_kept = 0.0  # share of requests on reused connections that are answered by a reset
 
@@ -56,7 +58,7 @@
             if opened.used_at is None:
                 opened.used_at = now
             call_id = message.headers.get("x-call-id", "")
-            if reused and self.drops_idle_s and now - idle_from > self.drops_idle_s:
+            if reused and self.silent_drop_after_idle_s and now - idle_from > self.silent_drop_after_idle_s:
                 self.requests_on_dead_connections.append((call_id, now))
                 await reader.read()  # no answer until the peer closes the connection
                 return
