--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -25,7 +25,7 @@
 class FaultyServer(CheckServer):
     """A check server with connection faults; 0 or False turns a fault off."""
 
-    idle_close_s = 0.0  # closes a connection after this idle time, earlier than announced
+    close_after_idle_s = 0.0  # closes a connection after this idle time, earlier than announced
     silent_drop_after_idle_s = (
         0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
     )
@@ -47,7 +47,7 @@
             idle_from = time.monotonic()
             reused = opened.used_at is not None
             try:
-                timeout_s = self.idle_close_s if reused and self.idle_close_s else None
+                timeout_s = self.close_after_idle_s if reused and self.close_after_idle_s else None
                 message = await asyncio.wait_for(read_message(reader), timeout_s)
             except TimeoutError:
                 self.idle_close_count += 1
