--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -29,7 +29,7 @@
     silent_drop_after_idle_s = (
         0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
     )
-    closes_after = False  # closes after each answer without `Connection: close`
+    closes_after_answer = False  # closes after each answer without `Connection: close`
     resets_kept = 0.0  # share of requests on reused connections that are answered by a reset
 
     def __init__(self, *arguments: object, **options: object) -> None:
@@ -70,7 +70,7 @@
                 return
             writer.write(answer)
             await writer.drain()
-            if self.closes_after:
+            if self.closes_after_answer:
                 return
 
     def opens_peak(self, since: float, until: float) -> int:
