--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -30,7 +30,7 @@
         0.0  # ignores requests after this idle time, as if a firewall had dropped the flow
     )
     closes_after_answer = False  # closes after each answer without `Connection: close`
-    resets_kept = 0.0  # share of requests on reused connections that are answered by a reset
+    reset_share_of_reused = 0.0  # share of requests on reused connections that are answered by a reset
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
@@ -62,7 +62,7 @@
                 self.requests_on_dead_connections.append((call_id, now))
                 await reader.read()  # no answer until the peer closes the connection
                 return
-            if reused and self.rng.random() < self.resets_kept:
+            if reused and self.rng.random() < self.reset_share_of_reused:
                 self.requests_on_dead_connections.append((call_id, now))
                 return  # resets the connection without handling the request
             answer = await self._unless_closed(self._answer(message), reader)
