--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -73,6 +73,6 @@
             if self.closes_after_answer:
                 return
 
-    def opens_peak(self, since: float, until: float) -> int:
+    def max_opens_per_s(self, since: float, until: float) -> int:
         """The highest number of connections opened within any second of a time span."""
         return max_in_window([opened.at for opened in self.connection_log if since <= opened.at < until], 1.0)
