--- a/standins/line_faults.py
+++ b/standins/line_faults.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Opened:
+class ConnectionRecord:
     """One accepted connection: when it was opened and first used."""
 
     at: float
@@ -34,14 +34,14 @@
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
-        self.connection_log: list[Opened] = []
+        self.connection_log: list[ConnectionRecord] = []
         self.requests_on_dead_connections: list[
             tuple[str, float]
         ] = []  # requests on a dead connection: call id, arrival time
         self.idle_close_count = 0
 
     async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        opened = Opened(time.monotonic())
+        opened = ConnectionRecord(time.monotonic())
         self.connection_log.append(opened)
         while True:
             idle_from = time.monotonic()
