--- a/rigs/soak_callers.py
+++ b/rigs/soak_callers.py
@@ -13,7 +13,7 @@
 
 from rigs.soak_judge import Judge
 from standins.clients import ClientConnection, ConnectionAllowance
-from standins.errands import Errands
+from standins.errands import BackgroundTasks
 from standins.ledger import Final, Sent
 from standins.wire import Message, WireError, read_message, request
 
@@ -39,7 +39,7 @@
         self.allowance = ConnectionAllowance(MAX_CONNECTIONS)
         self.connect_until = float("inf")  # monotonic time after which no connections are opened
         self.running = True
-        self.errands = Errands()
+        self.errands = BackgroundTasks()
         self.request_numbers = count()
 
     async def run(self) -> None:
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import count
 
-from standins.errands import Errands
+from standins.errands import BackgroundTasks
 from standins.ledger import Final, Ledger, Sent
 from standins.wire import Message, WireError, read_message, request
 
@@ -126,7 +126,7 @@
         self.settings = habits
         self.idle: list[ClientConnection] = []
         self.connections: set[ClientConnection] = set()
-        self.errands = Errands()
+        self.errands = BackgroundTasks()
         self.recent_closes: list[float] = []  # when the program closed idle connections
         self.idle_closed = 0
         self.missed_connections = 0
@@ -269,7 +269,7 @@
         self.ledger = ledger
         self.allowance = allowance
         self.rng = rng
-        self.errands = Errands()
+        self.errands = BackgroundTasks()
         self.started = 0
 
     async def ask_once_and_stay(self, rate: float, seconds: float) -> None:
--- a/standins/errands.py
+++ b/standins/errands.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Errands:
+class BackgroundTasks:
     """A set of running background tasks; a task is removed when it ends."""
 
     def __init__(self) -> None:
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -17,7 +17,7 @@
 from aetcd import rpc
 from aetcd.rpc import rpc_pb2_grpc
 
-from standins.errands import Errands
+from standins.errands import BackgroundTasks
 from standins.etcd.store import DELETE, Compacted, Lease, Store, in_range
 
 EXPIRY_CHECK_S = 0.02
@@ -244,7 +244,7 @@
         await self._authorize(context)
         stream = WatchStream(self, context)
         self.watches.add(stream)
-        background = Errands()
+        background = BackgroundTasks()
         background.begin(stream.read(requests))
         try:
             await stream.write()
--- a/standins/grpc_client.py
+++ b/standins/grpc_client.py
@@ -11,7 +11,7 @@
 import grpc
 import grpc.aio
 
-from standins.errands import Errands
+from standins.errands import BackgroundTasks
 from standins.ledger import Final, Ledger
 
 RUN, STATUS, ECHO = "/check.Checks/Run", "/check.Checks/Status", "/check.Checks/Echo"
@@ -35,7 +35,7 @@
         self.budget_s = 3.0
         self.trailers_changed = 0
         self.streams = self.streams_broken = 0
-        self.errands = Errands()
+        self.errands = BackgroundTasks()
         self.channel = grpc.aio.insecure_channel(
             f"127.0.0.1:{port}", options=[("grpc.enable_retries", 0), ("grpc.use_local_subchannel_pool", 1)]
         )
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -19,7 +19,7 @@
 from envoy.config.core.v3.base_pb2 import HeaderMap, HeaderValue
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 
-from standins.errands import Errands
+from standins.errands import BackgroundTasks
 from standins.ledger import Final, Ledger
 from standins.wire import Message, WireError, read_message, request
 
@@ -141,7 +141,7 @@
             request_serializer=pb.ProcessingRequest.SerializeToString,
             response_deserializer=pb.ProcessingResponse.FromString,
         )
-        self.errands = Errands()
+        self.errands = BackgroundTasks()
         self.decided_s: list[float] = []
         self.tokens: dict[str, int] = {}  # tokens sent with retries, by the result of the processor's check
         self.opened = 0  # requests forwarded without a decision
