--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -25,7 +25,7 @@
     report = Report("demo-external-processor", seed)
     print("starting six check servers, a discovery server, the program and two proxies", file=sys.stderr)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
-        port = PORTS.take()
+        port = PORTS.next_free()
         program = await stage.up(environment=operator_file(folder, port))
         proxies = [new_proxy(stage, f"p{n}", port, Ways()) for n in range(PROXIES)]
         started_at = now()
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -36,7 +36,7 @@
     stage = Stage(seed, SERVERS, sockets=1024, work_s=WORK_S)
     report = Report("external-processor", seed)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
-        port = PORTS.take()
+        port = PORTS.next_free()
         program = await stage.up(environment=operator_file(folder, port))
         proxies = [new_proxy(stage, f"p{n}", port, ways) for n, ways in enumerate(_proxy_ways(stage))]
         application = stage.application("http", ApplicationSettings(rate=HTTP_RATE, retries=0))
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -45,7 +45,7 @@
     stage = GrpcStage(seed, SERVERS, sockets=768, work_s=WORK_S)
     report = Report("grpc", seed)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
-        port = PORTS.take()
+        port = PORTS.next_free()
         await stage.up(environment=_operator_file(folder, port))
         http = stage.application("http", ApplicationSettings(rate=RATE, retries=2))
         rng = random.Random(stage.rng.getrandbits(32))
--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -40,8 +40,8 @@
 
     async def meet(self) -> None:
         names = list(self.nodes)
-        self.ports = {name: PORTS.take() for name in names}
-        self.views = {name: PORTS.take() for name in names}
+        self.ports = {name: PORTS.next_free() for name in names}
+        self.views = {name: PORTS.next_free() for name in names}
         for name in names:
             for other in names:
                 if other != name:
--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -74,7 +74,7 @@
 
     async def start(self, cold: bool = False) -> CheckServer:
         """Listen, on the same port each time; with `cold` the warm-up ramp starts now."""
-        self.port = self.port or PORTS.take()
+        self.port = self.port or PORTS.next_free()
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, backlog=512)
         now = time.monotonic()
         self.started_ms = int(time.time() * 1000) if cold else 0
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -100,7 +100,7 @@
             for view in self.views:
                 if view.server is None:
                     serve = functools.partial(self._serve, view)
-                    view.port = view.port or PORTS.take()
+                    view.port = view.port or PORTS.next_free()
                     view.server = await asyncio.start_server(serve, "127.0.0.1", view.port, backlog=512)
         return self
 
--- a/standins/link.py
+++ b/standins/link.py
@@ -122,7 +122,7 @@
     def __init__(self, name: str, target: int) -> None:
         self.name = name
         self.target = target
-        self.port = PORTS.take()
+        self.port = PORTS.next_free()
         self.faults = {way: Fault() for way in Direction}
         self.connections: set[RelayedConnection] = set()
         self.dial_times: list[float] = []
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -95,7 +95,7 @@
         self.state = Path(self.temporary_folder.name) / "tmp"  # TMPDIR of the program; kept across restarts
         self.state.mkdir()
         self.log = Path(self.temporary_folder.name) / "log"
-        self.port = PORTS.take()
+        self.port = PORTS.next_free()
         self.environment = environment or {}
         self.configuration: dict[str, Any] = {
             "name": name,
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -24,7 +24,7 @@
         self.block = range(0)
         self.rotation: Iterator[int] = iter(())
 
-    def take(self) -> int:
+    def next_free(self) -> int:
         """The next free port; raises OSError if all ports of the block are in use."""
         if self.reservation is None:
             self._reserve_block()
--- a/standins/weather.py
+++ b/standins/weather.py
@@ -70,7 +70,7 @@
         self.sender = sender
         self.receiver = receiver
         self.target = target
-        self.port = PORTS.take()
+        self.port = PORTS.next_free()
         self.source: Source | None = None
         self.bytes = {False: 0, True: 0}  # received, by whether they belong to answers
         self.sides: dict[bool, _RelayProtocol] = {}
--- a/tests/connections/test_settings.py
+++ b/tests/connections/test_settings.py
@@ -54,7 +54,7 @@
 
 def test_a_reload_takes_other_bounds_over_and_says_what_waits(tmp_path: Path) -> None:
     async def case() -> None:
-        path = write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}")
+        path = write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.next_free()}")
         config = program.read_config({"NODE_CONFIG": str(path)})
         sidecar = Sidecar(config, {"connections": Connections(plan=True)}, asyncio.get_running_loop())
         pool = sidecar.transport.pool
@@ -63,7 +63,7 @@
         assert sidecar.reload(config, halved) == []
         assert (pool.rules.accepts, pool.rules.opens_per_s) == (185, 20.0)
         assert sidecar.reload(config, {}) == ["connections.plan"]
-        planless_sidecar = Sidecar(replace(config, listen=("127.0.0.1", PORTS.take())), {}, sidecar.loop)
+        planless_sidecar = Sidecar(replace(config, listen=("127.0.0.1", PORTS.next_free())), {}, sidecar.loop)
         assert type(planless_sidecar.transport.pool) is Pool
         for sidecar_to_stop in (sidecar, planless_sidecar):
             sidecar_to_stop.drain()
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -56,7 +56,7 @@
 ) -> None:
     async def case() -> None:
         peer, added_peer = await Peer(answers_with(ANSWER)).start(), await Peer(answers_with(ANSWER)).start()
-        port, discovery_port = PORTS.take(), PORTS.take()
+        port, discovery_port = PORTS.next_free(), PORTS.next_free()
         settings = settings_document() | {"membershipMode": "ask", "fleetSize": 3}
         settings["rules"] = settings["rules"] | {"askWithinNs": 4 * 10**9}
         path = write_config_file(
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -104,7 +104,8 @@
 ) -> None:
     async def case() -> None:
         monkeypatch.setenv(
-            "NODE_CONFIG", str(write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.take()}"))
+            "NODE_CONFIG",
+            str(write_config_file(tmp_path / "config", listen=f"127.0.0.1:{PORTS.next_free()}")),
         )
         config = program.read_config({"NODE_CONFIG": str(tmp_path / "config")})
         file = tmp_path / "operator.toml"
--- a/tests/membership/test_bad_lists.py
+++ b/tests/membership/test_bad_lists.py
@@ -384,7 +384,7 @@
         discovery = await BadDiscovery(members, bad, closes).start()
         settings = settings_document() | {"membershipMode": "ask"}
         settings["rules"]["askWithinNs"] = 10**9
-        port = PORTS.take()
+        port = PORTS.next_free()
         config = write_config_file(
             tmp_path / "config.json",
             listen=f"127.0.0.1:{port}",
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -38,7 +38,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.file = folder / "operator.toml"
-        self.port = PORTS.take()
+        self.port = PORTS.next_free()
 
     async def start(self, peers: list[Peer], listed: list[Peer]) -> None:
         self.ensemble = await Ensemble().start()
--- a/tests/membership/test_sizes.py
+++ b/tests/membership/test_sizes.py
@@ -133,7 +133,7 @@
 async def program(
     path: Path, discovery: Peer, limits: dict[str, int], **changes: Any
 ) -> AsyncIterator[Program]:
-    port = PORTS.take()
+    port = PORTS.next_free()
     config = write_config_file(
         path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery.port}", limits=limits, **changes
     )
--- a/tests/ops/test_upgrade.py
+++ b/tests/ops/test_upgrade.py
@@ -34,7 +34,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.port = PORTS.take()
+        self.port = PORTS.next_free()
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def begin(self) -> Deployment:
@@ -46,7 +46,7 @@
 
     async def start(self, wait: bool = True, **changes: object) -> tuple[asyncio.subprocess.Process, int]:
         """Start a process; returns it and its operators' port. `wait`: only after `/_ready` answers 200."""
-        ops = PORTS.take()
+        ops = PORTS.next_free()
         config: dict[str, object] = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.lists.port}",
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -90,7 +90,7 @@
         initial_list = {"revision": 1, "complete": True, "members": members}
         program = Program(lists.port, 1, initial_list, facts)
         program.configuration["limits"]["memory_mb"] = MEMORY_MB
-        program.configuration["ops"] = f"127.0.0.1:{PORTS.take()}"
+        program.configuration["ops"] = f"127.0.0.1:{PORTS.next_free()}"
         await program.start()
         try:
             requests = [
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -539,9 +539,9 @@
 
 def test_the_operators_file_is_taken_over_while_it_runs_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     async def case() -> None:
-        peer, view_port = await Peer(answers_with(ANSWER)).start(), PORTS.take()
+        peer, view_port = await Peer(answers_with(ANSWER)).start(), PORTS.next_free()
         lists = await ScriptedDiscovery([peer.member("s0")]).start()
-        port = PORTS.take()
+        port = PORTS.next_free()
         path = write_config_file(
             tmp_path / "c.json", listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{lists.port}"
         )
