--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -38,7 +38,7 @@
 from garnethaven.tables import Secret
 from standins.ledger import Ledger
 from standins.platform import settings
-from standins.proxy import Proxy, Ways, headers_message
+from standins.proxy import Proxy, ProxySettings, headers_message
 
 SERVERS = 15
 WORKERS = 32
@@ -107,7 +107,7 @@
     """Load of streams on one channel; each stream handles one request and one response."""
 
     def __init__(self, port: int) -> None:
-        self.proxy = Proxy("b", port, Ledger(6, 0.5, 3, 3, 0.2), random.Random(1), Ways())
+        self.proxy = Proxy("b", port, Ledger(6, 0.5, 3, 3, 0.2), random.Random(1), ProxySettings())
         self.streams_sent = 0
         self.decision_times: list[float] = []
 
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -12,7 +12,7 @@
 from rigs.stage import Stage, keeping_book, now
 from standins.platform import TARGET_S
 from standins.ports import PORTS
-from standins.proxy import Ways
+from standins.proxy import ProxySettings
 
 RATE = 30.0  # of each proxy
 PROXIES = 2
@@ -27,7 +27,7 @@
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         port = PORTS.next_free()
         program = await stage.up(environment=operator_file(folder, port))
-        proxies = [new_proxy(stage, f"p{n}", port, Ways()) for n in range(PROXIES)]
+        proxies = [new_proxy(stage, f"p{n}", port, ProxySettings()) for n in range(PROXIES)]
         started_at = now()
         async with keeping_book(stage):
             count_task = asyncio.create_task(count_live(stage))
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -19,7 +19,7 @@
 from standins.clients import ApplicationSettings
 from standins.platform import TARGET_S
 from standins.ports import PORTS
-from standins.proxy import Proxy, Ways
+from standins.proxy import Proxy, ProxySettings
 
 SERVERS = 12
 RATE = 90.0  # of each proxy; the HTTP/1.1 application adds `HTTP_RATE`
@@ -69,16 +69,16 @@
     return {"NODE_OPERATOR": str(file)}
 
 
-def new_proxy(stage: Stage, name: str, port: int, ways: Ways) -> Proxy:
+def new_proxy(stage: Stage, name: str, port: int, ways: ProxySettings) -> Proxy:
     return Proxy(name, port, stage.ledger, random.Random(stage.rng.getrandbits(32)), ways)
 
 
-def _proxy_ways(stage: Stage) -> list[Ways]:
+def _proxy_ways(stage: Stage) -> list[ProxySettings]:
     """Settings of the proxies: all lose clients and delay decisions; one forges tokens, one fails open.
 
     The proxy that fails open sends to servers that neither crash nor drain.
     """
-    base = Ways(gives_up=0.02, holds=0.01)
+    base = ProxySettings(gives_up=0.02, holds=0.01)
     stable = tuple(f"127.0.0.1:{server.port}" for server in stage.servers[6:])
     return [base, base, replace(base, forges=0.3), replace(base, fails_open=stable)]
 
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Ways:
+class ProxySettings:
     """Settings of a proxy. `keeps_tokens`: whether retries carry the token of an earlier decision."""
 
     tries: int = 3
@@ -123,7 +123,7 @@
 
     numbers = count()
 
-    def __init__(self, name: str, port: int, ledger: Ledger, rng: random.Random, ways: Ways) -> None:
+    def __init__(self, name: str, port: int, ledger: Ledger, rng: random.Random, ways: ProxySettings) -> None:
         self.name = name
         self.ledger = ledger
         self.rng = rng
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -20,7 +20,7 @@
 from garnethaven.extproc.table import ExternalProcessor
 from garnethaven.interface import ListKind
 from standins.ledger import Ledger
-from standins.proxy import ATTEMPTS, TOKEN, UNUSED, VALID, Asked, Proxy, Ways, headers_message
+from standins.proxy import ATTEMPTS, TOKEN, UNUSED, VALID, Asked, Proxy, ProxySettings, headers_message
 from tests.loopback import (
     ANSWER,
     Peer,
@@ -43,7 +43,9 @@
         self.sidecar = sidecar
         self.front = front
         self.peers = peers
-        self.proxy = Proxy("p", front.port, Ledger(6.0, 0.5, 3.0, 3.0, 0.2), random.Random(1), Ways())
+        self.proxy = Proxy(
+            "p", front.port, Ledger(6.0, 0.5, 3.0, 3.0, 0.2), random.Random(1), ProxySettings()
+        )
 
     def headers(self, **changes: str) -> dict[str, str]:
         headers = self.proxy._headers("c1", "k1", 2.0)
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -18,7 +18,7 @@
 from garnethaven.tables import Secret, SocketAddress
 from standins.ledger import Ledger
 from standins.ports import PORTS
-from standins.proxy import ATTEMPTS, CHECKED, Proxy, Ways, headers_message
+from standins.proxy import ATTEMPTS, CHECKED, Proxy, ProxySettings, headers_message
 from tests.extproc.test_front import KEY, processor_harness
 from tests.loopback import run, wait_until, write_config_file
 
@@ -164,7 +164,7 @@
             peer = harness.peers[0]
             ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
             open_addresses = (f"127.0.0.1:{peer.port}",) if opens else ()
-            ways = Ways(tries=1, message_timeout_s=0.3, fails_open=open_addresses)
+            ways = ProxySettings(tries=1, message_timeout_s=0.3, fails_open=open_addresses)
             proxy = Proxy("q", harness.front.port, ledger, random.Random(2), ways)
             await harness.front.close(0.0)
             await proxy.one("q1")
