--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -127,7 +127,7 @@
         self.name = name
         self.ledger = ledger
         self.rng = rng
-        self.ways = ways
+        self.settings = ways
         self.channel = grpc.aio.insecure_channel(
             f"127.0.0.1:{port}",
             options=[
@@ -174,8 +174,8 @@
     async def one(self, call_id: str) -> None:
         """Handle a request from its arrival to its final outcome."""
         key = f"key-{call_id}"
-        sent = self.ledger.sends(call_id, key, time.monotonic(), self.ways.budget_s, True)
-        if self.rng.random() < self.ways.gives_up:
+        sent = self.ledger.sends(call_id, key, time.monotonic(), self.settings.budget_s, True)
+        if self.rng.random() < self.settings.gives_up:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self.rng.uniform(0.0, 0.06)):
                     await self._finish(call_id, key, sent.at)
@@ -190,8 +190,8 @@
     async def _tries(self, call_id: str, key: str, started_at: float) -> tuple[Final, str]:
         token, may_have_run, unused = "", False, False
         last: Final = "failed"
-        for _ in range(self.ways.tries):
-            left_s = started_at + self.ways.budget_s - time.monotonic()
+        for _ in range(self.settings.tries):
+            left_s = started_at + self.settings.budget_s - time.monotonic()
             if left_s <= 0.05:
                 break
             headers = self._headers(call_id, key, left_s)
@@ -204,9 +204,9 @@
             stream = self.ask()
             try:
                 asked_at = time.monotonic()
-                decision = await stream.decide(headers, min(left_s, self.ways.message_timeout_s))
+                decision = await stream.decide(headers, min(left_s, self.settings.message_timeout_s))
                 if decision is None:  # no decision: nothing was sent to a check server
-                    if self.ways.fails_open and not may_have_run:
+                    if self.settings.fails_open and not may_have_run:
                         return await self._without_decision(call_id, key, left_s)
                     last = "failed" if may_have_run else "refused"
                     await asyncio.sleep(0.1)
@@ -216,8 +216,8 @@
                     self.tokens[decision.checked] = self.tokens.get(decision.checked, 0) + 1
                 if decision.status:
                     return ("refused" if decision.status in (429, 503) else "failed"), ""
-                if self.rng.random() < self.ways.holds:
-                    await asyncio.sleep(self.ways.hold_s)
+                if self.rng.random() < self.settings.holds:
+                    await asyncio.sleep(self.settings.hold_s)
                 if time.monotonic() > decision.at + decision.valid_s:
                     self.stale += 1
                     if not may_have_run:
@@ -225,7 +225,7 @@
                     continue
                 answer = await self._send(decision.address, call_id, key, left_s)
                 if isinstance(answer, Message):
-                    await stream.report(self._response_headers(answer), self.ways.message_timeout_s)
+                    await stream.report(self._response_headers(answer), self.settings.message_timeout_s)
                     if answer.status == 200:
                         return "served", self._mark(answer, call_id)
                     ran = answer.headers.get("x-rejected") != "1"
@@ -234,7 +234,7 @@
                 unused = False
                 if ran:
                     may_have_run = True
-                    token = decision.token if self.ways.keeps_tokens else ""
+                    token = decision.token if self.settings.keeps_tokens else ""
                 last = "failed" if may_have_run else "refused"
             finally:
                 stream.cancel()
@@ -244,7 +244,7 @@
         """Fail open: one try at a server chosen by the proxy, to which the processor's rules do not apply."""
         self.opened += 1
         self.ledger.own_ways.add(call_id)
-        answer = await self._send(self.rng.choice(self.ways.fails_open), call_id, key, left_s)
+        answer = await self._send(self.rng.choice(self.settings.fails_open), call_id, key, left_s)
         if isinstance(answer, Message) and answer.status == 200:
             return "served", self._mark(answer, call_id)
         may_have_run = answer is True or (
@@ -254,7 +254,7 @@
 
     def _retry_token(self, token: str) -> str:
         """The token, or an altered one for a share of `forges`."""
-        if self.rng.random() >= self.ways.forges:
+        if self.rng.random() >= self.settings.forges:
             return token
         index = self.rng.randrange(len(token) // 2)
         return token[:index] + ("A" if token[index] != "A" else "B") + token[index + 1 :]
