--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -85,7 +85,7 @@
     )
 
 
-class Asked:
+class ProcessorStream:
     """One `ext_proc` stream to the processor."""
 
     def __init__(self, call: Any) -> None:
@@ -166,8 +166,8 @@
                 writer.close()
         await self.channel.close()
 
-    def ask(self) -> Asked:
-        return Asked(self.process())
+    def ask(self) -> ProcessorStream:
+        return ProcessorStream(self.process())
 
     # One request
 
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -20,7 +20,16 @@
 from garnethaven.extproc.table import ExternalProcessor
 from garnethaven.interface import ListKind
 from standins.ledger import Ledger
-from standins.proxy import ATTEMPTS, TOKEN, UNUSED, VALID, Asked, Proxy, ProxySettings, headers_message
+from standins.proxy import (
+    ATTEMPTS,
+    TOKEN,
+    UNUSED,
+    VALID,
+    ProcessorStream,
+    Proxy,
+    ProxySettings,
+    headers_message,
+)
 from tests.loopback import (
     ANSWER,
     Peer,
@@ -51,7 +60,7 @@
         headers = self.proxy._headers("c1", "k1", 2.0)
         return headers | {name.replace("_", "-"): value for name, value in changes.items()}
 
-    async def decide(self, exchange: Asked, **changes: str) -> Any:
+    async def decide(self, exchange: ProcessorStream, **changes: str) -> Any:
         decision = await exchange.decide(self.headers(**changes), 10.0)
         assert decision is not None
         return decision
