--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -166,7 +166,7 @@
                 writer.close()
         await self.channel.close()
 
-    def ask(self) -> ProcessorStream:
+    def open_stream(self) -> ProcessorStream:
         return ProcessorStream(self.process())
 
     # One request
@@ -201,7 +201,7 @@
                     headers[TOKEN] = self._retry_token(token)
                 if unused and not may_have_run:
                     headers[UNUSED] = "1"
-            stream = self.ask()
+            stream = self.open_stream()
             try:
                 asked_at = time.monotonic()
                 decision = await stream.decide(headers, min(left_s, self.settings.message_timeout_s))
