--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -40,7 +40,7 @@
     message_timeout_s: float = 1.0
     budget_s: float = 3.0
     keeps_tokens: bool = True
-    gives_up: float = 0.0  # share of requests whose client disconnects after at most 60 ms
+    disconnect_share: float = 0.0  # share of requests whose client disconnects after at most 60 ms
     holds: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
     hold_s: float = 0.4
     forges: float = 0.0  # share of tokens that are altered before a retry sends them
@@ -175,7 +175,7 @@
         """Handle a request from its arrival to its final outcome."""
         key = f"key-{call_id}"
         sent = self.ledger.sends(call_id, key, time.monotonic(), self.settings.budget_s, True)
-        if self.rng.random() < self.settings.gives_up:
+        if self.rng.random() < self.settings.disconnect_share:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self.rng.uniform(0.0, 0.06)):
                     await self._finish(call_id, key, sent.at)
