--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -41,7 +41,7 @@
     budget_s: float = 3.0
     keeps_tokens: bool = True
     disconnect_share: float = 0.0  # share of requests whose client disconnects after at most 60 ms
-    holds: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
+    hold_share: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
     hold_s: float = 0.4
     forges: float = 0.0  # share of tokens that are altered before a retry sends them
     fails_open: tuple[str, ...] = ()  # addresses used without a decision; empty: fail closed
@@ -216,7 +216,7 @@
                     self.tokens[decision.checked] = self.tokens.get(decision.checked, 0) + 1
                 if decision.status:
                     return ("refused" if decision.status in (429, 503) else "failed"), ""
-                if self.rng.random() < self.settings.holds:
+                if self.rng.random() < self.settings.hold_share:
                     await asyncio.sleep(self.settings.hold_s)
                 if time.monotonic() > decision.at + decision.valid_s:
                     self.stale += 1
