--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -43,7 +43,7 @@
     disconnect_share: float = 0.0  # share of requests whose client disconnects after at most 60 ms
     hold_share: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
     hold_s: float = 0.4
-    forges: float = 0.0  # share of tokens that are altered before a retry sends them
+    forge_share: float = 0.0  # share of tokens that are altered before a retry sends them
     fails_open: tuple[str, ...] = ()  # addresses used without a decision; empty: fail closed
 
 
@@ -254,7 +254,7 @@
 
     def _retry_token(self, token: str) -> str:
         """The token, or an altered one for a share of `forges`."""
-        if self.rng.random() >= self.settings.forges:
+        if self.rng.random() >= self.settings.forge_share:
             return token
         index = self.rng.randrange(len(token) // 2)
         return token[:index] + ("A" if token[index] != "A" else "B") + token[index + 1 :]
