--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -44,7 +44,7 @@
     hold_share: float = 0.0  # share of decisions that are held for `hold_s` before use, beyond their validity
     hold_s: float = 0.4
     forge_share: float = 0.0  # share of tokens that are altered before a retry sends them
-    fails_open: tuple[str, ...] = ()  # addresses used without a decision; empty: fail closed
+    fail_open_addresses: tuple[str, ...] = ()  # addresses used without a decision; empty: fail closed
 
 
 @dataclass(slots=True)
@@ -206,7 +206,7 @@
                 asked_at = time.monotonic()
                 decision = await stream.decide(headers, min(left_s, self.settings.message_timeout_s))
                 if decision is None:  # no decision: nothing was sent to a check server
-                    if self.settings.fails_open and not may_have_run:
+                    if self.settings.fail_open_addresses and not may_have_run:
                         return await self._without_decision(call_id, key, left_s)
                     last = "failed" if may_have_run else "refused"
                     await asyncio.sleep(0.1)
@@ -244,7 +244,7 @@
         """Fail open: one try at a server chosen by the proxy, to which the processor's rules do not apply."""
         self.opened += 1
         self.ledger.own_ways.add(call_id)
-        answer = await self._send(self.rng.choice(self.settings.fails_open), call_id, key, left_s)
+        answer = await self._send(self.rng.choice(self.settings.fail_open_addresses), call_id, key, left_s)
         if isinstance(answer, Message) and answer.status == 200:
             return "served", self._mark(answer, call_id)
         may_have_run = answer is True or (
