--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -144,7 +144,7 @@
         self.errands = BackgroundTasks()
         self.decided_s: list[float] = []
         self.tokens: dict[str, int] = {}  # tokens sent with retries, by the result of the processor's check
-        self.opened = 0  # requests forwarded without a decision
+        self.sent_without_decision = 0  # requests forwarded without a decision
         self.stale = 0  # decisions that expired before use
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
@@ -242,7 +242,7 @@
 
     async def _without_decision(self, call_id: str, key: str, left_s: float) -> tuple[Final, str]:
         """Fail open: one try at a server chosen by the proxy, to which the processor's rules do not apply."""
-        self.opened += 1
+        self.sent_without_decision += 1
         self.ledger.own_ways.add(call_id)
         answer = await self._send(self.rng.choice(self.settings.fail_open_addresses), call_id, key, left_s)
         if isinstance(answer, Message) and answer.status == 200:
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -170,7 +170,7 @@
             await proxy.one("q1")
             await proxy.close()
             sent = ledger.sent["q1"]
-            assert proxy.opened == len(peer.requests) == int(opens)
+            assert proxy.sent_without_decision == len(peer.requests) == int(opens)
             assert sent.final == ("served" if opens else "refused")
             assert ledger.sent_without_decision == ({"q1"} if opens else set())
 
