--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -142,7 +142,7 @@
             response_deserializer=pb.ProcessingResponse.FromString,
         )
         self.errands = BackgroundTasks()
-        self.decided_s: list[float] = []
+        self.decision_times_s: list[float] = []
         self.tokens: dict[str, int] = {}  # tokens sent with retries, by the result of the processor's check
         self.sent_without_decision = 0  # requests forwarded without a decision
         self.stale = 0  # decisions that expired before use
@@ -211,7 +211,7 @@
                     last = "failed" if may_have_run else "refused"
                     await asyncio.sleep(0.1)
                     continue
-                self.decided_s.append(decision.at - asked_at)
+                self.decision_times_s.append(decision.at - asked_at)
                 if decision.checked:
                     self.tokens[decision.checked] = self.tokens.get(decision.checked, 0) + 1
                 if decision.status:
