--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -145,7 +145,7 @@
         self.decision_times_s: list[float] = []
         self.tokens: dict[str, int] = {}  # tokens sent with retries, by the result of the processor's check
         self.sent_without_decision = 0  # requests forwarded without a decision
-        self.stale = 0  # decisions that expired before use
+        self.expired_decisions = 0  # decisions that expired before use
         self.idle: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
 
     async def run(self, rate: float, seconds: float) -> None:
@@ -219,7 +219,7 @@
                 if self.rng.random() < self.settings.hold_share:
                     await asyncio.sleep(self.settings.hold_s)
                 if time.monotonic() > decision.at + decision.valid_s:
-                    self.stale += 1
+                    self.expired_decisions += 1
                     if not may_have_run:
                         token, unused = decision.token, True
                     continue
