--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -17,7 +17,7 @@
 from rigs.stage import Stage, keeping_book, now
 from standins.clients import ApplicationSettings
 from standins.grpc_client import GrpcApplication
-from standins.grpc_server import CODES, OFFSET, GrpcCheckServer
+from standins.grpc_server import CODES, GRPC_PORT_OFFSET, GrpcCheckServer
 from standins.ledger import Ledger
 from standins.platform import TARGET_S
 from standins.ports import PORTS
@@ -81,7 +81,7 @@
 def _operator_file(folder: str, port: int) -> dict[str, str]:
     file = Path(folder) / "operator.toml"
     file.write_text(
-        f'[grpc]\nlisten = "127.0.0.1:{port}"\nport_offset = {OFFSET}\n'
+        f'[grpc]\nlisten = "127.0.0.1:{port}"\nport_offset = {GRPC_PORT_OFFSET}\n'
         '[[grpc.routes]]\npath = "/check.Checks/Run"\nclass = "check"\nkeyed = true\n'
         '[[grpc.routes]]\npath = "/check.Checks/Status"\nclass = "check"\n'
         '[[grpc.routes]]\npath = "/check.Checks/Echo"\nclass = "check"\nstreams = true\n'
--- a/standins/grpc_server.py
+++ b/standins/grpc_server.py
@@ -18,7 +18,7 @@
 from standins.check_server import CheckServer, Rack
 from standins.ledger import Ledger
 
-OFFSET = 7
+GRPC_PORT_OFFSET = 7
 MAX_PORT_TRIES = 50
 CODES = {code.value[0]: code for code in grpc.StatusCode}
 
@@ -44,7 +44,7 @@
                 (grpc.method_handlers_generic_handler("check.Checks", self._methods()),)
             )
             try:
-                server.add_insecure_port(f"127.0.0.1:{self.port + OFFSET}")
+                server.add_insecure_port(f"127.0.0.1:{self.port + GRPC_PORT_OFFSET}")
             except RuntimeError:
                 super().crash()
                 self.port = 0  # the gRPC port is in use: take another pair of ports
