--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -45,7 +45,7 @@
         self.sessions_killed = self.nodes_vanished = self.returned_cold = self.own_sessions_lost = 0
         self.registry_cut_s = 0.0
         self.ensemble.on_event_sent = self._event_written
-        self.ensemble.on_listed = self._list_written
+        self.ensemble.on_children_sent = self._list_written
 
     async def start(self) -> None:
         await self.ensemble.start()
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -46,7 +46,9 @@
         self.session_ids = itertools.count((int(time.time() * 1000) << 24 & 0x00FFFFFFFFFFFFFF) + 1)
         self.hosts = [Host(self, tls) for _ in range(hosts)]
         self.on_event_sent: Callable[[int, Kind, str, float], None] = lambda session, kind, path, at: None
-        self.on_listed: Callable[[int, str, list[str], float], None] = lambda session, path, names, at: None
+        self.on_children_sent: Callable[[int, str, list[str], float], None] = (
+            lambda session, path, names, at: None
+        )
         self.expired: list[int] = []
         self.expiry_task: asyncio.Task[None] | None = None
 
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -237,7 +237,7 @@
         assert connection.session is not None
         if context.listing is not None and not self.stalled:
             path, names = context.listing
-            self.ensemble.on_listed(connection.session.id, path, names, time.monotonic() + self.lag_s)
+            self.ensemble.on_children_sent(connection.session.id, path, names, time.monotonic() + self.lag_s)
         for kind, path in context.missed_events:
             connection.send_event(kind, path)
         if op == Op.CLOSE:
