--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -61,13 +61,13 @@
 async def serve_registry(nodes: int) -> None:
     """Print the port; then, for each line of input, expire one session and start a new one."""
     ensemble = await Ensemble(hosts=1).start()
-    ensemble.make(ROOT)
+    ensemble.create_node(ROOT)
     owner = ensemble.begin(40_000)
     owner.heard_at += 3600.0
     for number in range(1, nodes):
-        ensemble.make(f"{ROOT}/n{number}", node_record(number), owner)
+        ensemble.create_node(f"{ROOT}/n{number}", node_record(number), owner)
     session = ensemble.begin(40_000)
-    ensemble.make(f"{ROOT}/n0", node_record(0), session)
+    ensemble.create_node(f"{ROOT}/n0", node_record(0), session)
     print(ensemble.hosts[0].port, flush=True)
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
@@ -77,7 +77,7 @@
         await asyncio.sleep(RETURN_DELAY_S)
         session = ensemble.begin(40_000)
         session.heard_at += 3600.0
-        ensemble.make(f"{ROOT}/n0", node_record(0), session)
+        ensemble.create_node(f"{ROOT}/n0", node_record(0), session)
     await ensemble.close()
 
 
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -49,8 +49,8 @@
 
     async def start(self) -> None:
         await self.ensemble.start()
-        self.ensemble.make("/estate")
-        self.ensemble.make(ROOT)
+        self.ensemble.create_node("/estate")
+        self.ensemble.create_node(ROOT)
         for server in self.stage.servers:
             self.register(server)
 
@@ -81,7 +81,7 @@
         record = server.member()
         del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
         self.stage.ledger.told_up(server.name)
-        self.ensemble.make(f"{ROOT}/{server.name}", json.dumps(record).encode(), session)
+        self.ensemble.create_node(f"{ROOT}/{server.name}", json.dumps(record).encode(), session)
 
     def expire_sessions(self, servers: list[CheckServer]) -> None:
         """Expire the servers' sessions now; the server processes keep running."""
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -77,7 +77,7 @@
 
     # Writes for tests that play servers
 
-    def make(self, path: str, data: bytes = b"", session: Session | None = None) -> None:
+    def create_node(self, path: str, data: bytes = b"", session: Session | None = None) -> None:
         """Create a node, ephemeral if a session is given; raises RequestError."""
         who = Who(session.id if session is not None else 0)
         with self.tree.write() as changes:
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -42,12 +42,12 @@
 
     async def start(self, peers: list[Peer], listed: list[Peer]) -> None:
         self.ensemble = await Ensemble().start()
-        self.ensemble.make("/checks")
-        self.ensemble.make("/other")
+        self.ensemble.create_node("/checks")
+        self.ensemble.create_node("/other")
         self.sessions = [self.ensemble.begin(40_000) for _ in peers]
         for number, (peer, session) in enumerate(zip(peers, self.sessions, strict=True)):
             data = json.dumps(peer.member(f"p{number}")).encode()
-            self.ensemble.make(f"/checks/p{number}", data, session)
+            self.ensemble.create_node(f"/checks/p{number}", data, session)
         self.discovery = await ScriptedDiscovery([peer.member("d") for peer in listed]).start()
         self.write("/checks")
         config_path = write_config_file(
@@ -68,7 +68,7 @@
         )
 
     def add_node(self, path: str, peer: Peer) -> None:
-        self.ensemble.make(path, json.dumps(peer.member("x")).encode(), self.ensemble.begin(40_000))
+        self.ensemble.create_node(path, json.dumps(peer.member("x")).encode(), self.ensemble.begin(40_000))
 
     async def ask(self, call_id: str) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -100,7 +100,7 @@
         before = len(peers[0].requests)
         assert [await stage.ask(f"b{n}") for n in range(6)] == [200] * 6
         assert len(peers[0].requests) == before
-        stage.ensemble.make(
+        stage.ensemble.create_node(
             "/other/x", json.dumps(peers[0].member("x")).encode(), stage.ensemble.begin(40_000)
         )
         targets_before = set(targets)
@@ -133,7 +133,7 @@
         await wait_until(lambda: not targets)
         assert await stage.ask("a") == 503
         assert not peer.requests
-        stage.ensemble.make(
+        stage.ensemble.create_node(
             "/checks/again", json.dumps(peer.member("p")).encode(), stage.ensemble.begin(40_000)
         )
         await wait_until(lambda: len(targets) == 1)
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -76,7 +76,7 @@
     ensemble = await Ensemble(tls=tls).start()
     result = World(ensemble)
     try:
-        ensemble.make(ROOT)
+        ensemble.create_node(ROOT)
         result.appear(*numbers)
         if follow:
             result.follow(**changes)
