--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -82,17 +82,17 @@
         who = Who(session.id if session is not None else 0)
         with self.tree.write() as changes:
             self.tree.create(path, data, ANYONE, EPHEMERAL if session is not None else 0, who)
-        self.changed(list(changes))
+        self.publish(list(changes))
 
     def set(self, path: str, data: bytes) -> None:
         with self.tree.write() as changes:
             self.tree.set_data(path, data, -1, Who())
-        self.changed(list(changes))
+        self.publish(list(changes))
 
     def remove(self, path: str) -> None:
         with self.tree.write() as changes:
             self.tree.delete(path, -1, Who())
-        self.changed(list(changes))
+        self.publish(list(changes))
 
     # Sessions
 
@@ -119,13 +119,13 @@
             host.cut(session)
         with self.tree.write() as changes:
             self.tree.end_session(session)
-        self.changed(list(changes))
+        self.publish(list(changes))
 
     def session_closed(self, session: int) -> None:
         """Remove a session that the client has closed; its ephemeral nodes are deleted already."""
         self.sessions.pop(session, None)
 
-    def changed(self, changes: list[Change]) -> None:
+    def publish(self, changes: list[Change]) -> None:
         """Notify the watchers on every host of the changes of a write."""
         for host in self.hosts:
             host.notify_watchers(changes)
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -232,7 +232,7 @@
             body, code = b"", error.code
         except RecursionError:
             body, code = b"", Code.MARSHALLING
-        self.ensemble.changed(context.changes)  # the events of a write precede its reply
+        self.ensemble.publish(context.changes)  # the events of a write precede its reply
         connection.send(REPLY.pack(xid, tree.zxid, code) + body)
         assert connection.session is not None
         if context.listing is not None and not self.stalled:
