--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -62,11 +62,11 @@
     """Print the port; then, for each line of input, expire one session and start a new one."""
     ensemble = await Ensemble(hosts=1).start()
     ensemble.create_node(ROOT)
-    owner = ensemble.begin(40_000)
+    owner = ensemble.create_session(40_000)
     owner.heard_at += 3600.0
     for number in range(1, nodes):
         ensemble.create_node(f"{ROOT}/n{number}", node_record(number), owner)
-    session = ensemble.begin(40_000)
+    session = ensemble.create_session(40_000)
     ensemble.create_node(f"{ROOT}/n0", node_record(0), session)
     print(ensemble.hosts[0].port, flush=True)
     reader = asyncio.StreamReader()
@@ -75,7 +75,7 @@
     while await reader.readline():
         ensemble.expire(session.id)
         await asyncio.sleep(RETURN_DELAY_S)
-        session = ensemble.begin(40_000)
+        session = ensemble.create_session(40_000)
         session.heard_at += 3600.0
         ensemble.create_node(f"{ROOT}/n0", node_record(0), session)
     await ensemble.close()
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -76,7 +76,7 @@
 
     def register(self, server: CheckServer) -> None:
         """Create an ephemeral node for the server under a new session."""
-        session = self.sessions[server.name] = self.ensemble.begin(40_000)
+        session = self.sessions[server.name] = self.ensemble.create_session(40_000)
         session.heard_at += 3600.0  # keeps the session alive without simulated pings
         record = server.member()
         del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -96,7 +96,7 @@
 
     # Sessions
 
-    def begin(self, timeout_ms: int) -> Session:
+    def create_session(self, timeout_ms: int) -> Session:
         timeout = max(MIN_TIMEOUT_MS, min(MAX_TIMEOUT_MS, timeout_ms))
         session = Session(next(self.session_ids), os.urandom(16), timeout)
         self.sessions[session.id] = session
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -194,7 +194,7 @@
                 for host in ensemble.members:
                     host.cut(session_id)  # the session has moved to this connection
         else:
-            session = ensemble.begin(requested_timeout_ms)
+            session = ensemble.create_session(requested_timeout_ms)
         timeout_ms = session.timeout_ms if session else 0
         answered_id, answered_password = (session.id, session.password) if session else (0, bytes(16))
         answer = (
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -44,7 +44,7 @@
         self.ensemble = await Ensemble().start()
         self.ensemble.create_node("/checks")
         self.ensemble.create_node("/other")
-        self.sessions = [self.ensemble.begin(40_000) for _ in peers]
+        self.sessions = [self.ensemble.create_session(40_000) for _ in peers]
         for number, (peer, session) in enumerate(zip(peers, self.sessions, strict=True)):
             data = json.dumps(peer.member(f"p{number}")).encode()
             self.ensemble.create_node(f"/checks/p{number}", data, session)
@@ -68,7 +68,9 @@
         )
 
     def add_node(self, path: str, peer: Peer) -> None:
-        self.ensemble.create_node(path, json.dumps(peer.member("x")).encode(), self.ensemble.begin(40_000))
+        self.ensemble.create_node(
+            path, json.dumps(peer.member("x")).encode(), self.ensemble.create_session(40_000)
+        )
 
     async def ask(self, call_id: str) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -101,7 +103,7 @@
         assert [await stage.ask(f"b{n}") for n in range(6)] == [200] * 6
         assert len(peers[0].requests) == before
         stage.ensemble.create_node(
-            "/other/x", json.dumps(peers[0].member("x")).encode(), stage.ensemble.begin(40_000)
+            "/other/x", json.dumps(peers[0].member("x")).encode(), stage.ensemble.create_session(40_000)
         )
         targets_before = set(targets)
         stage.write("/other")
@@ -134,7 +136,7 @@
         assert await stage.ask("a") == 503
         assert not peer.requests
         stage.ensemble.create_node(
-            "/checks/again", json.dumps(peer.member("p")).encode(), stage.ensemble.begin(40_000)
+            "/checks/again", json.dumps(peer.member("p")).encode(), stage.ensemble.create_session(40_000)
         )
         await wait_until(lambda: len(targets) == 1)
         assert await stage.ask("b") == 200
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -27,7 +27,7 @@
     def appear(self, *numbers: int, **changes: Any) -> None:
         """Create the nodes of these servers, each in a session of its own."""
         for number in numbers:
-            session = self.sessions[number] = self.ensemble.begin(40_000)
+            session = self.sessions[number] = self.ensemble.create_session(40_000)
             self.ensemble.make(f"{ROOT}/n{number}", payload(number, **changes), session)
 
     def vanish(self, *numbers: int) -> None:
