--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -63,7 +63,7 @@
     ensemble = await Ensemble(hosts=1).start()
     ensemble.create_node(ROOT)
     owner = ensemble.create_session(40_000)
-    owner.heard_at += 3600.0
+    owner.last_request_at += 3600.0
     for number in range(1, nodes):
         ensemble.create_node(f"{ROOT}/n{number}", node_record(number), owner)
     session = ensemble.create_session(40_000)
@@ -76,7 +76,7 @@
         ensemble.expire(session.id)
         await asyncio.sleep(RETURN_DELAY_S)
         session = ensemble.create_session(40_000)
-        session.heard_at += 3600.0
+        session.last_request_at += 3600.0
         ensemble.create_node(f"{ROOT}/n0", node_record(0), session)
     await ensemble.close()
 
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -77,7 +77,7 @@
     def register(self, server: CheckServer) -> None:
         """Create an ephemeral node for the server under a new session."""
         session = self.sessions[server.name] = self.ensemble.create_session(40_000)
-        session.heard_at += 3600.0  # keeps the session alive without simulated pings
+        session.last_request_at += 3600.0  # keeps the session alive without simulated pings
         record = server.member()
         del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
         self.stage.ledger.told_up(server.name)
--- a/standins/zookeeper/sessions.py
+++ b/standins/zookeeper/sessions.py
@@ -18,7 +18,7 @@
     id: int
     password: bytes
     timeout_ms: int
-    heard_at: float = field(default_factory=time.monotonic)
+    last_request_at: float = field(default_factory=time.monotonic)
 
 
 class Member(Protocol):
