--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -27,7 +27,7 @@
 from standins.zookeeper.host import Host
 from standins.zookeeper.records import ANYONE, Kind
 from standins.zookeeper.sessions import Session
-from standins.zookeeper.tree import EPHEMERAL, Change, Tree, Who
+from standins.zookeeper.tree import EPHEMERAL, Change, Identity, Tree
 
 EXPIRY_CHECK_S = 0.02
 MIN_TIMEOUT_MS, MAX_TIMEOUT_MS = 200, 40_000
@@ -79,19 +79,19 @@
 
     def create_node(self, path: str, data: bytes = b"", session: Session | None = None) -> None:
         """Create a node, ephemeral if a session is given; raises RequestError."""
-        who = Who(session.id if session is not None else 0)
+        who = Identity(session.id if session is not None else 0)
         with self.tree.write() as changes:
             self.tree.create(path, data, ANYONE, EPHEMERAL if session is not None else 0, who)
         self.publish(list(changes))
 
     def set(self, path: str, data: bytes) -> None:
         with self.tree.write() as changes:
-            self.tree.set_data(path, data, -1, Who())
+            self.tree.set_data(path, data, -1, Identity())
         self.publish(list(changes))
 
     def remove(self, path: str) -> None:
         with self.tree.write() as changes:
-            self.tree.delete(path, -1, Who())
+            self.tree.delete(path, -1, Identity())
         self.publish(list(changes))
 
     # Sessions
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -12,7 +12,7 @@
 from standins.zookeeper.records import BOOL, INT, LONG, REPLY, Code, Kind, Op, Reader, RequestError, frame
 from standins.zookeeper.requests import WRITES, RequestContext, answer, with_identity
 from standins.zookeeper.sessions import EnsembleProtocol, Session
-from standins.zookeeper.tree import Change, Tree, Who
+from standins.zookeeper.tree import Change, Identity, Tree
 from standins.zookeeper.watches import Watches
 
 EVENT_XID = -1
@@ -27,7 +27,7 @@
         self.host = host
         self.writer = writer
         self.session: Session | None = None
-        self.who = Who()
+        self.who = Identity()
         self.read_only = False
 
     def send(self, message: bytes) -> None:
@@ -205,7 +205,7 @@
             await asyncio.sleep(self.lag_s)
             return False
         connection.session = session
-        connection.who = Who(session.id)
+        connection.who = Identity(session.id)
         return True
 
     def _handle_request(self, connection: ClientConnection, message: bytes) -> bool:
--- a/standins/zookeeper/requests.py
+++ b/standins/zookeeper/requests.py
@@ -8,7 +8,7 @@
 
 from standins.zookeeper import records
 from standins.zookeeper.records import BOOL, INT, Code, Op, Reader, RequestError, Stat
-from standins.zookeeper.tree import Change, Tree, Who, digest_id
+from standins.zookeeper.tree import Change, Identity, Tree, digest_id
 from standins.zookeeper.watches import Watches
 
 WRITES = frozenset({Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.SET_ACL, Op.MULTI, Op.CLOSE})
@@ -19,7 +19,7 @@
 class RequestContext:
     """One request: its sender, tree and fields, and the changes and events that result from it."""
 
-    who: Who
+    who: Identity
     tree: Tree
     watches: Watches
     watcher: object
@@ -225,7 +225,7 @@
 }
 
 
-def with_identity(who: Who, scheme: str, credential: bytes) -> Who:
+def with_identity(who: Identity, scheme: str, credential: bytes) -> Identity:
     """The identity with one more credential; raises RequestError for an unsupported scheme."""
     if scheme != "digest" or b":" not in credential:
         raise RequestError(Code.AUTH_FAILED)
--- a/standins/zookeeper/tree.py
+++ b/standins/zookeeper/tree.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Who:
+class Identity:
     """The identity of a request: its session and the authenticated (scheme, id) pairs."""
 
     session: int = 0
@@ -84,7 +84,7 @@
             raise RequestError(Code.NO_NODE)
         return node
 
-    def authorized_node(self, path: str, permission: str, who: Who) -> Node:
+    def authorized_node(self, path: str, permission: str, who: Identity) -> Node:
         """The node, if its ACL grants the permission; raises RequestError otherwise."""
         node = self.node(path)
         required = PERMISSIONS[permission]
@@ -95,7 +95,7 @@
 
     # Writes; call them only inside `write`
 
-    def create(self, path: str, data: bytes, acl: tuple[Acl, ...], flags: int, who: Who) -> str:
+    def create(self, path: str, data: bytes, acl: tuple[Acl, ...], flags: int, who: Identity) -> str:
         """Create a node and return its path, which has a counter appended if sequential."""
         if not path.startswith("/") or "//" in path or (path != "/" and path.endswith("/")):
             raise RequestError(Code.BAD_ARGUMENTS)
@@ -122,7 +122,7 @@
         self.changes += [(Kind.CREATED, path), (Kind.CHILDREN, parent_path)]
         return path
 
-    def delete(self, path: str, version: int, who: Who) -> None:
+    def delete(self, path: str, version: int, who: Identity) -> None:
         node = self.node(path)
         parent_path = parent_of(path)
         parent = self.authorized_node(parent_path, "DELETE", who)
@@ -133,7 +133,7 @@
             raise RequestError(Code.NOT_EMPTY)
         self._remove(path, node, parent_path, parent)
 
-    def set_data(self, path: str, data: bytes, version: int, who: Who) -> Stat:
+    def set_data(self, path: str, data: bytes, version: int, who: Identity) -> Stat:
         node = self.authorized_node(path, "WRITE", who)
         self.check(path, version)
         if len(data) > MAX_DATA_BYTES:
@@ -150,7 +150,7 @@
         self.changes.append((Kind.CHANGED, path))
         return copy.copy(node.stat)
 
-    def set_acl(self, path: str, acl: tuple[Acl, ...], version: int, who: Who) -> Stat:
+    def set_acl(self, path: str, acl: tuple[Acl, ...], version: int, who: Identity) -> Stat:
         node = self.authorized_node(path, "ADMIN", who)
         if version not in (-1, node.stat.aversion):
             raise RequestError(Code.BAD_VERSION)
@@ -177,7 +177,7 @@
 
     # Parts of writes
 
-    def _resolve_acl(self, acl: tuple[Acl, ...], who: Who) -> tuple[Acl, ...]:
+    def _resolve_acl(self, acl: tuple[Acl, ...], who: Identity) -> tuple[Acl, ...]:
         resolved: list[Acl] = []
         for entry in acl:
             if entry.scheme == "auth":  # stands for all authenticated ids of the session
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -13,7 +13,7 @@
 from garnethaven.interface import Endpoint, ListKind, State
 from garnethaven.membership.table import Registration, Tls
 from standins.zookeeper.records import Acl
-from standins.zookeeper.tree import Who, digest_id
+from standins.zookeeper.tree import Identity, digest_id
 from tests.loopback import run, wait_until
 from tests.membership.estate import address, payload
 from tests.membership.world import ROOT, World, world
@@ -243,7 +243,7 @@
 
             def give(path: str, acl: Acl) -> None:
                 with tree.write() as changes:
-                    tree.set_acl(path, (acl,), -1, Who(0, frozenset({("digest", digest_id(b"u:p"))})))
+                    tree.set_acl(path, (acl,), -1, Identity(0, frozenset({("digest", digest_id(b"u:p"))})))
                 made.ensemble.changed(list(changes))
 
             give(ROOT, mine)
--- a/tests/standins/test_zookeeper.py
+++ b/tests/standins/test_zookeeper.py
@@ -28,7 +28,7 @@
 
 from standins.zookeeper.ensemble import Ensemble
 from standins.zookeeper.records import ANYONE, Code, Kind, RequestError
-from standins.zookeeper.tree import Tree, Who
+from standins.zookeeper.tree import Identity, Tree
 
 WAIT_S = 20.0
 logging.getLogger("kazoo").setLevel(logging.CRITICAL)
@@ -231,7 +231,7 @@
 
 def test_a_failed_write_leaves_nothing_behind() -> None:
     tree = Tree(lambda: 1)
-    who = Who(5)
+    who = Identity(5)
     with tree.write():
         tree.create("/a", b"1", ANYONE, 0, who)
     before = tree.snapshot()
