--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -21,7 +21,7 @@
 from standins.ledger import ServerLifetime
 from standins.platform import TARGET_S
 from standins.zookeeper.ensemble import Ensemble
-from standins.zookeeper.records import Kind
+from standins.zookeeper.records import EventType
 from standins.zookeeper.sessions import Session
 
 SERVERS = 16
@@ -56,9 +56,9 @@
 
     # What the registry wrote to the sidecar, recorded when the bytes were written
 
-    def _event_written(self, session: int, kind: Kind, path: str, at: float) -> None:
+    def _event_written(self, session: int, kind: EventType, path: str, at: float) -> None:
         self.sidecar_session = session
-        if kind is Kind.DELETED and path.startswith(ROOT + "/"):
+        if kind is EventType.DELETED and path.startswith(ROOT + "/"):
             self._record_end(path.rpartition("/")[2], at)
 
     def _list_written(self, session: int, path: str, names: list[str], at: float) -> None:
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -25,7 +25,7 @@
 from collections.abc import Callable
 
 from standins.zookeeper.host import Host
-from standins.zookeeper.records import ANYONE, Kind
+from standins.zookeeper.records import ANYONE, EventType
 from standins.zookeeper.sessions import Session
 from standins.zookeeper.tree import EPHEMERAL, Change, Identity, Tree
 
@@ -45,7 +45,9 @@
         self.sessions: dict[int, Session] = {}
         self.session_ids = itertools.count((int(time.time() * 1000) << 24 & 0x00FFFFFFFFFFFFFF) + 1)
         self.hosts = [Host(self, tls) for _ in range(hosts)]
-        self.on_event_sent: Callable[[int, Kind, str, float], None] = lambda session, kind, path, at: None
+        self.on_event_sent: Callable[[int, EventType, str, float], None] = lambda session, kind, path, at: (
+            None
+        )
         self.on_children_sent: Callable[[int, str, list[str], float], None] = (
             lambda session, path, names, at: None
         )
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -9,7 +9,18 @@
 import time
 
 from standins.zookeeper import records
-from standins.zookeeper.records import BOOL, INT, LONG, REPLY, Code, Kind, Op, Reader, RequestError, frame
+from standins.zookeeper.records import (
+    BOOL,
+    INT,
+    LONG,
+    REPLY,
+    Code,
+    EventType,
+    Op,
+    Reader,
+    RequestError,
+    frame,
+)
 from standins.zookeeper.requests import WRITES, RequestContext, answer, with_identity
 from standins.zookeeper.sessions import EnsembleProtocol, Session
 from standins.zookeeper.tree import Change, Identity, Tree
@@ -46,7 +57,7 @@
         if not self.writer.is_closing() and not self.host.stalled:
             self.writer.write(frame(message))
 
-    def send_event(self, kind: Kind, path: str) -> None:
+    def send_event(self, kind: EventType, path: str) -> None:
         """Send a watch event, or close the connection if the host loses events."""
         if self.host.loses_events:
             self.cut()
--- a/standins/zookeeper/records.py
+++ b/standins/zookeeper/records.py
@@ -61,7 +61,7 @@
     NO_WATCHER = -121
 
 
-class Kind(IntEnum):
+class EventType(IntEnum):
     """Event types of watches."""
 
     CREATED = 1
--- a/standins/zookeeper/sessions.py
+++ b/standins/zookeeper/sessions.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from standins.zookeeper.records import Kind
+from standins.zookeeper.records import EventType
 from standins.zookeeper.tree import Change, Tree
 
 
@@ -32,7 +32,7 @@
 
     tree: Tree
     sessions: dict[int, Session]
-    on_told: Callable[[int, Kind, str, float], None]
+    on_told: Callable[[int, EventType, str, float], None]
     on_listed: Callable[[int, str, list[str], float], None]
 
     @property
--- a/standins/zookeeper/tree.py
+++ b/standins/zookeeper/tree.py
@@ -13,12 +13,12 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from standins.zookeeper.records import ANYONE, PERMISSIONS, Acl, Code, Kind, RequestError, Stat
+from standins.zookeeper.records import ANYONE, PERMISSIONS, Acl, Code, EventType, RequestError, Stat
 
 MAX_DATA_BYTES = 1024 * 1024  # of one node; the default of ZooKeeper
 EPHEMERAL, SEQUENTIAL = 1, 2
 
-Change = tuple[Kind, str]
+Change = tuple[EventType, str]
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
             self.ephemerals.setdefault(owner, set()).add(path)
         self.undo.append(lambda: self._drop(path))
         self._update_parent(parent_path, parent, path, added=True)
-        self.changes += [(Kind.CREATED, path), (Kind.CHILDREN, parent_path)]
+        self.changes += [(EventType.CREATED, path), (EventType.CHILDREN, parent_path)]
         return path
 
     def delete(self, path: str, version: int, who: Identity) -> None:
@@ -147,7 +147,7 @@
         node.data = data
         node.stat.version += 1
         node.stat.mzxid, node.stat.mtime, node.stat.length = self.zxid, self.now_ms(), len(data)
-        self.changes.append((Kind.CHANGED, path))
+        self.changes.append((EventType.CHANGED, path))
         return copy.copy(node.stat)
 
     def set_acl(self, path: str, acl: tuple[Acl, ...], version: int, who: Identity) -> Stat:
@@ -202,7 +202,7 @@
 
         self.undo.append(restore)
         self._update_parent(parent_path, parent, path, added=False)
-        self.changes += [(Kind.DELETED, path), (Kind.CHILDREN, parent_path)]
+        self.changes += [(EventType.DELETED, path), (EventType.CHILDREN, parent_path)]
 
     def _drop(self, path: str) -> None:
         node = self.nodes.pop(path)
--- a/standins/zookeeper/watches.py
+++ b/standins/zookeeper/watches.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Hashable, Iterator
 
-from standins.zookeeper.records import Code, Kind, RequestError
+from standins.zookeeper.records import Code, EventType, RequestError
 from standins.zookeeper.tree import Tree, parent_of
 
 Watcher = Hashable
@@ -54,15 +54,15 @@
             for watchers in table.values()
         )
 
-    def triggered(self, kind: Kind, path: str) -> Iterator[Watcher]:
+    def triggered(self, kind: EventType, path: str) -> Iterator[Watcher]:
         """The watchers to notify of a change; one-shot watches are removed."""
         notified: set[Watcher] = set()
-        if kind is not Kind.CHILDREN:
+        if kind is not EventType.CHILDREN:
             notified |= self.data.pop(path, set())
-        if kind in (Kind.CHILDREN, Kind.DELETED):
+        if kind in (EventType.CHILDREN, EventType.DELETED):
             notified |= self.children.pop(path, set())
         notified |= self.persistent[PERSISTENT].get(path, set())
-        if kind is not Kind.CHILDREN:  # recursive watches get events of nodes, not of child lists
+        if kind is not EventType.CHILDREN:  # recursive watches get events of nodes, not of child lists
             ancestor = path
             while True:
                 notified |= self.persistent[RECURSIVE].get(ancestor, set())
@@ -80,28 +80,28 @@
         children: list[str],
         persistent: tuple[list[str], list[str]],
         watcher: Watcher,
-    ) -> list[tuple[Kind, str]]:
+    ) -> list[tuple[EventType, str]]:
         """Restore the watches of a reconnected client; return the events that its one-shot watches missed."""
-        missed: list[tuple[Kind, str]] = []
+        missed: list[tuple[EventType, str]] = []
         for path in data:
             node = tree.nodes.get(path)
             if node is None:
-                missed.append((Kind.DELETED, path))
+                missed.append((EventType.DELETED, path))
             elif node.stat.mzxid > since:
-                missed.append((Kind.CHANGED, path))
+                missed.append((EventType.CHANGED, path))
             else:
                 self.data[path].add(watcher)
         for path in exist:
             if path in tree.nodes:
-                missed.append((Kind.CREATED, path))
+                missed.append((EventType.CREATED, path))
             else:
                 self.data[path].add(watcher)
         for path in children:
             node = tree.nodes.get(path)
             if node is None:
-                missed.append((Kind.DELETED, path))
+                missed.append((EventType.DELETED, path))
             elif node.stat.pzxid > since:
-                missed.append((Kind.CHILDREN, path))
+                missed.append((EventType.CHILDREN, path))
             else:
                 self.children[path].add(watcher)
         for mode, paths in enumerate(persistent):
--- a/tests/standins/test_zookeeper.py
+++ b/tests/standins/test_zookeeper.py
@@ -27,7 +27,7 @@
 from kazoo.security import make_digest_acl
 
 from standins.zookeeper.ensemble import Ensemble
-from standins.zookeeper.records import ANYONE, Code, Kind, RequestError
+from standins.zookeeper.records import ANYONE, Code, EventType, RequestError
 from standins.zookeeper.tree import Identity, Tree
 
 WAIT_S = 20.0
@@ -244,7 +244,7 @@
     assert (tree.zxid, tree.nodes, tree.ephemerals.get(5, set())) == (before.zxid, before.nodes, set())
     with tree.write() as changes:
         tree.create("/a/e", b"", ANYONE, 1, who)
-    assert changes == [(Kind.CREATED, "/a/e"), (Kind.CHILDREN, "/a")]
+    assert changes == [(EventType.CREATED, "/a/e"), (EventType.CHILDREN, "/a")]
     with tree.write() as changes:
         tree.end_session(5)
-    assert changes == [(Kind.DELETED, "/a/e"), (Kind.CHILDREN, "/a")]
+    assert changes == [(EventType.DELETED, "/a/e"), (EventType.CHILDREN, "/a")]
