--- a/standins/zookeeper/records.py
+++ b/standins/zookeeper/records.py
@@ -101,7 +101,7 @@
     version: int = 0
     cversion: int = 0
     aversion: int = 0
-    owner: int = 0
+    ephemeral_owner: int = 0
     length: int = 0
     children: int = 0
     pzxid: int = 0
@@ -115,7 +115,7 @@
             self.version,
             self.cversion,
             self.aversion,
-            self.owner,
+            self.ephemeral_owner,
             self.length,
             self.children,
             self.pzxid,
