--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -86,7 +86,7 @@
         self.stalled = self.loses_events = self.cut_off = self.read_only = self.answers_old = False
         self.lag_s = 0.0
         self.stale_tree: Tree | None = None  # the outdated tree that it serves after `fall_behind`
-        self.connects: list[float] = []  # monotonic times of client connections
+        self.connect_times: list[float] = []  # monotonic times of client connections
         self.rejected_newer_clients = 0  # clients rejected because they have seen a newer zxid
         self.requests = 0
 
@@ -140,7 +140,7 @@
         assert task is not None
         self.tasks.add(task)
         self.lines.add(connection)
-        self.connects.append(time.monotonic())
+        self.connect_times.append(time.monotonic())
         try:
             with contextlib.suppress(
                 ConnectionError, asyncio.IncompleteReadError, RequestError, struct.error
