--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -80,7 +80,7 @@
         self.tls = tls
         self.port = 0
         self.server: asyncio.Server | None = None
-        self.lines: set[ClientConnection] = set()
+        self.connections: set[ClientConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.watches = Watches()
         self.stalled = self.loses_events = self.cut_off = self.read_only = self.answers_old = False
@@ -105,7 +105,7 @@
 
     def cut(self, session: int | None = None) -> None:
         """Reset all connections, or those of one session."""
-        for connection in list(self.lines):
+        for connection in list(self.connections):
             if session is None or (connection.session is not None and connection.session.id == session):
                 connection.cut()
 
@@ -139,7 +139,7 @@
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        self.lines.add(connection)
+        self.connections.add(connection)
         self.connect_times.append(time.monotonic())
         try:
             with contextlib.suppress(
@@ -150,7 +150,7 @@
             pass
         finally:
             self.tasks.discard(task)
-            self.lines.discard(connection)
+            self.connections.discard(connection)
             self.watches.remove_all(connection)
             with contextlib.suppress(ConnectionError):
                 if not writer.is_closing():
@@ -277,17 +277,17 @@
         if command in ("srvr", "stat"):
             mode = "read-only" if self.read_only else "standalone"
             return (
-                f"Zookeeper version: 3.9.0-standin\nConnections: {len(self.lines)}\n"
+                f"Zookeeper version: 3.9.0-standin\nConnections: {len(self.connections)}\n"
                 f"Zxid: 0x{tree.zxid:x}\nMode: {mode}\nNode count: {len(tree.nodes)}\n"
             )
         if command == "mntr":
             return (
-                f"zk_version\t3.9.0-standin\nzk_num_alive_connections\t{len(self.lines)}\n"
+                f"zk_version\t3.9.0-standin\nzk_num_alive_connections\t{len(self.connections)}\n"
                 f"zk_znode_count\t{len(tree.nodes)}\nzk_watch_count\t{self.watches.count()}\n"
                 f"zk_ephemerals_count\t{sum(map(len, tree.ephemerals.values()))}\n"
             )
         if command == "wchs":
-            return f"{len(self.lines)} connections watching\nTotal watches:{self.watches.count()}\n"
+            return f"{len(self.connections)} connections watching\nTotal watches:{self.watches.count()}\n"
         if command == "isro":
             return "ro" if self.read_only else "rw"
         if command == "envi":
