--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -90,7 +90,9 @@
 
     def _new_cluster(self) -> Keys:
         cluster, scenario = Keys(), self.scenario
-        cluster.on_told = lambda key, ended, at: scenario.answer_written({key.removeprefix(PREFIX)}, at)
+        cluster.on_change_sent = lambda key, ended, at: scenario.answer_written(
+            {key.removeprefix(PREFIX)}, at
+        )
         cluster.on_listed = lambda prefix, keys, at: scenario.answer_written(None, at)
         cluster.fragment_most = 3
         return cluster
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -33,7 +33,7 @@
         self.tokens: set[str] = set()
         self.ids = itertools.count(1)
         self.members = [Member(self, credentials) for _ in range(members)]
-        self.on_told: Callable[[str, bool, float], None] = lambda key, ended, at: None
+        self.on_change_sent: Callable[[str, bool, float], None] = lambda key, ended, at: None
         self.on_listed: Callable[[str, set[str], float], None] = lambda prefix, keys, at: None
         self.watches_cut = self.compactions = 0
         self.fragment_most = 0  # maximum number of events in a response; 0: unlimited
