--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -93,7 +93,7 @@
         cluster.on_change_sent = lambda key, ended, at: scenario.answer_written(
             {key.removeprefix(PREFIX)}, at
         )
-        cluster.on_listed = lambda prefix, keys, at: scenario.answer_written(None, at)
+        cluster.on_range_read = lambda prefix, keys, at: scenario.answer_written(None, at)
         cluster.fragment_most = 3
         return cluster
 
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -34,7 +34,7 @@
         self.ids = itertools.count(1)
         self.members = [Member(self, credentials) for _ in range(members)]
         self.on_change_sent: Callable[[str, bool, float], None] = lambda key, ended, at: None
-        self.on_listed: Callable[[str, set[str], float], None] = lambda prefix, keys, at: None
+        self.on_range_read: Callable[[str, set[str], float], None] = lambda prefix, keys, at: None
         self.watches_cut = self.compactions = 0
         self.fragment_most = 0  # maximum number of events in a response; 0: unlimited
         self.expiry_task: asyncio.Task[None] | None = None
@@ -198,7 +198,7 @@
         prefix = request.key.decode("utf-8", "replace")
         answer = rpc.RangeResponse(header=self.header(), kvs=found, count=len(found))
         keys = {kv.key.decode("utf-8", "replace") for kv in found}
-        self.cluster.on_listed(prefix, keys, time.monotonic())
+        self.cluster.on_range_read(prefix, keys, time.monotonic())
         return answer
 
     async def Put(self, request: Any, context: Any) -> Any:  # noqa: N802
