--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -94,7 +94,7 @@
             {key.removeprefix(PREFIX)}, at
         )
         cluster.on_range_read = lambda prefix, keys, at: scenario.answer_written(None, at)
-        cluster.fragment_most = 3
+        cluster.max_events_per_response = 3
         return cluster
 
     @property
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -36,7 +36,7 @@
         self.on_change_sent: Callable[[str, bool, float], None] = lambda key, ended, at: None
         self.on_range_read: Callable[[str, set[str], float], None] = lambda prefix, keys, at: None
         self.watches_cut = self.compactions = 0
-        self.fragment_most = 0  # maximum number of events in a response; 0: unlimited
+        self.max_events_per_response = 0  # maximum number of events in a response; 0: unlimited
         self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> Cluster:
@@ -301,7 +301,7 @@
                 self._send_events(watch_id, watch, matching)
 
     def _send_events(self, watch_id: int, watch: Any, events: list[rpc.Event]) -> None:
-        max_events = self.member.cluster.fragment_most if watch.fragment else 0
+        max_events = self.member.cluster.max_events_per_response if watch.fragment else 0
         step = max_events or len(events)
         for offset in range(0, len(events), step):
             is_last = offset + step >= len(events)
