--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -132,7 +132,7 @@
 
     async def cut(self) -> None:
         for member in self.cluster.members:
-            member.go()
+            member.stop_serving()
 
     async def restore(self) -> None:
         for member in self.cluster.members:
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -156,7 +156,7 @@
             self.cluster.watches_cut += 1
             watch.end("")
 
-    def go(self) -> None:
+    def stop_serving(self) -> None:
         """End all watches and reject calls from now on."""
         self.down = True
         self.cut()
