--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -111,7 +111,7 @@
     async def switch_cluster(self) -> None:
         """Start another cluster with the same keys at its own revision; the old one does not change again."""
         self.former_clusters.append(self.cluster)
-        records = self.cluster.store.between(PREFIX.encode(), b"\0")
+        records = self.cluster.store.keys_in_range(PREFIX.encode(), b"\0")
         self.cluster = self._new_cluster()
         await self.cluster.start()
         for kv in records:
--- a/standins/etcd/store.py
+++ b/standins/etcd/store.py
@@ -67,7 +67,7 @@
         self.history += events
         return events
 
-    def between(self, start: bytes, end: bytes) -> list[rpc.KeyValue]:
+    def keys_in_range(self, start: bytes, end: bytes) -> list[rpc.KeyValue]:
         return [self.keys[key] for key in sorted(self.keys) if in_range(key, start, end)]
 
     def events_since(self, revision: int, start: bytes, end: bytes) -> list[rpc.Event]:
