--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -162,7 +162,7 @@
 
     def _new_cluster(self) -> Catalog:
         cluster, scenario = Catalog(3), self.scenario
-        cluster.on_listed = lambda names, at: scenario.answer_written(None, at)
+        cluster.on_entries_sent = lambda names, at: scenario.answer_written(None, at)
         return cluster
 
     @property
--- a/standins/consul/cluster.py
+++ b/standins/consul/cluster.py
@@ -41,7 +41,7 @@
         self.token = token
         self.changed = asyncio.Condition()
         self.agents = [Agent(self) for _ in range(agents)]
-        self.on_listed: Callable[[set[str], float], None] = lambda names, at: None
+        self.on_entries_sent: Callable[[set[str], float], None] = lambda names, at: None
         self.queries_cut = 0
         self.expiry_task: asyncio.Task[None] | None = None
 
