--- a/standins/consul/cluster.py
+++ b/standins/consul/cluster.py
@@ -91,7 +91,7 @@
         self.status = 0
         self.frozen: Catalog | None = None
         self.knows_leader = True
-        self.index_told = ""  # replaces the true index in responses, if not empty
+        self.reported_index = ""  # replaces the true index in responses, if not empty
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
@@ -167,7 +167,7 @@
         catalog = self.catalog
         entries, names = self._read(catalog, path, query)
         headers = {
-            "X-Consul-Index": self.index_told or str(catalog.index),
+            "X-Consul-Index": self.reported_index or str(catalog.index),
             "X-Consul-KnownLeader": str(self.knows_leader).lower(),
             "X-Consul-LastContact": "0" if self.frozen is None else "60000",
             "Content-Type": "application/json",
