--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -218,7 +218,7 @@
     def compact(self) -> None:
         """Reset the index, because a catalog has no history to compact."""
         self.index_resets += 1
-        self.cluster.catalog.begin_anew()
+        self.cluster.catalog.reset_index()
 
     async def lag(self) -> None:
         first, *others = self.cluster.agents
--- a/standins/consul/catalog.py
+++ b/standins/consul/catalog.py
@@ -64,7 +64,7 @@
         self.instances: dict[str, Instance] = {}
         self.keys: dict[str, Key] = {}
 
-    def begin_anew(self) -> None:
+    def reset_index(self) -> None:
         """Reset the index to its start and keep the data, as after the restore of a snapshot."""
         self.index = 10
 
