--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -23,7 +23,7 @@
 from garnethaven.tenants.admission import Admission, Allowance, View
 from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 from rigs.fleet import Plan
-from rigs.members import Links, S, World, worst_over, worst_under
+from rigs.members import NS_PER_S, Links, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
 from rigs.stage import keeping_book
 from standins.platform import TARGET_S
@@ -55,7 +55,7 @@
     )
     world = World(seed, estate, Links(loss, estate.delay_s / 2))
     inner = set(world.names[: members // 2])
-    since, until = int(duration_s / 2 * S), int(duration_s * 3 / 4 * S)
+    since, until = int(duration_s / 2 * NS_PER_S), int(duration_s * 3 / 4 * NS_PER_S)
     if cut:
         world.links.cut = lambda one, other: since <= world.now < until and (one in inner) != (other in inner)
     world.start()
@@ -68,8 +68,8 @@
     cpu_before = time.process_time()
     world.run(duration_s)
     cpu_s = time.process_time() - cpu_before
-    accepted_at = [at / S for at in world.taken]
-    sent_at = sorted(accepted_at + [at / S for at in world.refused])
+    accepted_at = [at / NS_PER_S for at in world.taken]
+    sent_at = sorted(accepted_at + [at / NS_PER_S for at in world.refused])
     bytes_per_s = sum(one.bytes_sent for one in world.members.values()) / members / duration_s
     figures = (
         f"{worst_over(accepted_at, estate.per_s):.0f} / {max_excess(estate):.0f}",
@@ -95,7 +95,7 @@
     """Print nanoseconds a decision, and the size and the collision rate of the slots."""
     now, count = time.monotonic_ns(), 200_000
     allowances = {f"t{number}": Allowance(1e6, 1e6) for number in range(100)}
-    admission = Admission(allowances, Allowance(5.0, 5.0), 1024, S, now, 24)
+    admission = Admission(allowances, Allowance(5.0, 5.0), 1024, NS_PER_S, now, 24)
     admission.update_view(now, View(24, 24, {}))
     allowed_names = [f"t{number % 100}" for number in range(count)]
     unknown_names = [f"x{number % 10_000}" for number in range(count)]
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -18,7 +18,7 @@
 from garnethaven.tenants.bound import FleetParameters, settle_s
 from garnethaven.tenants.sharing import CounterExchange
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
 FORGET_AFTER_S = 600.0
 DATAGRAM_OVERHEAD_BYTES = 60  # seal, UDP and IP headers
 
@@ -67,7 +67,7 @@
         self.event_numbers = count()
         self.names = [f"m{number}" for number in range(estate.members)]
         self.members: dict[str, Member] = {}
-        self.period = int(estate.period_s * S)
+        self.period = int(estate.period_s * NS_PER_S)
         self.taken: list[int] = []  # times of accepted requests, in nanoseconds
         self.refused: list[int] = []
         self.by_member: dict[str, int] = {}
@@ -77,13 +77,13 @@
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
         """Schedule a call at `when`, in seconds of simulated time."""
-        heapq.heappush(self.events, (int(when * S), next(self.event_numbers), callback))
+        heapq.heappush(self.events, (int(when * NS_PER_S), next(self.event_numbers), callback))
 
     def after(self, delay_ns: int, callback: Callable[[], None]) -> None:
         heapq.heappush(self.events, (self.now + delay_ns, next(self.event_numbers), callback))
 
     def run(self, until: float) -> None:
-        end = int(until * S)
+        end = int(until * NS_PER_S)
         while self.events and self.events[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.events)
             callback()
@@ -93,20 +93,20 @@
 
     def start(self, names: Iterable[str] | None = None) -> None:
         for name in names or self.names:
-            self.begin(name, self.rng.randrange(S))
+            self.begin(name, self.rng.randrange(NS_PER_S))
 
     def begin(self, name: str, offset: int = 0, rate: float = 1.0, life: int | None = None) -> Member:
         """Start a process of this name; the default `life` is later than those of all earlier processes."""
         estate = self.estate
         previous = self.members.get(name)
-        rules = PeerSettings(self.period, estate.asks, int(FORGET_AFTER_S * S), 2 * estate.members + 8)
-        horizon_ns = int(estate.horizon_s * S)
+        rules = PeerSettings(self.period, estate.asks, int(FORGET_AFTER_S * NS_PER_S), 2 * estate.members + 8)
+        horizon_ns = int(estate.horizon_s * NS_PER_S)
         listed = [(other, other) for other in self.names] if self.listed else [(self.names[0], self.names[0])]
         life = life if life is not None else 1000 + self.now // 1_000_000
         member = Member(name, None, None, None, offset, rate)  # type: ignore[arg-type]
         now = self.clock(member)
         member.peer = Peer(name, name, life, listed, rules, horizon_ns, Random(self.rng.getrandbits(32)), now)
-        settle_ns = int(settle_s(estate.horizon_s, estate.period_s) * S)
+        settle_ns = int(settle_s(estate.horizon_s, estate.period_s) * NS_PER_S)
         members, allowances = member.peer.members.member_count(), {"t": Allowance(estate.per_s, estate.burst)}
         member.admission = Admission(allowances, None, 1, settle_ns, now, members)
         member.sharing = CounterExchange(member.peer, member.admission)
@@ -124,7 +124,7 @@
     def stall(self, name: str, seconds: float) -> None:
         member = self.members[name]
         member.stalled = True
-        self.after(int(seconds * S), lambda: self._resume(member))
+        self.after(int(seconds * NS_PER_S), lambda: self._resume(member))
 
     def _resume(self, member: Member) -> None:
         member.stalled = False
@@ -154,7 +154,7 @@
 
     def _deliver_later(self, source: str, datagram: OutgoingMessage) -> None:
         delay_s = self.links.delay_s * (1.0 + self.rng.random())
-        self.after(int(delay_s * S), lambda: self._arrive_datagram(source, datagram))
+        self.after(int(delay_s * NS_PER_S), lambda: self._arrive_datagram(source, datagram))
 
     def _arrive_datagram(self, source: str, datagram: OutgoingMessage) -> None:
         member = self.members.get(datagram.at)
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -14,7 +14,7 @@
 from garnethaven.tenants.admission import TenantCounters
 from garnethaven.tenants.bound import FleetParameters, max_excess, max_shortfall
 from garnethaven.tenants.sharing import TOPIC
-from rigs.members import Links, S, World, worst_over, worst_under
+from rigs.members import NS_PER_S, Links, World, worst_over, worst_under
 
 MEMBERS = 12
 SEEDS = [3, Random().getrandbits(20)]
@@ -39,8 +39,8 @@
 
 def check_bounds(world: World, below: bool = True) -> tuple[float, float]:
     """Checks both bounds; returns the worst excess and the worst shortfall."""
-    admitted = [at / S for at in world.taken]
-    requested = sorted(admitted + [at / S for at in world.refused])
+    admitted = [at / NS_PER_S for at in world.taken]
+    requested = sorted(admitted + [at / NS_PER_S for at in world.refused])
     worst = worst_over(admitted, world.estate.per_s), worst_under(admitted, requested, world.estate.per_s)
     assert worst[0] <= max_excess(world.estate), (worst, max_excess(world.estate))
     assert not below or worst[1] <= max_shortfall(world.estate), (worst, max_shortfall(world.estate))
@@ -51,7 +51,7 @@
     """Cuts messages from outside to inside members; with two ways, those in the other direction too."""
 
     def cut(sender: str, receiver: str) -> bool:
-        if not since * S <= world.now < until * S or (sender in inner) == (receiver in inner):
+        if not since * NS_PER_S <= world.now < until * NS_PER_S or (sender in inner) == (receiver in inner):
             return False
         return ways == 2 or receiver in inner
 
@@ -90,7 +90,7 @@
     add_overload(world, ["m0", "m11"], 24.0)  # one in each half
     world.run(24.0)
     check_bounds(world)
-    late = [at for at in world.taken if 13.0 * S < at < 16.0 * S]
+    late = [at for at in world.taken if 13.0 * NS_PER_S < at < 16.0 * NS_PER_S]
     assert len(late) <= 3.0 * world.estate.per_s * 1.05  # neither half uses the share reserved for the other
     assert {member.peer.horizon(world.clock(member)).heard for member in world.members.values()} == {MEMBERS}
 
@@ -177,7 +177,7 @@
 def test_clocks_apart_one_fast_and_one_that_was_set_back(seed: int) -> None:
     world = make_world(seed, changes=2)
     for number, name in enumerate(world.names):
-        world.begin(name, world.rng.randrange(2 * S), 0.99 + 0.02 * number / MEMBERS)
+        world.begin(name, world.rng.randrange(2 * NS_PER_S), 0.99 + 0.02 * number / MEMBERS)
     add_overload(world, world.names, 18.0)
     world.at(8.0, lambda: world.kill("m3"))
     world.at(8.5, lambda: world.begin("m3", 0, 1.0, life=5) and None)
@@ -220,7 +220,7 @@
     add_overload(world, ["m0"], 20.0)
     world.run(20.0)
     check_bounds(world)
-    late = [at for at in world.taken if at > 14.0 * S]
+    late = [at for at in world.taken if at > 14.0 * NS_PER_S]
     # The rest goes to the faulty member, whatever demand it publishes.
     assert len(late) >= 6.0 * world.estate.per_s * 0.45
     assert "m4" in world.members["m0"].sharing.implausible
