--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -68,7 +68,7 @@
     cpu_before = time.process_time()
     world.run(duration_s)
     cpu_s = time.process_time() - cpu_before
-    accepted_at = [at / NS_PER_S for at in world.taken]
+    accepted_at = [at / NS_PER_S for at in world.accepted_at_ns]
     sent_at = sorted(accepted_at + [at / NS_PER_S for at in world.refused])
     bytes_per_s = sum(one.bytes_sent for one in world.members.values()) / members / duration_s
     figures = (
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -68,7 +68,7 @@
         self.names = [f"m{number}" for number in range(estate.members)]
         self.members: dict[str, Member] = {}
         self.period = int(estate.period_s * NS_PER_S)
-        self.taken: list[int] = []  # times of accepted requests, in nanoseconds
+        self.accepted_at_ns: list[int] = []  # times of accepted requests, in nanoseconds
         self.refused: list[int] = []
         self.by_member: dict[str, int] = {}
         self.demands: dict[str, float] = {}
@@ -186,7 +186,7 @@
         tenant_number = member.admission.id_of("t")
         assert tenant_number is not None
         if member.admission.admit(self.clock(member), tenant_number) is None:
-            self.taken.append(self.now)
+            self.accepted_at_ns.append(self.now)
             self.by_member[name] = self.by_member.get(name, 0) + 1
         else:
             self.refused.append(self.now)
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -39,7 +39,7 @@
 
 def check_bounds(world: World, below: bool = True) -> tuple[float, float]:
     """Checks both bounds; returns the worst excess and the worst shortfall."""
-    admitted = [at / NS_PER_S for at in world.taken]
+    admitted = [at / NS_PER_S for at in world.accepted_at_ns]
     requested = sorted(admitted + [at / NS_PER_S for at in world.refused])
     worst = worst_over(admitted, world.estate.per_s), worst_under(admitted, requested, world.estate.per_s)
     assert worst[0] <= max_excess(world.estate), (worst, max_excess(world.estate))
@@ -90,7 +90,7 @@
     add_overload(world, ["m0", "m11"], 24.0)  # one in each half
     world.run(24.0)
     check_bounds(world)
-    late = [at for at in world.taken if 13.0 * NS_PER_S < at < 16.0 * NS_PER_S]
+    late = [at for at in world.accepted_at_ns if 13.0 * NS_PER_S < at < 16.0 * NS_PER_S]
     assert len(late) <= 3.0 * world.estate.per_s * 1.05  # neither half uses the share reserved for the other
     assert {member.peer.horizon(world.clock(member)).heard for member in world.members.values()} == {MEMBERS}
 
@@ -170,7 +170,7 @@
         world.arrive(world.rng.choice(world.names), 20 * world.estate.per_s, step / 5, step / 5 + 0.2)
     world.run(30.0)
     check_bounds(world, below=False)  # it never stays long enough: only the floor is guaranteed
-    assert len(world.taken) >= 0.08 * 30 * world.estate.per_s
+    assert len(world.accepted_at_ns) >= 0.08 * 30 * world.estate.per_s
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -196,7 +196,7 @@
     world.at(9.3, lambda: world.begin("m1") and None)
     add_overload(world, ["m1"], 12.0, since=10.0, times=1.0)
     world.run(16.0)
-    requested, admitted = len(world.taken) + len(world.refused), len(world.taken)
+    requested, admitted = len(world.accepted_at_ns) + len(world.refused), len(world.accepted_at_ns)
     for member in world.members.values():
         (totals,) = member.sharing.totals().values()
         assert totals == (requested, admitted), member.name
@@ -220,7 +220,7 @@
     add_overload(world, ["m0"], 20.0)
     world.run(20.0)
     check_bounds(world)
-    late = [at for at in world.taken if at > 14.0 * NS_PER_S]
+    late = [at for at in world.accepted_at_ns if at > 14.0 * NS_PER_S]
     # The rest goes to the faulty member, whatever demand it publishes.
     assert len(late) >= 6.0 * world.estate.per_s * 0.45
     assert "m4" in world.members["m0"].sharing.implausible
@@ -234,7 +234,7 @@
     member = world.members["m1"]
     member.peer.topics[TOPIC] = Topic(lambda now: [], lambda: None)
     world.run(14.0)
-    requested, admitted = len(world.taken) + len(world.refused), len(world.taken)
+    requested, admitted = len(world.accepted_at_ns) + len(world.refused), len(world.accepted_at_ns)
     for other_member in world.members.values():
         (totals,) = other_member.sharing.totals().values()
         assert totals == (requested, admitted), other_member.name
