--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -69,7 +69,7 @@
     world.run(duration_s)
     cpu_s = time.process_time() - cpu_before
     accepted_at = [at / NS_PER_S for at in world.accepted_at_ns]
-    sent_at = sorted(accepted_at + [at / NS_PER_S for at in world.refused])
+    sent_at = sorted(accepted_at + [at / NS_PER_S for at in world.refused_at_ns])
     bytes_per_s = sum(one.bytes_sent for one in world.members.values()) / members / duration_s
     figures = (
         f"{worst_over(accepted_at, estate.per_s):.0f} / {max_excess(estate):.0f}",
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -69,7 +69,7 @@
         self.members: dict[str, Member] = {}
         self.period = int(estate.period_s * NS_PER_S)
         self.accepted_at_ns: list[int] = []  # times of accepted requests, in nanoseconds
-        self.refused: list[int] = []
+        self.refused_at_ns: list[int] = []
         self.by_member: dict[str, int] = {}
         self.demands: dict[str, float] = {}
 
@@ -189,7 +189,7 @@
             self.accepted_at_ns.append(self.now)
             self.by_member[name] = self.by_member.get(name, 0) + 1
         else:
-            self.refused.append(self.now)
+            self.refused_at_ns.append(self.now)
 
 
 def worst_over(times: Iterable[float], per_s: float) -> float:
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -40,7 +40,7 @@
 def check_bounds(world: World, below: bool = True) -> tuple[float, float]:
     """Checks both bounds; returns the worst excess and the worst shortfall."""
     admitted = [at / NS_PER_S for at in world.accepted_at_ns]
-    requested = sorted(admitted + [at / NS_PER_S for at in world.refused])
+    requested = sorted(admitted + [at / NS_PER_S for at in world.refused_at_ns])
     worst = worst_over(admitted, world.estate.per_s), worst_under(admitted, requested, world.estate.per_s)
     assert worst[0] <= max_excess(world.estate), (worst, max_excess(world.estate))
     assert not below or worst[1] <= max_shortfall(world.estate), (worst, max_shortfall(world.estate))
@@ -196,7 +196,7 @@
     world.at(9.3, lambda: world.begin("m1") and None)
     add_overload(world, ["m1"], 12.0, since=10.0, times=1.0)
     world.run(16.0)
-    requested, admitted = len(world.accepted_at_ns) + len(world.refused), len(world.accepted_at_ns)
+    requested, admitted = len(world.accepted_at_ns) + len(world.refused_at_ns), len(world.accepted_at_ns)
     for member in world.members.values():
         (totals,) = member.sharing.totals().values()
         assert totals == (requested, admitted), member.name
@@ -234,7 +234,7 @@
     member = world.members["m1"]
     member.peer.topics[TOPIC] = Topic(lambda now: [], lambda: None)
     world.run(14.0)
-    requested, admitted = len(world.accepted_at_ns) + len(world.refused), len(world.accepted_at_ns)
+    requested, admitted = len(world.accepted_at_ns) + len(world.refused_at_ns), len(world.accepted_at_ns)
     for other_member in world.members.values():
         (totals,) = other_member.sharing.totals().values()
         assert totals == (requested, admitted), other_member.name
