--- a/rigs/members.py
+++ b/rigs/members.py
@@ -70,7 +70,7 @@
         self.period = int(estate.period_s * NS_PER_S)
         self.accepted_at_ns: list[int] = []  # times of accepted requests, in nanoseconds
         self.refused_at_ns: list[int] = []
-        self.by_member: dict[str, int] = {}
+        self.accepted_by_member: dict[str, int] = {}
         self.demands: dict[str, float] = {}
 
     # Time
@@ -187,7 +187,7 @@
         assert tenant_number is not None
         if member.admission.admit(self.clock(member), tenant_number) is None:
             self.accepted_at_ns.append(self.now)
-            self.by_member[name] = self.by_member.get(name, 0) + 1
+            self.accepted_by_member[name] = self.accepted_by_member.get(name, 0) + 1
         else:
             self.refused_at_ns.append(self.now)
 
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -115,7 +115,7 @@
     add_overload(world, ["m5"], 30.0)
     world.run(30.0)
     check_bounds(world)
-    assert world.by_member["m0"] < world.by_member["m5"] / 3
+    assert world.accepted_by_member["m0"] < world.accepted_by_member["m5"] / 3
     assert world.members["m0"].peer.members.is_isolated() is False  # its links work again
 
 
@@ -159,7 +159,7 @@
     world.run(20.0)
     check_bounds(world)
     assert world.members["m7"].peer.members.member_count() == MEMBERS + 1
-    assert world.by_member["new"] >= 0.5 * 60 / (MEMBERS + 1) * 6
+    assert world.accepted_by_member["new"] >= 0.5 * 60 / (MEMBERS + 1) * 6
 
 
 @pytest.mark.parametrize("seed", SEEDS)
