--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -62,9 +62,11 @@
     calm_per_s = 0.2 * estate.per_s / members
     busy_names = [world.names[0], world.names[1], world.names[-1]]
     for name in world.names:
-        world.arrive(name, calm_per_s, 0.0, duration_s)
+        world.schedule_requests(name, calm_per_s, 0.0, duration_s)
     for name in busy_names:
-        world.arrive(name, BURST_FACTOR * estate.per_s / len(busy_names), duration_s / 4, duration_s)
+        world.schedule_requests(
+            name, BURST_FACTOR * estate.per_s / len(busy_names), duration_s / 4, duration_s
+        )
     cpu_before = time.process_time()
     world.run(duration_s)
     cpu_s = time.process_time() - cpu_before
--- a/rigs/members.py
+++ b/rigs/members.py
@@ -170,7 +170,7 @@
 
     # The tenant
 
-    def arrive(self, name: str, rate: float, since: float, until: float) -> None:
+    def schedule_requests(self, name: str, rate: float, since: float, until: float) -> None:
         """Schedule requests of the tenant at this member as a Poisson process."""
         at = since
         while rate > 0.0:
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -34,7 +34,7 @@
     """Adds requests at `times` the allowance, spread over these members."""
     member_names = list(names)
     for name in member_names:
-        world.arrive(name, times * world.estate.per_s / len(member_names), since, until)
+        world.schedule_requests(name, times * world.estate.per_s / len(member_names), since, until)
 
 
 def check_bounds(world: World, below: bool = True) -> tuple[float, float]:
@@ -63,7 +63,7 @@
     world = make_world(seed)
     world.start()
     for name in world.names:
-        world.arrive(name, 1.0, 0.0, 8.0)
+        world.schedule_requests(name, 1.0, 0.0, 8.0)
     add_overload(world, world.names, 14.0, since=8.0)
     world.run(14.0)
     worst, _ = check_bounds(world)
@@ -155,7 +155,7 @@
     world.start()
     add_overload(world, world.names, 20.0)
     world.at(8.0, lambda: world.begin("new") and None)
-    world.arrive("new", 400.0, 8.0, 20.0)
+    world.schedule_requests("new", 400.0, 8.0, 20.0)
     world.run(20.0)
     check_bounds(world)
     assert world.members["m7"].peer.members.member_count() == MEMBERS + 1
@@ -167,7 +167,9 @@
     world = make_world(seed)
     world.start()
     for step in range(150):
-        world.arrive(world.rng.choice(world.names), 20 * world.estate.per_s, step / 5, step / 5 + 0.2)
+        world.schedule_requests(
+            world.rng.choice(world.names), 20 * world.estate.per_s, step / 5, step / 5 + 0.2
+        )
     world.run(30.0)
     check_bounds(world, below=False)  # it never stays long enough: only the floor is guaranteed
     assert len(world.accepted_at_ns) >= 0.08 * 30 * world.estate.per_s
