--- a/rigs/members.py
+++ b/rigs/members.py
@@ -75,7 +75,7 @@
 
     # Time
 
-    def at(self, when: float, callback: Callable[[], None]) -> None:
+    def schedule_at(self, when: float, callback: Callable[[], None]) -> None:
         """Schedule a call at `when`, in seconds of simulated time."""
         heapq.heappush(self.events, (int(when * NS_PER_S), next(self.event_numbers), callback))
 
@@ -177,7 +177,7 @@
             at += self.rng.expovariate(rate)
             if at >= until:
                 return
-            self.at(at, lambda: self._request(name))
+            self.schedule_at(at, lambda: self._request(name))
 
     def _request(self, name: str) -> None:
         member = self.members.get(name)
