--- a/rigs/members.py
+++ b/rigs/members.py
@@ -93,9 +93,9 @@
 
     def start(self, names: Iterable[str] | None = None) -> None:
         for name in names or self.names:
-            self.begin(name, self.rng.randrange(NS_PER_S))
+            self.start_process(name, self.rng.randrange(NS_PER_S))
 
-    def begin(self, name: str, offset: int = 0, rate: float = 1.0, life: int | None = None) -> Member:
+    def start_process(self, name: str, offset: int = 0, rate: float = 1.0, life: int | None = None) -> Member:
         """Start a process of this name; the default `life` is later than those of all earlier processes."""
         estate = self.estate
         previous = self.members.get(name)
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -138,7 +138,7 @@
     add_overload(world, world.names, 16.0)
     for name in world.names:
         world.schedule_at(8.0, lambda name=name: world.kill(name))  # type: ignore[misc]
-        world.schedule_at(8.1 + world.rng.random(), lambda name=name: world.begin(name))  # type: ignore[misc]
+        world.schedule_at(8.1 + world.rng.random(), lambda name=name: world.start_process(name))  # type: ignore[misc]
     world.run(16.0)
     check_bounds(world)
     world.run(30.0)
@@ -154,7 +154,7 @@
     world.listed = False
     world.start()
     add_overload(world, world.names, 20.0)
-    world.schedule_at(8.0, lambda: world.begin("new") and None)
+    world.schedule_at(8.0, lambda: world.start_process("new") and None)
     world.schedule_requests("new", 400.0, 8.0, 20.0)
     world.run(20.0)
     check_bounds(world)
@@ -179,10 +179,10 @@
 def test_clocks_apart_one_fast_and_one_that_was_set_back(seed: int) -> None:
     world = make_world(seed, changes=2)
     for number, name in enumerate(world.names):
-        world.begin(name, world.rng.randrange(2 * NS_PER_S), 0.99 + 0.02 * number / MEMBERS)
+        world.start_process(name, world.rng.randrange(2 * NS_PER_S), 0.99 + 0.02 * number / MEMBERS)
     add_overload(world, world.names, 18.0)
     world.schedule_at(8.0, lambda: world.kill("m3"))
-    world.schedule_at(8.5, lambda: world.begin("m3", 0, 1.0, life=5) and None)
+    world.schedule_at(8.5, lambda: world.start_process("m3", 0, 1.0, life=5) and None)
     world.run(18.0)
     check_bounds(world)
     assert world.members["m0"].peer.rows.current["m3"].row.incarnation > 1000
@@ -195,7 +195,7 @@
     world.start()
     add_overload(world, ["m1"], 7.0, times=2.0)
     world.schedule_at(9.0, lambda: world.kill("m1"))
-    world.schedule_at(9.3, lambda: world.begin("m1") and None)
+    world.schedule_at(9.3, lambda: world.start_process("m1") and None)
     add_overload(world, ["m1"], 12.0, since=10.0, times=1.0)
     world.run(16.0)
     requested, admitted = len(world.accepted_at_ns) + len(world.refused_at_ns), len(world.accepted_at_ns)
