--- a/rigs/members.py
+++ b/rigs/members.py
@@ -29,7 +29,7 @@
 
     loss: float = 0.0
     delay_s: float = 0.0  # minimum; each datagram takes up to twice as long, so order is not kept
-    repeat: float = 0.0
+    duplicate_probability: float = 0.0
     # Whether the link from one member to another is interrupted at present.
     cut: Callable[[str, str], bool] = lambda source, target: False
 
@@ -147,7 +147,7 @@
         for datagram in datagrams:
             member.sent += 1
             member.bytes_sent += len(datagram.body) + DATAGRAM_OVERHEAD_BYTES
-            copies = 2 if self.rng.random() < self.links.repeat else 1
+            copies = 2 if self.rng.random() < self.links.duplicate_probability else 1
             for _ in range(copies):
                 if self.rng.random() >= self.links.loss and not self.links.cut(member.name, datagram.at):
                     self._deliver_later(member.name, datagram)
--- a/tests/tenants/test_hard_cases.py
+++ b/tests/tenants/test_hard_cases.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_loss_a_second_of_delay_reordering_and_repeats_at_once(seed: int) -> None:
     world = make_world(seed, loss=0.1, delay_s=0.5, cut=1 - 1 / MEMBERS, cut_s=12.0)
-    world.links.repeat = 0.3
+    world.links.duplicate_probability = 0.3
     world.start()
     add_overload(world, world.names, 14.0)
     world.run(14.0)
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_counts_are_neither_lost_nor_doubled_over_a_restart(seed: int) -> None:
     world = make_world(seed)
-    world.links.repeat = 0.5
+    world.links.duplicate_probability = 0.5
     world.start()
     add_overload(world, ["m1"], 7.0, times=2.0)
     world.schedule_at(9.0, lambda: world.kill("m1"))
