--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -203,7 +203,7 @@
     }
     report.fields["ready_s"] = round(fleet.ready_within_s(READY_SHARE), 2)
     if report.fields["ready_s"] > MAX_READY_S:
-        report.unkept.append(
+        report.violations.append(
             f"90 % of the starts were ready after {report.fields['ready_s']:g} s, not {MAX_READY_S:g} s"
         )
     two_racks, excused = fleet.repeats_in_two_racks()
@@ -215,14 +215,14 @@
         "state_rejected": fleet.count_log_lines("is not used", "is broken", "cannot be read"),
     }
     if two_racks:
-        report.unkept.append(f"{two_racks} keys ran in two racks, avoidable for their sidecars")
+        report.violations.append(f"{two_racks} keys ran in two racks, avoidable for their sidecars")
     bounds = {scene.name: scene.max_full_service_s for scene in (*SCENES, *HARD_SCENES)}
     for name, one in figures.items():
         took_s, max_s = one["full_service_s"], bounds[name]
         if took_s > max_s:
-            report.unkept.append(f"{name}: full service after {took_s:g} s, not {max_s:g} s")
+            report.violations.append(f"{name}: full service after {took_s:g} s, not {max_s:g} s")
     if lost["first_second_share"] < MIN_FIRST_SECOND_SHARE:
-        report.unkept.append(
+        report.violations.append(
             f"{lost['first_second_share']:g} of the first second served, not {MIN_FIRST_SECOND_SHARE:g}"
         )
     if "kept" in figures:
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -43,7 +43,7 @@
     }
     code = await stage.down()
     if code:
-        report.unkept.append(f"the program exited with code {code}")
+        report.violations.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -145,7 +145,7 @@
         code = await stage.down()
         await scenario.ensemble.close()
     if code:
-        report.unkept.append(f"the sidecar ended with code {code}")
+        report.violations.append(f"the sidecar ended with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -56,7 +56,7 @@
         report.fields["restarts"] = program.starts - 1
         code = await stage.down()
     if code:
-        report.unkept.append(f"the program exited with code {code}")
+        report.violations.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
@@ -142,7 +142,7 @@
         "seconds": round(now() - started_at, 1),
     }
     if ledger.counts["twins_decided_twice"]:
-        report.unkept.append("two proxies with the same id both got a decision")
+        report.violations.append("two proxies with the same id both got a decision")
     served = ledger.tally()["served"]
     if served < MIN_SERVED_SHARE * ledger.tally()["sent"]:
-        report.unkept.append(f"only {served} of {ledger.tally()['sent']} requests were served")
+        report.violations.append(f"only {served} of {ledger.tally()['sent']} requests were served")
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -67,7 +67,7 @@
         report.fields["peak_buffer_kb"] = _kb(stage.program.process.pid, "VmHWM") - initial_kb
         code = await stage.down()
     if code:
-        report.unkept.append(f"the program exited with code {code}")
+        report.violations.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
@@ -136,13 +136,13 @@
         "seconds": round(now() - started_at, 1),
     }
     if mismatches:
-        report.unkept.append(f"wrong status codes: {mismatches}")
+        report.violations.append(f"wrong status codes: {mismatches}")
     if grpc.trailers_changed:
-        report.unkept.append("trailers were changed")
+        report.violations.append("trailers were changed")
     for final in ("served", "refused", "failed"):
         shares = [outcomes[final] / max(1, sum(outcomes.values())) for outcomes in counts.values()]
         if abs(shares[0] - shares[1]) > MAX_SHARE_DIFFERENCE:
-            report.unkept.append(f"the shares of {final} differ: {shares[0]:.3f} and {shares[1]:.3f}")
+            report.violations.append(f"the shares of {final} differ: {shares[0]:.3f} and {shares[1]:.3f}")
 
 
 def _counts(ledger: Ledger, name: str) -> dict[str, Any]:
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -155,7 +155,7 @@
     judge(report, stage, acts, application, started_at)
     code = await stage.down()
     if code:
-        report.unkept.append(f"the program exited with code {code}")
+        report.violations.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
     return report.held(stage.ledger)
 
@@ -179,6 +179,8 @@
     }
     for cause, value in recovery_s.items():
         if value > MAX_RECOVERY_S:
-            report.unkept.append(f"{cause}: recovered after {value:.1f} s, not within {MAX_RECOVERY_S:g} s")
+            report.violations.append(
+                f"{cause}: recovered after {value:.1f} s, not within {MAX_RECOVERY_S:g} s"
+            )
     if in_time < MIN_IN_TIME_SHARE * tries:
-        report.unkept.append(f"only {in_time} of {tries} first tries were served in time")
+        report.violations.append(f"only {in_time} of {tries} first tries were served in time")
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -340,7 +340,7 @@
     _evaluate(report, scenarios, began_at)
     for scenario, code in zip(scenarios, codes, strict=True):
         if code:
-            report.unkept.append(f"the sidecar of {scenario.registry.name} ended with code {code}")
+            report.violations.append(f"the sidecar of {scenario.registry.name} ended with code {code}")
     print_report(report, etcd_stage.ledger, as_json)
     return report.held(etcd_stage.ledger)
 
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -27,7 +27,7 @@
     name: str
     seed: int
     fields: dict[str, Any] = field(default_factory=dict)
-    unkept: list[str] = field(default_factory=list)  # failed requirements, beside the ledger's rules
+    violations: list[str] = field(default_factory=list)  # failed requirements, beside the ledger's rules
 
     def figures(self, ledger: Ledger) -> dict[str, Any]:
         return {
@@ -37,13 +37,13 @@
             "broken": asdict(ledger.broken()),
             **self.fields,
             "examples": (ledger.lost()[:3], ledger.twice()[:3], ledger.late_sends[:3]),
-            "unkept": self.unkept,
+            "unkept": self.violations,
         }
 
     def held(self, ledger: Ledger) -> bool:
         """Whether requests were sent and every rule and requirement was met."""
         tally = ledger.tally()
-        violations = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.unkept)
+        violations = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.violations)
         return tally["sent"] > 0 and not violations
 
 
@@ -70,7 +70,7 @@
     report.fields["seconds"] = round(time.monotonic() - started_at, 1)
     codes = await cluster.close()
     if any(codes):
-        report.unkept.append(f"programs exited with codes {codes}")
+        report.violations.append(f"programs exited with codes {codes}")
     print_report(report, cluster.ledger, as_json)
     return report.held(cluster.ledger)
 
