--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -75,7 +75,7 @@
     on = await _half(seed, length, plan=True)
     _judge(report, on, off, started_at)
     print_report(report, on.stage.ledger, as_json)
-    return report.held(on.stage.ledger)
+    return report.passed(on.stage.ledger)
 
 
 async def _half(seed: int, length: float, plan: bool) -> Half:
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -147,7 +147,7 @@
     if code:
         report.violations.append(f"the sidecar ended with code {code}")
     print_report(report, stage.ledger, as_json)
-    return report.held(stage.ledger)
+    return report.passed(stage.ledger)
 
 
 def _operator_file(folder: str, ensemble: Ensemble) -> dict[str, str]:
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -69,7 +69,7 @@
     if code:
         report.violations.append(f"the program exited with code {code}")
     print_report(report, stage.ledger, as_json)
-    return report.held(stage.ledger)
+    return report.passed(stage.ledger)
 
 
 def _kb(pid: int, field: str) -> int:
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -342,7 +342,7 @@
         if code:
             report.violations.append(f"the sidecar of {scenario.registry.name} ended with code {code}")
     print_report(report, etcd_stage.ledger, as_json)
-    return report.held(etcd_stage.ledger)
+    return report.passed(etcd_stage.ledger)
 
 
 async def _start(scenario: RegistryScenario, folder: str) -> None:
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -40,7 +40,7 @@
             "unkept": self.violations,
         }
 
-    def held(self, ledger: Ledger) -> bool:
+    def passed(self, ledger: Ledger) -> bool:
         """Whether requests were sent and every rule and requirement was met."""
         tally = ledger.tally()
         violations = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.violations)
@@ -72,7 +72,7 @@
     if any(codes):
         report.violations.append(f"programs exited with codes {codes}")
     print_report(report, cluster.ledger, as_json)
-    return report.held(cluster.ledger)
+    return report.passed(cluster.ledger)
 
 
 def print_report(report: Report, ledger: Ledger, as_json: bool) -> None:
@@ -83,4 +83,4 @@
     for name, value in figures.items():
         text = f"{value:.3f}" if isinstance(value, float) else value
         print(f"{name:24} {text}")
-    print("every requirement was met" if report.held(ledger) else "A REQUIREMENT WAS NOT MET")
+    print("every requirement was met" if report.passed(ledger) else "A REQUIREMENT WAS NOT MET")
