--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -22,7 +22,7 @@
 from garnethaven.peers.conversation import OutgoingMessage, Peer, decode_message
 from garnethaven.peers.membership import PeerSettings
 from rigs.budgets import PER_S, SHARE, Stage, table
-from rigs.stage import keeping_book
+from rigs.stage import tracking_published_changes
 from standins.ledger import max_in_window
 from standins.platform import TARGET_S
 
@@ -40,7 +40,7 @@
     await stage.open()
     names = list(stage.nodes)
     members = names[:1] if at_one else names
-    async with keeping_book(stage, waits_s=10.0):
+    async with tracking_published_changes(stage, waits_s=10.0):
         await asyncio.sleep(4.0)
         await asyncio.gather(
             stage.ask(names, "first", 90.0 / PROGRAMS, DURATION_S),
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -19,7 +19,7 @@
 
 from rigs.comeback import CALM_S, CAPACITY, LOSE, RETURN, STATE, act
 from rigs.fleet import Fleet, Plan
-from rigs.stage import keeping_book, now
+from rigs.stage import now, tracking_published_changes
 from standins.platform import TARGET_S
 
 DURATION_S = 11.0
@@ -34,7 +34,7 @@
     """Run one return; return its figures and the share in time, sampled every `STEP_S`."""
     fleet = Fleet(seed, plan)
     await fleet.open()
-    async with keeping_book(fleet, waits_s=10.0):
+    async with tracking_published_changes(fleet, waits_s=10.0):
         sending = asyncio.create_task(fleet.send(DURATION_S))
         await asyncio.sleep(STATE_COPY_AFTER_S)
         if state_variant == "old":
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -25,7 +25,7 @@
 from rigs.fleet import Plan
 from rigs.members import NS_PER_S, Links, World, worst_over, worst_under
 from rigs.peers_fleet import KEY, PeerFleet
-from rigs.stage import keeping_book
+from rigs.stage import tracking_published_changes
 from standins.platform import TARGET_S
 
 # Simulated seconds by fleet size; the largest fleet gets few because of its cost.
@@ -130,7 +130,7 @@
     fleet = PeerFleet(seed, Plan(programs=12, servers=6, work_s=0.05, operator="-"), tables)
     await fleet.open()
     names = list(fleet.nodes)
-    async with keeping_book(fleet, waits_s=10.0):
+    async with tracking_published_changes(fleet, waits_s=10.0):
         await fleet.ask(names, "calm", 80.0 / 12, 4.0)
         await asyncio.gather(
             fleet.ask(names, "calm", 80.0 / 12, 10.0), fleet.ask(names, "big", 600.0 / 12, 10.0)
@@ -163,7 +163,7 @@
     await fleet.open()
     forged_datagram = bytearray(Seal(bytes.fromhex(KEY), 7).seal(bytes(200)))
     forged_datagram[-1] ^= 1
-    async with keeping_book(fleet, waits_s=10.0):
+    async with tracking_published_changes(fleet, waits_s=10.0):
         await asyncio.sleep(3.0)
         arguments = [str(fleet.ports["n0"]), str(FLOOD_PER_S), "8", forged_datagram.hex()]
         flood_process = subprocess.Popen([sys.executable, "-c", FLOOD, *arguments]) if flood else None
--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -17,7 +17,7 @@
 from rigs.fleet import Plan
 from rigs.peers_fleet import PeerFleet
 from rigs.report import Report, finished
-from rigs.stage import fitting, keeping_book, now
+from rigs.stage import fitting, now, tracking_published_changes
 
 PROGRAMS = 24
 PER_S = 24.0  # retries of the whole fleet
@@ -154,7 +154,7 @@
     await stage.open()
     duration_s = CALM_S + sum(act.seconds for act in acts)
     played: list[PlayedAct] = []
-    async with keeping_book(stage, waits_s=10.0):
+    async with tracking_published_changes(stage, waits_s=10.0):
         names = list(stage.nodes)
         first_tries_load = asyncio.create_task(
             stage.ask(names, "first", FIRST_TRIES_PER_S / programs, duration_s)
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -16,7 +16,7 @@
 from rigs.fleet import Fleet, Plan, overrun_s
 from rigs.report import Report, finished
 from rigs.schedule import SERVER_VERBS, Fault
-from rigs.stage import keeping_book, now, recovered_after
+from rigs.stage import now, recovered_after, tracking_published_changes
 from standins.platform import TARGET_S
 
 CAPACITY = 4.0
@@ -149,7 +149,7 @@
     await fleet.open()
     fleet.progress.say(f"{len(fleet.nodes)} programs are up after {now() - started_at:.1f} s")
     acts: list[Act] = []
-    async with keeping_book(fleet, waits_s=10.0):
+    async with tracking_published_changes(fleet, waits_s=10.0):
         send_task = asyncio.create_task(fleet.send(length))
         at = now() + CALM_S
         await asyncio.sleep(CALM_S / 2)
--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.clients import Application, ApplicationSettings, ConnectionAllowance
 from standins.line_faults import FaultyServer
 from standins.platform import TARGET_S, Program, settings
@@ -112,7 +112,7 @@
                     ApplicationSettings(rate=RATE),
                 )
             )
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             await asyncio.gather(_send(half, length), _faults(half, length))
             for application in half.applications:
                 await application.settle()
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -6,7 +6,7 @@
 import sys
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.clients import ApplicationSettings
 from standins.platform import TARGET_S
 
@@ -26,7 +26,7 @@
     await stage.up()
     started_at = now()
     application = stage.application("app", ApplicationSettings(rate=RATE))
-    async with keeping_book(stage):
+    async with tracking_published_changes(stage):
         send_task = asyncio.create_task(application.run(length))
         event_task = asyncio.create_task(_events(stage, length))
         count_task = asyncio.create_task(count_live(stage))
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -9,7 +9,7 @@
 from rigs.demo import DEFAULT_S, SERVERS, SOCKETS, count_live
 from rigs.external_processor import new_proxy, operator_file
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.platform import TARGET_S
 from standins.ports import PORTS
 from standins.proxy import ProxySettings
@@ -29,7 +29,7 @@
         program = await stage.up(environment=operator_file(folder, port))
         proxies = [new_proxy(stage, f"p{n}", port, ProxySettings()) for n in range(PROXIES)]
         started_at = now()
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             count_task = asyncio.create_task(count_live(stage))
             await asyncio.gather(*(proxy.run(RATE, length) for proxy in proxies), _events(stage, length))
             for proxy in proxies:
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.check_server import CheckServer
 from standins.clients import ApplicationSettings
 from standins.ledger import ServerLifetime
@@ -135,7 +135,7 @@
         ]
         began_at = now()
         await _until_followed(scenario)
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             sending = [asyncio.create_task(one.run(duration_s)) for one in applications]
             await _inject_faults(stage, scenario, duration_s)
             await asyncio.gather(*sending)
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.clients import ApplicationSettings
 from standins.platform import TARGET_S
 from standins.ports import PORTS
@@ -41,7 +41,7 @@
         proxies = [new_proxy(stage, f"p{n}", port, ways) for n, ways in enumerate(_proxy_ways(stage))]
         application = stage.application("http", ApplicationSettings(rate=HTTP_RATE, retries=0))
         started_at = now()
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             send_tasks = [asyncio.create_task(proxy.run(RATE, length)) for proxy in proxies]
             send_tasks.append(asyncio.create_task(application.run(length)))
             duplicates_task = asyncio.create_task(_send_duplicate_ids(proxies, length))
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.clients import ApplicationSettings
 from standins.grpc_client import GrpcApplication
 from standins.grpc_server import CODES, GRPC_PORT_OFFSET, GrpcCheckServer
@@ -53,7 +53,7 @@
         started_at = now()
         assert stage.program is not None and stage.program.process is not None
         initial_kb = _kb(stage.program.process.pid, "VmRSS")
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             streams = [asyncio.create_task(grpc.stream(40, length / 60)) for _ in range(STREAMS)]
             await asyncio.gather(http.run(length), grpc.run(length), _faults(stage, length))
             await http.settle()
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now, recovered_after
+from rigs.stage import Stage, now, recovered_after, tracking_published_changes
 from standins.clients import Application, ApplicationSettings
 from standins.discovery import DiscoveryFault
 from standins.platform import TARGET_S
@@ -146,7 +146,7 @@
     started_at = now()
     application = stage.application("usual", ApplicationSettings(rate=RATE, retries=2, most_lines=30))
     acts = Acts(stage, (seconds or DEFAULT_S) / DEFAULT_S)
-    async with keeping_book(stage):
+    async with tracking_published_changes(stage):
         send_task = asyncio.create_task(application.run(3600.0))
         await acts.run()
         send_task.cancel()
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -17,7 +17,7 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from rigs.report import Report, print_report
-from rigs.stage import Stage, keeping_book, now
+from rigs.stage import Stage, now, tracking_published_changes
 from standins.check_server import CheckServer
 from standins.clients import ApplicationSettings
 from standins.consul.cluster import Cluster as Catalog
@@ -362,7 +362,7 @@
 async def _run_load(scenario: RegistryScenario, duration_s: float) -> int:
     stage = scenario.stage
     application = stage.application(scenario.registry.name, ApplicationSettings(rate=REQUESTS_PER_S))
-    async with keeping_book(stage):
+    async with tracking_published_changes(stage):
         sending = asyncio.create_task(application.run(duration_s))
         await _inject_faults(scenario, duration_s)
         await sending
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -20,7 +20,7 @@
 
 from rigs.soak_callers import LoadGenerator
 from rigs.soak_judge import Judge, Verdict, WatchedServer
-from rigs.stage import Stage, keeping_book
+from rigs.stage import Stage, tracking_published_changes
 from standins.discovery import DiscoveryFault
 from standins.platform import NS, Program, settings
 
@@ -119,7 +119,7 @@
         stage, judge = self.stage, self.judge
         program = await stage.up(self.plan.settings())
         load = LoadGenerator(program.port, judge, self.plan.deadlines_s, self.rng, RATE)
-        async with keeping_book(stage):
+        async with tracking_published_changes(stage):
             self._start_task(load.run())
             if self.plan.crowd:
                 self._start_task(stage.guests("crowd").say_nothing(CROWD_CONNECTIONS, RUN_S))
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -150,7 +150,7 @@
 
 
 @contextlib.asynccontextmanager
-async def keeping_book(stage: Stage, waits_s: float = 2.0) -> AsyncIterator[None]:
+async def tracking_published_changes(stage: Stage, waits_s: float = 2.0) -> AsyncIterator[None]:
     """Run `stage.watch` in the background."""
     task = asyncio.create_task(stage.watch(waits_s))
     try:
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -17,7 +17,7 @@
 from rigs.members import worst_over, worst_under
 from rigs.peers_fleet import PeerFleet
 from rigs.report import Report, finished
-from rigs.stage import fitting, keeping_book, now
+from rigs.stage import fitting, now, tracking_published_changes
 
 PROGRAMS = 16
 PER_S = 20.0
@@ -194,7 +194,7 @@
     await stage.open()
     duration_s = CALM_S + sum(act.seconds for act in acts)
     played: list[PlayedAct] = []
-    async with keeping_book(stage, waits_s=10.0):
+    async with tracking_published_changes(stage, waits_s=10.0):
         load_began = now()
         sampling = asyncio.create_task(stage.sample_heard_share())
         calm = asyncio.create_task(stage.ask(stage.running(), "calm", OTHERS_PER_S / programs, duration_s))
--- a/tests/net/test_injected_calls.py
+++ b/tests/net/test_injected_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rigs.stage import Stage, keeping_book
+from rigs.stage import Stage, tracking_published_changes
 from standins.clients import ApplicationSettings
 from standins.failing_calls import FailingCall, FaultPlan
 from standins.ledger import Violations
@@ -78,7 +78,7 @@
     stage = Stage(11, servers=6, sockets=384, work_s=0.02, ramp_s=3.0)
     await stage.up(environment=plan.environment())
     client = stage.application("http", ApplicationSettings(rate=120.0, retries=0, most_lines=2))
-    async with keeping_book(stage):
+    async with tracking_published_changes(stage):
         sending = asyncio.create_task(client.run(3.0))
         if outage:
             await asyncio.sleep(0.6)
--- a/tests/peers/test_on_sockets.py
+++ b/tests/peers/test_on_sockets.py
@@ -11,7 +11,7 @@
 
 from rigs.fleet import Plan
 from rigs.peers_fleet import KEY, PeerFleet
-from rigs.stage import keeping_book
+from rigs.stage import tracking_published_changes
 from standins.clients import Application
 
 TABLES = """
@@ -53,7 +53,7 @@
         fleet = SmallFleet(seed)
         await fleet.open()
         try:
-            async with keeping_book(fleet, waits_s=10.0):
+            async with tracking_published_changes(fleet, waits_s=10.0):
                 await script(fleet)
                 await fleet.settle()
         finally:
--- a/tests/rigs/test_fleet.py
+++ b/tests/rigs/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rigs.fleet import Fleet, Plan
-from rigs.stage import keeping_book
+from rigs.stage import tracking_published_changes
 
 SMALL = Plan(programs=6, servers=9, rate=90.0)
 
@@ -15,7 +15,7 @@
 async def run_schedule(seed: int, schedule: str, seconds: float) -> Fleet:
     fleet = Fleet(seed, SMALL)
     await fleet.open()
-    async with keeping_book(fleet, waits_s=10.0):
+    async with tracking_published_changes(fleet, waits_s=10.0):
         sending = asyncio.create_task(fleet.send(seconds))
         await fleet.play(fleet.draw(schedule))
         await sending
