--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -147,7 +147,7 @@
     report = Report("comeback", seed)
     started_at = now()
     await fleet.open()
-    fleet.progress.say(f"{len(fleet.nodes)} programs are up after {now() - started_at:.1f} s")
+    fleet.progress.log(f"{len(fleet.nodes)} programs are up after {now() - started_at:.1f} s")
     acts: list[Act] = []
     async with tracking_published_changes(fleet, waits_s=10.0):
         send_task = asyncio.create_task(fleet.send(length))
@@ -186,7 +186,7 @@
     started_at = now()
     await fleet.play(schedule)
     ready = now()  # the last program is ready and the last fault has ended
-    fleet.progress.say(f"{name}: all programs are ready {ready - started_at:.2f} s after the first fault")
+    fleet.progress.log(f"{name}: all programs are ready {ready - started_at:.2f} s after the first fault")
     return Act(name, started_at, ready, ready)
 
 
--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -84,7 +84,7 @@
     await stage.open_peers()
     stage.discovery.publish(server.member() for server in stage.servers)
     stage.discovery.known_at.clear()
-    stage.progress.say(f"{PROGRAMS} programs, {'with' if plan else 'without'} the planner")
+    stage.progress.log(f"{PROGRAMS} programs, {'with' if plan else 'without'} the planner")
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         environment = _operator_file(folder) if plan else {}
         for slot in range(PROGRAMS):
@@ -137,7 +137,7 @@
     first, pause, last = length * 0.7, length * 0.1, length * 0.2
     await asyncio.gather(*(application.run(first) for application in half.applications))
     await asyncio.sleep(pause)
-    half.stage.progress.say("the burst after a pause")
+    half.stage.progress.log("the burst after a pause")
     await asyncio.gather(*(application.run(last) for application in half.applications))
 
 
@@ -146,20 +146,20 @@
     rng = random.Random(stage.rng.getrandbits(32))
     chosen = rng.sample(servers, 9)
     await asyncio.sleep(1.0 * unit)
-    stage.progress.say("one server drops idle connections silently, two close theirs early")
+    stage.progress.log("one server drops idle connections silently, two close theirs early")
     chosen[0].drops_idle_s = IDLE_DROP_S
     chosen[1].idle_close_s = 0.3
     chosen[2].resets_kept = 0.05
     await asyncio.sleep(2.0 * unit)
-    stage.progress.say("three servers crash and restart cold")
+    stage.progress.log("three servers crash and restart cold")
     await stage.outage(list(chosen[3:6]), 0.8 * unit)
     half.returned_at = now()
     await asyncio.sleep(1.5 * unit)
-    stage.progress.say("one server is at its connection cap, one closes after each answer")
+    stage.progress.log("one server is at its connection cap, one closes after each answer")
     chosen[6].cap = max(2, len(chosen[6].writers))
     chosen[7].closes_after = True
     await asyncio.sleep(1.0 * unit)
-    stage.progress.say("one server is drained and replaced; then all drop idle connections silently")
+    stage.progress.log("one server is drained and replaced; then all drop idle connections silently")
     await stage.replace(chosen[8])
     for server in servers:
         server.drops_idle_s = IDLE_DROP_S
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -50,10 +50,10 @@
 
 async def _events(stage: Stage, length: float) -> None:
     await asyncio.sleep(length / 4)
-    stage.progress.say("a check server crashes and will restart cold")
+    stage.progress.log("a check server crashes and will restart cold")
     await stage.outage(stage.servers[:1], min(2.0, length / 6))
     await asyncio.sleep(length / 8)
-    stage.progress.say("a check server is drained and replaced by a new one")
+    stage.progress.log("a check server is drained and replaced by a new one")
     await stage.replace(stage.servers[1])
 
 
@@ -61,4 +61,4 @@
     """Print the counts once per second until cancelled."""
     while True:
         await asyncio.sleep(COUNT_EVERY_S)
-        stage.progress.say("")
+        stage.progress.log("")
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -56,10 +56,10 @@
 async def _events(stage: Stage, length: float) -> None:
     assert stage.program is not None
     await asyncio.sleep(length / 4)
-    stage.progress.say("a check server crashes and will restart cold")
+    stage.progress.log("a check server crashes and will restart cold")
     await stage.outage(stage.servers[:1], min(2.0, length / 6))
-    stage.progress.say("a planned restart of the program")
+    stage.progress.log("a planned restart of the program")
     await stage.program.restart()
     await asyncio.sleep(length / 8)
-    stage.progress.say("a check server is drained and replaced by a new one")
+    stage.progress.log("a check server is drained and replaced by a new one")
     await stage.replace(stage.servers[1])
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -170,7 +170,7 @@
 async def _inject_faults(stage: Stage, scenario: EnsembleScenario, duration_s: float) -> None:
     """Play the whole schedule within `duration_s` seconds; the seed picks the servers and the exact times."""
     rng = random.Random(stage.rng.getrandbits(32))
-    ensemble, log_step = scenario.ensemble, stage.progress.say
+    ensemble, log_step = scenario.ensemble, stage.progress.log
     scale = duration_s / 26
 
     def pick(count: int) -> list[CheckServer]:
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -99,7 +99,7 @@
 
 
 async def _faults(stage: Stage, length: float) -> None:
-    program, log = stage.program, stage.progress.say
+    program, log = stage.program, stage.progress.log
     assert program is not None
     await asyncio.sleep(length * 0.15)
     log("a quarter of the servers crashes and restarts cold")
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -197,13 +197,13 @@
 
     async def play(self, schedule: list[Fault]) -> None:
         """Inject the faults at their times; returns when the last has ended."""
-        self.progress.say("schedule:\n" + format_schedule(schedule))
+        self.progress.log("schedule:\n" + format_schedule(schedule))
         started_at = now()
         await asyncio.gather(*(self._inject_at(started_at, fault) for fault in schedule))
 
     async def _inject_at(self, started_at: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, started_at + fault.at - now()))
-        self.progress.say(str(fault))
+        self.progress.log(str(fault))
         verb = fault.verb.replace("-", "_")
         if fault.verb in LINK_VERBS:
             await self._apply_link_fault(fault)
--- a/rigs/grpc.py
+++ b/rigs/grpc.py
@@ -59,7 +59,7 @@
             await http.settle()
             await grpc.settle()
             await asyncio.gather(*streams)
-            stage.progress.say("every status code")
+            stage.progress.log("every status code")
             mismatches = [mismatch for code in CODES if (mismatch := await _check_status(grpc, code))]
         await grpc.close()
         _judge(report, stage, grpc, mismatches, started_at)
@@ -93,14 +93,14 @@
     rng = random.Random(stage.rng.getrandbits(32))
     chosen = rng.sample(stage.servers, 5)
     await asyncio.sleep(length * 0.1)
-    stage.progress.say("one server answers a fifth of its requests with errors")
+    stage.progress.log("one server answers a fifth of its requests with errors")
     chosen[0].error_rate = 0.2
     await asyncio.sleep(length * 0.15)
     chosen[0].error_rate = 0.0
-    stage.progress.say("two servers crash and restart cold")
+    stage.progress.log("two servers crash and restart cold")
     await stage.outage(list(chosen[1:3]), length * 0.08)
     await asyncio.sleep(length * 0.15)
-    stage.progress.say("two servers are drained and replaced")
+    stage.progress.log("two servers are drained and replaced")
     await asyncio.gather(stage.replace(chosen[3]), stage.replace(chosen[4]))
 
 
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -45,7 +45,7 @@
             self.discovery_faults,
             self.process_pause,
         ):
-            self.stage.progress.say(act.__doc__ or act.__name__)
+            self.stage.progress.log(act.__doc__ or act.__name__)
             await act()
 
     def _record_end(self, cause: str, ended: float) -> None:
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -379,7 +379,7 @@
     scale = duration_s / DEFAULT_DURATION_S
 
     def log_step(text: str) -> None:
-        stage.progress.say(f"{registry.name}: {text}")
+        stage.progress.log(f"{registry.name}: {text}")
 
     def pick(count: int) -> list[CheckServer]:
         return rng.sample(
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -55,7 +55,7 @@
         self.out = out
         self.start_s = time.monotonic()
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         tally = self.ledger.tally()
         print(
             f"{time.monotonic() - self.start_s:6.1f} s  sent {tally['sent']:6d}  served {tally['served']:6d}"
