--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -16,7 +16,7 @@
 
 from rigs.fleet import Plan
 from rigs.peers_fleet import PeerFleet
-from rigs.report import Report, finished
+from rigs.report import Report, finish_run
 from rigs.stage import fitting, now, tracking_published_changes
 
 PROGRAMS = 24
@@ -167,7 +167,7 @@
         await first_tries_load
         await stage.settle()
     evaluate(report, stage, played)
-    return await finished(report, stage, began_at, as_json)
+    return await finish_run(report, stage, began_at, as_json)
 
 
 async def play_act(stage: Stage, act: Act) -> PlayedAct:
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from rigs.fleet import Fleet, Plan, overrun_s
-from rigs.report import Report, finished
+from rigs.report import Report, finish_run
 from rigs.schedule import SERVER_VERBS, Fault
 from rigs.stage import now, recovered_after, tracking_published_changes
 from standins.platform import TARGET_S
@@ -169,7 +169,7 @@
         acts[-1].until = now() - TARGET_S
         await fleet.settle()
     judge(report, fleet, acts)
-    return await finished(report, fleet, started_at, as_json)
+    return await finish_run(report, fleet, started_at, as_json)
 
 
 async def start_errors(fleet: Fleet, schedule: list[Fault], until: float) -> str:
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -65,7 +65,7 @@
         )
 
 
-async def finished(report: Report, cluster: ClosableCluster, started_at: float, as_json: bool) -> bool:
+async def finish_run(report: Report, cluster: ClosableCluster, started_at: float, as_json: bool) -> bool:
     """Close the cluster and print the report; true where every rule and requirement was met."""
     report.fields["seconds"] = round(time.monotonic() - started_at, 1)
     codes = await cluster.close()
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -16,7 +16,7 @@
 from rigs.fleet import Plan
 from rigs.members import worst_over, worst_under
 from rigs.peers_fleet import PeerFleet
-from rigs.report import Report, finished
+from rigs.report import Report, finish_run
 from rigs.stage import fitting, now, tracking_published_changes
 
 PROGRAMS = 16
@@ -217,7 +217,7 @@
     for one in played:
         one.figures = measure_act(stage, one.act, one.since, one.until)
     evaluate(report, stage, played, sent_s)
-    return await finished(report, stage, began_at, as_json)
+    return await finish_run(report, stage, began_at, as_json)
 
 
 async def check_counts(stage: Stage, report: Report) -> None:
