--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -122,7 +122,7 @@
     def dials(self) -> dict[str, list[float]]:
         """Return by server the times of the connections opened to it while it was cold."""
         dials_by_server = {}
-        for server in self.every:
+        for server in self.all_servers:
             lives = [life for life in self.ledger.lives if life.server == server.name and life.ramp_s > 0.0]
             times = [at for node in self.nodes.values() for at in node.links[str(server.port)].dial_times]
             cold = [
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -92,7 +92,7 @@
         super().__init__(seed, plan.servers, SOCKETS, ramp_s=plan.ramp_s, work_s=plan.work_s)
         self.plan = plan
         self.discovery.capacity = plan.capacity
-        self.every = list(self.servers)  # including replaced and drained ones
+        self.all_servers = list(self.servers)  # including replaced and drained ones
         self.nodes: dict[str, Node] = {}
 
     # Opening and closing
@@ -174,7 +174,7 @@
             node.program.cleanup()
             for link in node.links.values():
                 await link.close()
-        for server in self.every:
+        for server in self.all_servers:
             await server.close()
         self.discovery.close()
         return codes
@@ -303,7 +303,7 @@
         program, peer = (second, first) if reverse else (first, second)
         ways = tuple(Direction) if both else ((Direction.FROM_TARGET,) if reverse else (Direction.TO_TARGET,))
         node = self.nodes[program]
-        key = "d" if peer == "d" else next((str(s.port) for s in self.every if s.name == peer), "")
+        key = "d" if peer == "d" else next((str(s.port) for s in self.all_servers if s.name == peer), "")
         return [(node.links[key], ways)] if key in node.links else []
 
     async def _apply_link_fault(self, fault: Fault) -> None:
@@ -322,7 +322,7 @@
     # Servers
 
     def server_named(self, name: str) -> CheckServer:
-        return next(server for server in self.every if server.name == name)
+        return next(server for server in self.all_servers if server.name == name)
 
     async def do_replace(self, name: str, fault: Fault, reuse: bool = False) -> None:
         """Crash a server and start a new, cold one in its place; discovery publishes both changes."""
@@ -337,7 +337,7 @@
         await new.start(cold=True)
         await self._connect(new)
         self.servers[self.servers.index(old)] = new
-        self.every.append(new)
+        self.all_servers.append(new)
         await asyncio.sleep(DISCOVERY_DELAY_S if not self._all_programs_down() else 0.1)
         self.discovery.publish([new.member(), old.member("DELETED")])
 
