--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -71,7 +71,7 @@
     """Sizes, rates and client behaviour of a fleet."""
 
     programs: int = 24
-    later: int = 0  # how many of the programs are not started with the others
+    late_starters: int = 0  # how many of the programs are not started with the others
     told_size: int = 0  # fleet size in the settings; 0: the real one
     servers: int = 12
     rate: float = 160.0  # first tries per second, of all applications
@@ -112,7 +112,7 @@
             node.view.known_at.clear()
             node.initial_list = self.discovery.snapshot(node.view)
         await self.meet()
-        first = list(self.nodes.values())[: self.plan.programs - self.plan.later]
+        first = list(self.nodes.values())[: self.plan.programs - self.plan.late_starters]
         await asyncio.gather(*(self._start(node) for node in first))
 
     async def meet(self) -> None:
@@ -138,7 +138,7 @@
         application = Application(name, program.port, self.ledger, allowance, rng, habits, via=name)
         node = Node(name, program, View(), application)
         node.view = self.discovery.view(name, node.rewrite)
-        node.down = number >= plan.programs - plan.later
+        node.down = number >= plan.programs - plan.late_starters
         self.nodes[name] = node
 
     async def _connect(self, server: CheckServer) -> None:
