--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -72,7 +72,7 @@
 
     programs: int = 24
     late_starters: int = 0  # how many of the programs are not started with the others
-    told_size: int = 0  # fleet size in the settings; 0: the real one
+    configured_fleet_size: int = 0  # fleet size in the settings; 0: the real one
     servers: int = 12
     rate: float = 160.0  # first tries per second, of all applications
     ramp_s: float = 6.0
@@ -120,7 +120,7 @@
 
     def _add_node(self, name: str) -> None:
         plan, number = self.plan, len(self.nodes)
-        document = settings(plan.told_size or plan.programs, plan.ramp_s, plan.retry_after)
+        document = settings(plan.configured_fleet_size or plan.programs, plan.ramp_s, plan.retry_after)
         document["slotNo"] = number
         seed = self.rng.getrandbits(32)
         program = Program(0, seed, {}, document, self.sockets, root=plan.root, name=name)
