--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -17,7 +17,7 @@
 from rigs.fleet import Plan
 from rigs.peers_fleet import PeerFleet
 from rigs.report import Report, finish_run
-from rigs.stage import fitting, now, tracking_published_changes
+from rigs.stage import now, select_acts, tracking_published_changes
 
 PROGRAMS = 24
 PER_S = 24.0  # retries of the whole fleet
@@ -81,7 +81,7 @@
     hard = [
         HARD_ACTS[(seed * HARD_ACTS_PER_RUN + index) % len(HARD_ACTS)] for index in range(HARD_ACTS_PER_RUN)
     ]
-    return fitting([*FIXED_ACTS, *hard], CALM_S, seconds, MIN_FIRST_ACT_S)
+    return select_acts([*FIXED_ACTS, *hard], CALM_S, seconds, MIN_FIRST_ACT_S)
 
 
 @dataclass
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -190,7 +190,7 @@
 A = TypeVar("A", bound=Timed)
 
 
-def fitting(acts: Sequence[A], calm_s: float, seconds: float | None, min_s: float) -> list[A]:
+def select_acts(acts: Sequence[A], calm_s: float, seconds: float | None, min_s: float) -> list[A]:
     """Select the acts that fit into `seconds`; all of them where it is None.
 
     The first act is always included and lasts at least `min_s`.
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -17,7 +17,7 @@
 from rigs.members import worst_over, worst_under
 from rigs.peers_fleet import PeerFleet
 from rigs.report import Report, finish_run
-from rigs.stage import fitting, now, tracking_published_changes
+from rigs.stage import now, select_acts, tracking_published_changes
 
 PROGRAMS = 16
 PER_S = 20.0
@@ -96,7 +96,7 @@
     hard = [
         HARD_ACTS[(seed * HARD_ACTS_PER_RUN + index) % len(HARD_ACTS)] for index in range(HARD_ACTS_PER_RUN)
     ]
-    return fitting([STORM, BAD_LINKS, *hard], CALM_S, seconds, MIN_FIRST_ACT_S)
+    return select_acts([STORM, BAD_LINKS, *hard], CALM_S, seconds, MIN_FIRST_ACT_S)
 
 
 class Stage(PeerFleet):
