--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -111,7 +111,7 @@
     await asyncio.gather(stage.replace(stage.servers[4]), stage.replace(stage.servers[5]))
     await asyncio.sleep(length * 0.1)
     log("a forced restart")
-    stage.give_up_open()
+    stage.mark_open_requests_lost()
     program.signal(signal.SIGKILL)
     assert program.process is not None
     await program.process.wait()
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -109,7 +109,7 @@
         rng = random.Random(self.rng.getrandbits(32))
         return IdleClients(name, self.program.port, self.ledger, self.allowance, rng)
 
-    def give_up_open(self) -> None:
+    def mark_open_requests_lost(self) -> None:
         """Mark unanswered HTTP/1.1 requests as lost, before a kill; their clients have to retry."""
         for sent in self.ledger.sent.values():
             if sent.final is None and sent.id.startswith("http-"):
