--- a/rigs/schedule.py
+++ b/rigs/schedule.py
@@ -54,7 +54,7 @@
     """One line of a schedule: what happens to which targets, when and for how long, in seconds."""
 
     verb: str
-    who: tuple[str, ...]
+    targets: tuple[str, ...]
     at: float
     for_s: float = 0.0
     by_s: float = 0.0
@@ -62,7 +62,7 @@
     def __str__(self) -> str:
         by = f" by {self.by_s:g} s" if self.by_s else ""
         duration = f" for {self.for_s:g} s" if self.for_s else ""
-        return f"{self.verb} {' '.join(self.who)}{by}{duration} at {self.at:g}"
+        return f"{self.verb} {' '.join(self.targets)}{by}{duration} at {self.at:g}"
 
 
 def parse_fault(line: str) -> Fault:
