--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from rigs.fleet import Fleet, Plan
-from rigs.schedule import Fault, weather_of
+from rigs.schedule import Fault, parse_weather
 from standins.clients import Application, ApplicationSettings
 from standins.ports import PORTS
 from standins.weather import DatagramLink, NetworkConditions
@@ -136,7 +136,7 @@
         )
 
     async def do_weather(self, fault: Fault) -> None:
-        parameters, weather = weather_of(fault.who), self.weather
+        parameters, weather = parse_weather(fault.who), self.weather
         weather.loss, weather.repeat = parameters.get("loss", 0.0), parameters.get("repeat", 0.0)
         weather.delay_s, weather.jitter_s = parameters.get("delay", 0.0), parameters.get("jitter", 0.0)
         await asyncio.sleep(fault.for_s)
--- a/rigs/schedule.py
+++ b/rigs/schedule.py
@@ -124,7 +124,7 @@
     return sorted(resolved, key=lambda fault: fault.at)
 
 
-def weather_of(words: Iterable[str]) -> dict[str, float]:
+def parse_weather(words: Iterable[str]) -> dict[str, float]:
     """Parse the words of a `weather` fault into values by name."""
     return {match[1]: float(match[2]) for word in words if (match := WEATHER_PATTERN.fullmatch(word))}
 
