--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -38,7 +38,7 @@
         sending = asyncio.create_task(fleet.send(DURATION_S))
         await asyncio.sleep(STATE_COPY_AFTER_S)
         if state_variant == "old":
-            fleet.set_state_aside()
+            fleet.back_up_state()
         await asyncio.sleep(CALM_S - STATE_COPY_AFTER_S)
         result = await act(fleet, state_variant, fleet.draw(STATE_VARIANTS[state_variant] + RETURN))
         await sending
--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -160,7 +160,7 @@
             stage.ask(names, "first", FIRST_TRIES_PER_S / programs, duration_s)
         )
         await asyncio.sleep(CALM_S / 2)
-        stage.set_state_aside()
+        stage.back_up_state()
         await asyncio.sleep(CALM_S / 2)
         for act in acts:
             played.append(await play_act(stage, act))
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -153,7 +153,7 @@
         send_task = asyncio.create_task(fleet.send(length))
         at = now() + CALM_S
         await asyncio.sleep(CALM_S / 2)
-        fleet.set_state_aside()
+        fleet.back_up_state()
         for scene in scenes:
             schedule = fleet.draw(scene.schedule)
             failing = await start_errors(fleet, schedule, at) if scene.name == "kept" else ""
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -254,7 +254,7 @@
         if backup.is_dir():
             shutil.copytree(backup, self.nodes[name].program.state, dirs_exist_ok=True)
 
-    def set_state_aside(self) -> None:
+    def back_up_state(self) -> None:
         """Copy the state files of every program for `old-state`, except files still being written."""
         for node in self.nodes.values():
             backup = node.program.state.parent / "kept"
