--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -122,7 +122,7 @@
     """Send for `seconds` (default 26); return whether every check passed."""
     duration_s = seconds or DEFAULT_DURATION_S
     stage = Stage(seed, SERVERS, sockets=768, work_s=SERVICE_TIME_S)
-    stage.listed = False
+    stage.publishes_servers = False
     report = Report("ephemeral", seed)
     scenario = EnsembleScenario(stage)
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -347,7 +347,7 @@
 
 async def _start(scenario: RegistryScenario, folder: str) -> None:
     stage = scenario.stage
-    stage.listed = False
+    stage.publishes_servers = False
     await stage.open_peers()
     await scenario.registry.start()
     await scenario.up(stage.servers)
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -56,7 +56,7 @@
         self.servers = [self._new_server(number) for number in range(servers)]
         self.next_server_number = servers
         self.program: Program | None = None
-        self.listed = True  # whether discovery publishes the servers
+        self.publishes_servers = True  # whether discovery publishes the servers
 
     def _new_server(self, number: int) -> CheckServer:
         rack = self.racks[number % len(self.racks)]
@@ -77,7 +77,7 @@
         """Start the program, and its peers first where they do not run yet."""
         if not self.discovery.port:
             await self.open_peers()
-        if self.listed:
+        if self.publishes_servers:
             self.discovery.publish(server.member() for server in self.servers)
         self.discovery.known_at.clear()  # the program starts with this list
         self.program = Program(
