--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -160,7 +160,7 @@
             await asyncio.sleep(max(0.0, at - now()))
             if acts:
                 acts[-1].until = now() - TARGET_S
-            acts.append(await act(fleet, scene.name, schedule))
+            acts.append(await run_scene(fleet, scene.name, schedule))
             if failing:
                 acts[-1].failing = failing
                 fleet.server_named(failing).error_rate = 0.0
@@ -181,7 +181,7 @@
     return server.name
 
 
-async def act(fleet: Fleet, name: str, schedule: list[Fault]) -> Act:
+async def run_scene(fleet: Fleet, name: str, schedule: list[Fault]) -> Act:
     """Run one schedule and record when it began and ended."""
     started_at = now()
     await fleet.play(schedule)
