--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -17,7 +17,7 @@
 from statistics import median
 from typing import Any
 
-from rigs.comeback import CALM_S, CAPACITY, LOSE, RETURN, STATE, run_scene
+from rigs.comeback import CALM_S, CAPACITY, LOSE_STATE, RETURN, STATE, run_scene
 from rigs.fleet import Fleet, Plan
 from rigs.stage import now, tracking_published_changes
 from standins.platform import TARGET_S
@@ -26,7 +26,7 @@
 STEP_S = 0.1
 CURVE_S = 6.0
 STATE_COPY_AFTER_S = 1.0  # from the start; the state saved at this time is restored as "old"
-STATE_VARIANTS = {"kept": "", "lost": LOSE, "old": "old-state all at 0.1\n"}
+STATE_VARIANTS = {"kept": "", "lost": LOSE_STATE, "old": "old-state all at 0.1\n"}
 COLOURS = ("#b22", "#26c", "#282", "#a6a")
 
 
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -39,7 +39,7 @@
 kill 1 of 24 at 0
 start all at 1
 """
-LOSE = "lose-state all at 0.1\n"
+LOSE_STATE = "lose-state all at 0.1\n"
 ALL_KILLED = """
 kill 24 of 24 at 0
 discovery down for 2.4 s at 0
@@ -66,7 +66,7 @@
 
 
 CALM_S = 4.0  # before the first scene
-SCENES = (Scene("lost", LOSE + RETURN, 9.0), Scene("lone", SINGLE, 6.0), Scene("kept", RETURN, 7.0))
+SCENES = (Scene("lost", LOSE_STATE + RETURN, 9.0), Scene("lone", SINGLE, 6.0), Scene("kept", RETURN, 7.0))
 HARD_SCENES = (
     Scene("old", "old-state all at 0.1\n" + RETURN, 7.0),
     Scene("another's", "swap-state all at 0.1\n" + RETURN, 7.0),
