--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -17,7 +17,7 @@
 from statistics import median
 from typing import Any
 
-from rigs.comeback import CALM_S, CAPACITY, LOSE_STATE, RETURN, STATE, run_scene
+from rigs.comeback import CALM_S, CAPACITY, KILL_AND_RESTART, LOSE_STATE, STATE, run_scene
 from rigs.fleet import Fleet, Plan
 from rigs.stage import now, tracking_published_changes
 from standins.platform import TARGET_S
@@ -40,7 +40,9 @@
         if state_variant == "old":
             fleet.back_up_state()
         await asyncio.sleep(CALM_S - STATE_COPY_AFTER_S)
-        result = await run_scene(fleet, state_variant, fleet.draw(STATE_VARIANTS[state_variant] + RETURN))
+        result = await run_scene(
+            fleet, state_variant, fleet.draw(STATE_VARIANTS[state_variant] + KILL_AND_RESTART)
+        )
         await sending
         result.until = now() - TARGET_S
         await fleet.settle()
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -29,7 +29,7 @@
 ERROR_SHARE = 0.6  # share of errors in the answers of the failing server
 FAILING_S = 4.0  # the server fails from this long before the kill until all programs are ready
 
-RETURN = """
+KILL_AND_RESTART = """
 kill 20 of 24 at 0
 replace 3 of 12 at 0.15
 reuse 1 of 12 at 0.15
@@ -66,14 +66,18 @@
 
 
 CALM_S = 4.0  # before the first scene
-SCENES = (Scene("lost", LOSE_STATE + RETURN, 9.0), Scene("lone", SINGLE, 6.0), Scene("kept", RETURN, 7.0))
+SCENES = (
+    Scene("lost", LOSE_STATE + KILL_AND_RESTART, 9.0),
+    Scene("lone", SINGLE, 6.0),
+    Scene("kept", KILL_AND_RESTART, 7.0),
+)
 HARD_SCENES = (
-    Scene("old", "old-state all at 0.1\n" + RETURN, 7.0),
-    Scene("another's", "swap-state all at 0.1\n" + RETURN, 7.0),
-    Scene("spoilt", "spoil-state all at 0.1\n" + RETURN, 7.0),
+    Scene("old", "old-state all at 0.1\n" + KILL_AND_RESTART, 7.0),
+    Scene("another's", "swap-state all at 0.1\n" + KILL_AND_RESTART, 7.0),
+    Scene("spoilt", "spoil-state all at 0.1\n" + KILL_AND_RESTART, 7.0),
     Scene("all", ALL_KILLED, 12.0, MAX_FULL_SERVICE_EMPTY_S),
     Scene("again", REPEATED, 14.0),
-    Scene("rolling", RETURN + ROLLING_RESTARTS, 8.0),
+    Scene("rolling", KILL_AND_RESTART + ROLLING_RESTARTS, 8.0),
     Scene("stall", "stall 12 of 24 for 3 s at 0\n", 8.0),
 )
 HARD_SCENES_PER_RUN = 2
