--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -78,9 +78,9 @@
 
     The proxy that fails open sends to servers that neither crash nor drain.
     """
-    usual = Ways(gives_up=0.02, holds=0.01)
+    base = Ways(gives_up=0.02, holds=0.01)
     stable = tuple(f"127.0.0.1:{server.port}" for server in stage.servers[6:])
-    return [usual, usual, replace(usual, forges=0.3), replace(usual, fails_open=stable)]
+    return [base, base, replace(base, forges=0.3), replace(base, fails_open=stable)]
 
 
 async def _send_duplicate_ids(proxies: list[Proxy], length: float) -> None:
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -50,7 +50,7 @@
     killed_at: float = 0.0
     down: bool = False
     initial_list: dict[str, Any] = field(default_factory=dict)
-    state_lost: bool = False  # whether the state files were changed since the kill
+    state_lost: bool = False  # whether the state files were removed or changed since the kill
     state_loss_times: list[float] = field(default_factory=list)  # times of `record_state_loss`
     starts_s: list[float] = field(default_factory=list)  # duration of each start until ready
     lifecycle: asyncio.Lock = field(default_factory=asyncio.Lock)  # serializes kills and starts
@@ -158,11 +158,11 @@
         state_kept = self.plan.operator and not node.state_lost
         self.discovery.begins_anew(node.view, node.killed_at - STATE_SAVED_S if state_kept else float("-inf"))
         node.state_lost = False
-        began = now()
+        started_at = now()
         await node.program.start()
         node.down = False
         node.ready_at = now()
-        node.starts_s.append(node.ready_at - began)
+        node.starts_s.append(node.ready_at - started_at)
 
     async def close(self) -> list[int]:
         """Stop all programs and peers; returns the programs' exit codes."""
@@ -197,9 +197,9 @@
         """Inject the faults at their times; returns when the last has ended."""
         self.progress.say("schedule:\n" + format_schedule(schedule))
         started_at = now()
-        await asyncio.gather(*(self._at(started_at, fault) for fault in schedule))
+        await asyncio.gather(*(self._inject_at(started_at, fault) for fault in schedule))
 
-    async def _at(self, started_at: float, fault: Fault) -> None:
+    async def _inject_at(self, started_at: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, started_at + fault.at - now()))
         self.progress.say(str(fault))
         verb = fault.verb.replace("-", "_")
@@ -248,18 +248,18 @@
 
     async def do_old_state(self, name: str, fault: Fault) -> None:
         self.nodes[name].record_state_loss()
-        kept = self.nodes[name].program.state.parent / "kept"
-        if kept.is_dir():
-            shutil.copytree(kept, self.nodes[name].program.state, dirs_exist_ok=True)
+        backup = self.nodes[name].program.state.parent / "kept"
+        if backup.is_dir():
+            shutil.copytree(backup, self.nodes[name].program.state, dirs_exist_ok=True)
 
     def set_state_aside(self) -> None:
         """Copy the state files of every program for `old-state`, except files still being written."""
         for node in self.nodes.values():
-            kept = node.program.state.parent / "kept"
-            kept.mkdir(exist_ok=True)
+            backup = node.program.state.parent / "kept"
+            backup.mkdir(exist_ok=True)
             for file in node.program.state.glob("petrelspan-*"):
                 with contextlib.suppress(FileNotFoundError):  # renamed meanwhile
-                    shutil.copyfile(file, kept / file.name)
+                    shutil.copyfile(file, backup / file.name)
 
     async def do_swap_state(self, name: str, fault: Fault) -> None:
         """Replace the program's state files by those of the next program."""
@@ -428,8 +428,8 @@
 
 def overrun_s(times: list[float], capacity: float) -> float:
     """Longest backlog, in seconds of work, of calls at these times with `capacity` calls per second."""
-    backlog, last, worst = 0.0, 0.0, 0.0
+    backlog, last, longest = 0.0, 0.0, 0.0
     for at in sorted(times):
         backlog = max(0.0, backlog - (at - last)) + 1.0 / capacity
-        last, worst = at, max(worst, backlog)
-    return worst
+        last, longest = at, max(longest, backlog)
+    return longest
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -35,7 +35,7 @@
     def _length(self, seconds: float) -> float:
         return max(0.5, seconds * self.scale)
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         await asyncio.sleep(self._length(CALM_S))
         for act in (
             self.idle_clients,
@@ -87,17 +87,17 @@
 
     async def retry_storm(self) -> None:
         """half of the servers down for 2 s, with clients that retry immediately"""
-        storm = self.stage.application(
+        retrying = self.stage.application(
             "storm", Habits(rate=60.0, budget_s=1.0, retries=2, keys=400, most_lines=40)
         )
-        send_task = asyncio.create_task(storm.run(self._length(6.5)))
+        send_task = asyncio.create_task(retrying.run(self._length(6.5)))
         await asyncio.sleep(self._length(0.5))
         outage = self.stage.outage(self.stage.servers[: SERVERS // 2], 2.0)
         await asyncio.gather(outage, self._interrupt(1.0))
         ended = now()
         await send_task
         self._record_end("storm", ended)
-        await storm.settle()
+        await retrying.settle()
 
     async def rolling_release(self) -> None:
         """a rolling release of all servers; discovery is silent during the first half"""
@@ -148,7 +148,7 @@
     acts = Acts(stage, (seconds or DEFAULT_S) / DEFAULT_S)
     async with keeping_book(stage):
         send_task = asyncio.create_task(application.run(3600.0))
-        await acts.play()
+        await acts.run()
         send_task.cancel()
         await asyncio.gather(send_task, return_exceptions=True)
         await application.settle()
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -65,14 +65,14 @@
         )
 
 
-async def finished(report: Report, fleet: ClosableCluster, began: float, as_json: bool) -> bool:
+async def finished(report: Report, cluster: ClosableCluster, started_at: float, as_json: bool) -> bool:
     """Close the cluster and print the report; true where every rule and requirement was met."""
-    report.fields["seconds"] = round(time.monotonic() - began, 1)
-    codes = await fleet.close()
+    report.fields["seconds"] = round(time.monotonic() - started_at, 1)
+    codes = await cluster.close()
     if any(codes):
         report.unkept.append(f"programs exited with codes {codes}")
-    print_report(report, fleet.ledger, as_json)
-    return report.held(fleet.ledger)
+    print_report(report, cluster.ledger, as_json)
+    return report.held(cluster.ledger)
 
 
 def print_report(report: Report, ledger: Ledger, as_json: bool) -> None:
--- a/rigs/soak_judge.py
+++ b/rigs/soak_judge.py
@@ -16,7 +16,7 @@
 from standins.wire import Message
 
 MAX_ANSWER_DELAY_S = 0.5  # an answer later than this after the deadline breaks the rule `late`
-MAX_ARRIVAL_AFTER_CLOSE_S = 0.1  # an attempt that reaches a server later after its client's close is a fault
+MAX_ARRIVAL_AFTER_CLOSE_S = 0.1  # an attempt may reach a server up to this long after its client closed
 MAX_BUDGET_EXCESS_S = 0.15  # by which the budget sent to a server may exceed the client's remaining time
 LAG_SAMPLE_S = 0.02
 MAX_READY_S = 10.0
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -151,6 +151,7 @@
 
 @contextlib.asynccontextmanager
 async def keeping_book(stage: Stage, waits_s: float = 2.0) -> AsyncIterator[None]:
+    """Run `stage.watch` in the background."""
     task = asyncio.create_task(stage.watch(waits_s))
     try:
         yield
@@ -163,16 +164,17 @@
 def recovered_after(
     ledger: Ledger, cause_ended: float, aim_s: float, until: float, share: float = 0.9
 ) -> float:
-    """Seconds from the end of a cause until the share of first tries served in time stays at `share`.
+    """Seconds from the end of a cause until at least `share` of the first tries are served in time.
 
-    The share is taken over windows of 0.5 s; windows with fewer than 5 first tries are ignored.
+    The share must hold in every window of 0.5 s from there to `until`; windows with fewer than 5 first tries
+    are ignored.
     """
     width = 0.5
     last_bad = cause_ended
     start = cause_ended
     while start + width <= until:
-        good, tries = ledger.in_time(aim_s, start, start + width)
-        if tries >= 5 and good < share * tries:
+        in_time, tries = ledger.in_time(aim_s, start, start + width)
+        if tries >= 5 and in_time < share * tries:
             last_bad = start + width
         start += width
     return last_bad - cause_ended
@@ -188,15 +190,15 @@
 A = TypeVar("A", bound=Timed)
 
 
-def fitting(acts: Sequence[A], calm_s: float, seconds: float | None, least_s: float) -> list[A]:
+def fitting(acts: Sequence[A], calm_s: float, seconds: float | None, min_s: float) -> list[A]:
     """Select the acts that fit into `seconds`; all of them where it is None.
 
-    The first act is always included and lasts at least `least_s`.
+    The first act is always included and lasts at least `min_s`.
     """
     if seconds is None:
         return list(acts)
     first: Any = acts[0]
-    length = max(least_s, min(first.seconds, seconds - calm_s))
+    length = max(min_s, min(first.seconds, seconds - calm_s))
     chosen: list[A] = [replace(first, seconds=length)]
     length += calm_s
     for act in acts[1:]:
