--- a/benchmarks/external_processor.py
+++ b/benchmarks/external_processor.py
@@ -182,7 +182,7 @@
 async def hold(proxy: Proxy, pid: int, streams: int) -> None:
     """Hold `streams` streams open at the same time, each with a decision and without an outcome."""
     memory_before, began_at = memory_mb(pid), time.perf_counter()
-    calls = [proxy.ask() for _ in range(streams)]
+    calls = [proxy.open_stream() for _ in range(streams)]
     headers = [proxy._headers(f"h{number}", "k", 30.0) for number in range(streams)]
     decisions = await asyncio.gather(
         *(
--- a/benchmarks/sidecar_cpu.py
+++ b/benchmarks/sidecar_cpu.py
@@ -59,7 +59,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in numbers:
             call_id = f"{name}{number}"
-            ledger.sends(call_id, call_id, 0.0, 3.0, True)
+            ledger.record_sent(call_id, call_id, 0.0, 3.0, True)
             headers = {
                 "Host": "t",
                 "X-Call-Id": call_id,
--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -104,7 +104,7 @@
             work_s=work_s,
             ramp_s=RAMP_S,
             operator="-",
-            told_size=told_size,
+            configured_fleet_size=told_size,
         )
         super().__init__(seed, plan, table())
 
@@ -112,8 +112,8 @@
         """Return when each retry ran at a server and which sidecar sent it."""
         retries_found = []
         for sent in self.ledger.sent.values():
-            runs = self.ledger.ran.get(sent.id, ())
-            retries_found += [(run.at, sent.via) for run in (runs if not sent.first_try else runs[1:])]
+            runs = self.ledger.executions.get(sent.id, ())
+            retries_found += [(run.at, sent.program) for run in (runs if not sent.first_try else runs[1:])]
         return sorted(retries_found)
 
     def first_tries(self) -> list[float]:
@@ -123,7 +123,11 @@
         """Return by server the times of the connections opened to it while it was cold."""
         dials_by_server = {}
         for server in self.all_servers:
-            lives = [life for life in self.ledger.lives if life.server == server.name and life.ramp_s > 0.0]
+            lives = [
+                life
+                for life in self.ledger.server_lifetimes
+                if life.server == server.name and life.ramp_s > 0.0
+            ]
             times = [at for node in self.nodes.values() for at in node.links[str(server.port)].dial_times]
             cold = [
                 at for at in times if any(0.0 <= at - life.cold_from < life.ramp_s - 0.5 for life in lives)
@@ -174,7 +178,7 @@
     since = now()
     names = list(stage.nodes)
     schedule = stage.draw(act.schedule)
-    cut_members = next((fault.who for fault in schedule if fault.verb in ("part", "deafen")), ())
+    cut_members = next((fault.targets for fault in schedule if fault.verb in ("part", "deafen")), ())
     members = {"one": names[:1], "another": names[-1:], "side": list(cut_members)}.get(act.where, names)
     if act.halve_budget:
         stage.retable(names[::2], table(PER_S / 2))
@@ -220,18 +224,20 @@
         "acts": measurements,
     }
     if overspent_by > 0.0:
-        report.unkept.append(f"{overspent_by:.1f} retries more than the budget allows in some time span")
-    report.unkept += [
+        report.violations.append(f"{overspent_by:.1f} retries more than the budget allows in some time span")
+    report.violations += [
         f"{name} got {one:.1f} connections more than the cold-dial budget allows"
         for name, one in dials_over.items()
         if one > 0.0
     ]
     if measurements["all"]["unused_share"] > MAX_UNUSED_SHARE:
-        report.unkept.append(
+        report.violations.append(
             f"{measurements['all']['unused_share']:g} of the rights were unused while retries were refused"
         )
     if shifts and max(shifts) > MAX_TO_NEED_S:
-        report.unkept.append(f"rights followed the storm after {max(shifts):g} s, limit {MAX_TO_NEED_S:g} s")
+        report.violations.append(
+            f"rights followed the storm after {max(shifts):g} s, limit {MAX_TO_NEED_S:g} s"
+        )
 
 
 def measure_act(played: PlayedAct, repeats: list[tuple[float, str]]) -> dict[str, Any]:
--- a/rigs/comeback.py
+++ b/rigs/comeback.py
@@ -115,7 +115,7 @@
         ledger, ready = fleet.ledger, self.ready_at
         in_time, tries = ledger.in_time(TARGET_S, ready, ready + 1.0)
         feasible = min(tries, fleet.server_capacity(ready, ready + 1.0))
-        calls = [at for at in fleet.discovery.worked_times if self.killed_at <= at < self.until]
+        calls = [at for at in fleet.discovery.capacity_call_times if self.killed_at <= at < self.until]
         return {
             "full_service_s": recovered_after(ledger, ready, TARGET_S, self.until, FULL_SHARE),
             "first_second_share": round(in_time / max(1.0, feasible), 3),
@@ -132,7 +132,12 @@
 
     def failing_share(self, fleet: Fleet, since: float, until: float) -> float:
         """Requests of the failing server between two times, relative to an even share."""
-        runs = [run for attempts in fleet.ledger.ran.values() for run in attempts if since <= run.at < until]
+        runs = [
+            run
+            for attempts in fleet.ledger.executions.values()
+            for run in attempts
+            if since <= run.at < until
+        ]
         at_failing = sum(run.server == self.failing for run in runs)
         return round(at_failing / max(1.0, len(runs) / len(fleet.servers)), 3)
 
@@ -179,7 +184,7 @@
 async def start_errors(fleet: Fleet, schedule: list[Fault], until: float) -> str:
     """`FAILING_S` before `until`, make a server that is not replaced return errors; returns its name."""
     await asyncio.sleep(max(0.0, until - FAILING_S - now()))
-    replaced = {name for fault in schedule if fault.verb in SERVER_VERBS for name in fault.who}
+    replaced = {name for fault in schedule if fault.verb in SERVER_VERBS for name in fault.targets}
     server = next(one for one in fleet.servers if one.name not in replaced)
     server.error_rate = ERROR_SHARE
     return server.name
@@ -212,7 +217,7 @@
         )
     two_racks, excused = fleet.repeats_in_two_racks()
     report.fields |= {
-        "stale_sends": len(fleet.ledger.late_sends),
+        "stale_sends": len(fleet.ledger.late_arrivals),
         "repeats_in_two_racks": two_racks,
         "repeats_that_nobody_could_know": excused,
         "state_loads": fleet.count_log_lines("state: "),
--- a/rigs/connections.py
+++ b/rigs/connections.py
@@ -147,22 +147,22 @@
     chosen = rng.sample(servers, 9)
     await asyncio.sleep(1.0 * unit)
     stage.progress.log("one server drops idle connections silently, two close theirs early")
-    chosen[0].drops_idle_s = IDLE_DROP_S
-    chosen[1].idle_close_s = 0.3
-    chosen[2].resets_kept = 0.05
+    chosen[0].silent_drop_after_idle_s = IDLE_DROP_S
+    chosen[1].close_after_idle_s = 0.3
+    chosen[2].reset_share_of_reused = 0.05
     await asyncio.sleep(2.0 * unit)
     stage.progress.log("three servers crash and restart cold")
     await stage.outage(list(chosen[3:6]), 0.8 * unit)
     half.returned_at = now()
     await asyncio.sleep(1.5 * unit)
     stage.progress.log("one server is at its connection cap, one closes after each answer")
-    chosen[6].cap = max(2, len(chosen[6].writers))
-    chosen[7].closes_after = True
+    chosen[6].max_connections = max(2, len(chosen[6].writers))
+    chosen[7].closes_after_answer = True
     await asyncio.sleep(1.0 * unit)
     stage.progress.log("one server is drained and replaced; then all drop idle connections silently")
     await stage.replace(chosen[8])
     for server in servers:
-        server.drops_idle_s = IDLE_DROP_S
+        server.silent_drop_after_idle_s = IDLE_DROP_S
 
 
 def _judge(report: Report, on: Half, off: Half, started_at: float) -> None:
@@ -197,32 +197,32 @@
         "seconds": round(now() - started_at, 1),
     }
     if peak > bound:
-        report.unkept.append(
+        report.violations.append(
             f"{peak} connections were opened to one server in one second, {bound:g} are allowed"
         )
     if lost:
-        report.unkept.append(f"requests were lost on stale connections: {lost[:5]}")
+        report.violations.append(f"requests were lost on stale connections: {lost[:5]}")
     if on.code:
-        report.unkept.append(f"a program exited with code {on.code}")
+        report.violations.append(f"a program exited with code {on.code}")
     tally = ledger.tally()
     if tally["served"] < MIN_SERVED_SHARE * tally["sent"]:
-        report.unkept.append(f"only {tally['served']} of {tally['sent']} requests were served")
+        report.violations.append(f"only {tally['served']} of {tally['sent']} requests were served")
 
 
 def _peak_opens(half: Half) -> int:
     """Maximum number of connections opened to one server within any second of the run."""
     all_servers: list[FaultyServer] = half.stage.all_servers  # type: ignore[attr-defined]
-    return max(server.opens_peak(0.0, time.monotonic()) for server in all_servers)
+    return max(server.max_opens_per_s(0.0, time.monotonic()) for server in all_servers)
 
 
 def _opens(half: Half) -> int:
     all_servers: list[FaultyServer] = half.stage.all_servers  # type: ignore[attr-defined]
-    return sum(len(server.book) for server in all_servers)
+    return sum(len(server.connection_log) for server in all_servers)
 
 
 def _stale_hits(half: Half) -> int:
     all_servers: list[FaultyServer] = half.stage.all_servers  # type: ignore[attr-defined]
-    return sum(len(server.swallowed) for server in all_servers)
+    return sum(len(server.requests_on_dead_connections) for server in all_servers)
 
 
 def _lost_to_stale(half: Half) -> list[str]:
@@ -231,7 +231,7 @@
     stale_hits: dict[str, list[str]] = {}
     sent = half.stage.ledger.sent
     for server in all_servers:
-        for call_id, at in server.swallowed:
+        for call_id, at in server.requests_on_dead_connections:
             if call_id in sent:
                 stale_hits.setdefault(call_id, []).append(f"{server.name} at {at - sent[call_id].at:.2f}")
     lost = [sent[call_id] for call_id in stale_hits if sent[call_id].final in (None, "failed")]
@@ -245,8 +245,12 @@
     """Count servers that dropped idle connections silently and got no request on one in the last second."""
     all_servers: list[FaultyServer] = half.stage.all_servers  # type: ignore[attr-defined]
     end = max((request.final_at for request in half.stage.ledger.sent.values()), default=0.0)
-    dropping = [server for server in all_servers if server.drops_idle_s and server.swallowed]
-    return len([1 for server in dropping if server.swallowed[-1][1] < end - 1.0])
+    dropping = [
+        server
+        for server in all_servers
+        if server.silent_drop_after_idle_s and server.requests_on_dead_connections
+    ]
+    return len([1 for server in dropping if server.requests_on_dead_connections[-1][1] < end - 1.0])
 
 
 def _results(half: Half) -> dict[str, Any]:
--- a/rigs/demo.py
+++ b/rigs/demo.py
@@ -37,7 +37,7 @@
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
         "attempts": stage.ledger.counts["attempts"],
-        "connections_to_servers": sum(server.opened for server in stage.servers),
+        "connections_to_servers": sum(server.accepted_connections for server in stage.servers),
         "discovery_calls": stage.discovery.calls,
         "seconds": round(now() - started_at, 1),
     }
--- a/rigs/demo_external_processor.py
+++ b/rigs/demo_external_processor.py
@@ -38,7 +38,7 @@
         for proxy in proxies:
             await proxy.close()
         in_time, tries = stage.ledger.in_time(TARGET_S)
-        latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
+        latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decision_times_s) or [0.0]
         report.fields = {
             "first_try_in_time": round(in_time / max(1, tries), 4),
             "decisions": len(latencies_s),
--- a/rigs/ephemeral.py
+++ b/rigs/ephemeral.py
@@ -70,7 +70,7 @@
 
     def _record_end(self, name: str, at: float) -> None:
         if name not in self.sessions:  # not registered again since
-            self.stage.ledger.told_end(name, at)
+            self.stage.ledger.record_end_delivered(name, at)
 
     # Servers
 
@@ -80,7 +80,7 @@
         session.last_request_at += 3600.0  # keeps the session alive without simulated pings
         record = server.member()
         del record["up_since_ms"]  # without proof of uptime the sidecar has to treat the server as cold
-        self.stage.ledger.told_up(server.name)
+        self.stage.ledger.record_serving_delivered(server.name)
         self.ensemble.create_node(f"{ROOT}/{server.name}", json.dumps(record).encode(), session)
 
     def expire_sessions(self, servers: list[CheckServer]) -> None:
@@ -97,7 +97,7 @@
         The sidecar has to treat them as cold, because nothing proves that they kept running.
         """
         for server in servers:
-            self.stage.ledger.lives.append(self._new_life(server))
+            self.stage.ledger.server_lifetimes.append(self._new_life(server))
             self.register(server)
             self.returned_cold += 1
 
@@ -223,7 +223,9 @@
 async def _stop_serving_host(scenario: EnsembleScenario, servers: list[CheckServer], scale: float) -> None:
     """Stop the host that serves the sidecar, while the other hosts still send events."""
     ensemble = scenario.ensemble
-    serving_hosts = [host for host in ensemble.hosts if any(connection.session for connection in host.lines)]
+    serving_hosts = [
+        host for host in ensemble.hosts if any(connection.session for connection in host.connections)
+    ]
     began_at = now()
     for host in serving_hosts:
         host.stop()
@@ -273,13 +275,13 @@
         "sessions_killed": scenario.sessions_killed,
         "vanished": scenario.nodes_vanished,
         "returned_cold": scenario.returned_cold,
-        "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
+        "latest_send_ms": round(ledger.max_arrival_delay_s * 1000, 1),
         "own_session_lost": scenario.own_sessions_lost,
         "registry_cut_s": round(scenario.registry_cut_s, 2),
-        "registry_connects": sum(len(host.connects) for host in scenario.ensemble.hosts),
+        "registry_connects": sum(len(host.connect_times) for host in scenario.ensemble.hosts),
         "attempts": ledger.counts["attempts"],
         "seconds": round(now() - began_at, 1),
     }
     tally = ledger.tally()
     if tally["served"] < MIN_SERVED_SHARE * tally["sent"]:
-        report.unkept.append(f"only {tally['served']} of {tally['sent']} requests were served")
+        report.violations.append(f"only {tally['served']} of {tally['sent']} requests were served")
--- a/rigs/external_processor.py
+++ b/rigs/external_processor.py
@@ -78,9 +78,9 @@
 
     The proxy that fails open sends to servers that neither crash nor drain.
     """
-    base = ProxySettings(gives_up=0.02, holds=0.01)
+    base = ProxySettings(disconnect_share=0.02, hold_share=0.01)
     stable = tuple(f"127.0.0.1:{server.port}" for server in stage.servers[6:])
-    return [base, base, replace(base, forges=0.3), replace(base, fails_open=stable)]
+    return [base, base, replace(base, forge_share=0.3), replace(base, fail_open_addresses=stable)]
 
 
 async def _send_duplicate_ids(proxies: list[Proxy], length: float) -> None:
@@ -89,7 +89,7 @@
     for number in range(10):
         await asyncio.sleep(length / 12)
         headers = proxies[0]._headers(f"twin-{number}", "k", 2.0)
-        calls = [proxy.ask() for proxy in proxies[:2]]
+        calls = [proxy.open_stream() for proxy in proxies[:2]]
         decisions = await asyncio.gather(*(item.decide(headers, 1.0) for item in calls))
         decided = [item for item in decisions if item is not None and item.address]
         ledger.counts["twins_decided_twice"] += len(decided) > 1
@@ -122,7 +122,7 @@
 def _judge(report: Report, stage: Stage, proxies: list[Proxy], started_at: float) -> None:
     ledger = stage.ledger
     in_time, tries = ledger.in_time(TARGET_S)
-    latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decided_s) or [0.0]
+    latencies_s = sorted(latency_s for proxy in proxies for latency_s in proxy.decision_times_s) or [0.0]
     report.fields = {
         "first_try_in_time": round(in_time / max(1, tries), 4),
         "tokens_checked": sum(sum(proxy.tokens.values()) for proxy in proxies),
@@ -132,8 +132,8 @@
             for outcome, count in proxy.tokens.items()
             if outcome.startswith("rejected")
         ),
-        "sent_without_decision": sum(proxy.opened for proxy in proxies),
-        "stale_decisions": sum(proxy.stale for proxy in proxies),
+        "sent_without_decision": sum(proxy.sent_without_decision for proxy in proxies),
+        "stale_decisions": sum(proxy.expired_decisions for proxy in proxies),
         "decision_ms_p50": round(latencies_s[len(latencies_s) // 2] * 1000, 2),
         "decision_ms_p99": round(latencies_s[int(len(latencies_s) * 0.99)] * 1000, 2),
         "twins": ledger.counts["twins"],
--- a/rigs/fleet.py
+++ b/rigs/fleet.py
@@ -104,12 +104,12 @@
         await self.open_peers()
         for node in self.nodes.values():
             node.links["d"] = await Link(f"{node.name}-d", node.view.port).open()
-            node.program.told["discovery"] = f"127.0.0.1:{node.links['d'].port}"
+            node.program.configuration["discovery"] = f"127.0.0.1:{node.links['d'].port}"
         for server in self.servers:
             await self._connect(server)
         self.discovery.publish(server.member() for server in self.servers)
         for node in self.nodes.values():
-            node.view.known_at.clear()
+            node.view.pending_since.clear()
             node.initial_list = self.discovery.snapshot(node.view)
         await self.meet()
         first = list(self.nodes.values())[: self.plan.programs - self.plan.late_starters]
@@ -131,7 +131,7 @@
         habits = ApplicationSettings(
             rate=plan.rate / plan.programs,
             retries=plan.retries,
-            honours=self.rng.random() < plan.honours,
+            respects_retry_after=self.rng.random() < plan.honours,
         )
         rng = random.Random(self.rng.getrandbits(32))
         allowance = ConnectionAllowance(self.sockets // 3)
@@ -151,10 +151,10 @@
 
     def _disconnect(self, server: CheckServer) -> None:
         for node in self.nodes.values():
-            node.links[str(server.port)].shut()
+            node.links[str(server.port)].stop_listening()
 
     async def _start(self, node: Node) -> None:
-        node.program.told["known"] = node.initial_list
+        node.program.configuration["known"] = node.initial_list
         state_kept = self.plan.operator and not node.state_lost
         self.discovery.program_restarted(
             node.view, node.killed_at - STATE_SAVED_S if state_kept else float("-inf")
@@ -211,7 +211,9 @@
             await getattr(self, f"do_{verb}")(fault)
         else:
             targets = (
-                fault.who if fault.who != ("all",) else [n for n, node in self.nodes.items() if node.down]
+                fault.targets
+                if fault.targets != ("all",)
+                else [n for n, node in self.nodes.items() if node.down]
             )
             await asyncio.gather(*(getattr(self, f"do_{verb}")(target, fault) for target in targets))
 
@@ -223,8 +225,8 @@
             node.down, node.killed_at = True, now()
             node.initial_list = self.discovery.snapshot(node.view)
             for sent in self.ledger.sent.values():
-                if sent.via == name and sent.final is None and sent.written:
-                    sent.gone = True  # the killed process held the request
+                if sent.program == name and sent.final is None and sent.written:
+                    sent.abandoned = True  # the killed process held the request
             await node.program.kill()
 
     async def do_start(self, name: str, fault: Fault) -> None:
@@ -271,7 +273,7 @@
         self.nodes[name].record_state_loss()
         self._change_state_files(name, lambda file: os.unlink(file))
         for file in other.state.iterdir():
-            own_name = file.name.replace(f"-{other.told['name']}", f"-{name}", 1)
+            own_name = file.name.replace(f"-{other.configuration['name']}", f"-{name}", 1)
             shutil.copyfile(file, own / own_name)
 
     async def do_spoil_state(self, name: str, fault: Fault) -> None:
@@ -307,7 +309,7 @@
         return [(node.links[key], ways)] if key in node.links else []
 
     async def _apply_link_fault(self, fault: Fault) -> None:
-        affected = [pair for words in fault.who for pair in self.links_of(words)]
+        affected = [pair for words in fault.targets for pair in self.links_of(words)]
         for link, ways in affected:
             if fault.verb == "cut":
                 link.cut()
@@ -371,20 +373,20 @@
     # Discovery
 
     async def do_discovery(self, fault: Fault) -> None:
-        await self.discovery.become(DiscoveryFault[fault.who[0].upper()])
+        await self.discovery.set_fault(DiscoveryFault[fault.targets[0].upper()])
         if fault.for_s:
             await asyncio.sleep(fault.for_s)
-            await self.discovery.become(DiscoveryFault.GOOD)
+            await self.discovery.set_fault(DiscoveryFault.GOOD)
 
     async def do_capacity(self, fault: Fault) -> None:
-        self.discovery.capacity = float(fault.who[0])
+        self.discovery.capacity = float(fault.targets[0])
 
     # Figures
 
     def server_capacity(self, since: float, until: float) -> float:
         """Number of requests that the servers can handle between two times, given their slow start."""
         return sum(
-            self.ledger.able(server.life, since, until) / server.work_s
+            self.ledger.capacity_between_s(server.life, since, until) / server.work_s
             for server in self.servers
             if server.life is not None
         )
@@ -404,10 +406,10 @@
             by_key.setdefault(sent.key, []).append(sent)
         avoidable = unavoidable = 0
         for tries in by_key.values():
-            cells = {run.cell for sent in tries for run in self.ledger.ran.get(sent.id, ())}
+            cells = {run.cell for sent in tries for run in self.ledger.executions.get(sent.id, ())}
             if len(cells) > 1:
                 first, last = min(sent.at for sent in tries), max(sent.at for sent in tries)
-                losses = [at for sent in tries for at in self.nodes[sent.via].state_loss_times]
+                losses = [at for sent in tries for at in self.nodes[sent.program].state_loss_times]
                 excused = any(first <= at <= last for at in losses)
                 unavoidable += excused
                 avoidable += not excused
--- a/rigs/limits.py
+++ b/rigs/limits.py
@@ -66,7 +66,7 @@
         """clients that send one request and stay connected, close to the connection limit"""
         guests = self.stage.guests("stay")
         seconds = self._length(4.0)
-        await asyncio.gather(guests.ask_once_and_stay(60.0, seconds), self._interrupt(seconds / 2))
+        await asyncio.gather(guests.send_once_and_hold(60.0, seconds), self._interrupt(seconds / 2))
         await guests.settle()
 
     async def silent_clients(self) -> None:
@@ -81,14 +81,17 @@
             await self.stage.program.restart()
 
         await asyncio.gather(
-            silent_guests.say_nothing(31, seconds), guests.ask_once_and_stay(40.0, seconds), restart()
+            silent_guests.hold_silent_connections(31, seconds),
+            guests.send_once_and_hold(40.0, seconds),
+            restart(),
         )
         await guests.settle()
 
     async def retry_storm(self) -> None:
         """half of the servers down for 2 s, with clients that retry immediately"""
         retrying = self.stage.application(
-            "storm", ApplicationSettings(rate=60.0, budget_s=1.0, retries=2, keys=400, most_lines=40)
+            "storm",
+            ApplicationSettings(rate=60.0, budget_s=1.0, retries=2, keys=400, max_idle_connections=40),
         )
         send_task = asyncio.create_task(retrying.run(self._length(6.5)))
         await asyncio.sleep(self._length(0.5))
@@ -103,12 +106,12 @@
         """a rolling release of all servers; discovery is silent during the first half"""
         discovery = self.stage.discovery
         old_servers = list(self.stage.servers)
-        await discovery.become(DiscoveryFault.SILENT)
+        await discovery.set_fault(DiscoveryFault.SILENT)
         for number, server in enumerate(old_servers[: SERVERS // 2]):
             if number == 1:
                 await self._interrupt(0.0)
             await self.stage.replace(server)
-        await discovery.become(DiscoveryFault.GOOD)
+        await discovery.set_fault(DiscoveryFault.GOOD)
         ended = now()
         for server in old_servers[SERVERS // 2 :]:
             await self.stage.replace(server)
@@ -120,10 +123,10 @@
         assert self.stage.program is not None
         discovery = self.stage.discovery
         for mood in (DiscoveryFault.SILENT, DiscoveryFault.BEHIND, DiscoveryFault.SLOW):
-            await discovery.become(mood)
+            await discovery.set_fault(mood)
             self.stage.program.reload()
             await asyncio.sleep(self._length(1.2))
-        await discovery.become(DiscoveryFault.GOOD)
+        await discovery.set_fault(DiscoveryFault.GOOD)
         await asyncio.sleep(self._length(0.5))
 
     async def process_pause(self) -> None:
@@ -144,7 +147,9 @@
     report = Report("limits", seed)
     await stage.up()
     started_at = now()
-    application = stage.application("usual", ApplicationSettings(rate=RATE, retries=2, most_lines=30))
+    application = stage.application(
+        "usual", ApplicationSettings(rate=RATE, retries=2, max_idle_connections=30)
+    )
     acts = Acts(stage, (seconds or DEFAULT_S) / DEFAULT_S)
     async with tracking_published_changes(stage):
         send_task = asyncio.create_task(application.run(3600.0))
--- a/rigs/peers_fleet.py
+++ b/rigs/peers_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of sidecars that are peers: a datagram link between any two of them, under one `Weather`."""
+"""A fleet of sidecars that are peers: a datagram link between any two of them, under one `NetworkConditions`."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
                     self.mesh[name, other] = await link.open()
         for name in names:
             node = self.nodes[name]
-            operator_path = Path(node.program.folder.name) / "operator.toml"
+            operator_path = Path(node.program.temporary_folder.name) / "operator.toml"
             operator_path.write_text(self.operator_of(name))
             node.program.environment["NODE_OPERATOR"] = str(operator_path)
 
@@ -92,7 +92,7 @@
     ) -> None:
         """Send a tenant's requests to each of these sidecars, without client retries.
 
-        `rate` is requests a second at each sidecar; `habits` are fields of `Habits`.
+        `rate` is requests a second at each sidecar; `habits` are fields of `ApplicationSettings`.
         """
         applications = [self._application(name, tenant, habits) for name in names]
         for application in applications:
@@ -127,16 +127,16 @@
         self.weather.cut -= newly_cut
 
     async def do_part(self, fault: Fault) -> None:
-        pairs = self._crossing_pairs(fault.who)
+        pairs = self._crossing_pairs(fault.targets)
         await self._interrupt(pairs + [(other, member) for member, other in pairs], fault.for_s)
 
     async def do_deafen(self, fault: Fault) -> None:
         await self._interrupt(
-            [(other, member) for member, other in self._crossing_pairs(fault.who)], fault.for_s
+            [(other, member) for member, other in self._crossing_pairs(fault.targets)], fault.for_s
         )
 
     async def do_weather(self, fault: Fault) -> None:
-        parameters, weather = parse_weather(fault.who), self.weather
+        parameters, weather = parse_weather(fault.targets), self.weather
         weather.loss, weather.repeat = parameters.get("loss", 0.0), parameters.get("repeat", 0.0)
         weather.delay_s, weather.jitter_s = parameters.get("delay", 0.0), parameters.get("jitter", 0.0)
         await asyncio.sleep(fault.for_s)
--- a/rigs/registry.py
+++ b/rigs/registry.py
@@ -253,9 +253,9 @@
         """Record that an answer about `names` (None: all servers) was written to the sidecar."""
         self.answers_written += 1
         for name in self.ended_names if names is None else names & self.ended_names:
-            self.stage.ledger.told_end(name, at)
+            self.stage.ledger.record_end_delivered(name, at)
         for pending, since in self.pending_ends:
-            if pending and all(("", name) in self.stage.ledger.ended_at for name in pending):
+            if pending and all(("", name) in self.stage.ledger.end_delivered_at for name in pending):
                 self.catch_up_s = max(self.catch_up_s, at - since)
                 pending.clear()
 
@@ -264,7 +264,7 @@
             self.ended_names.discard(server.name)
             if self.ended_in_gap is not None:
                 self.ended_in_gap.discard(server.name)
-            self.stage.ledger.told_up(server.name)
+            self.stage.ledger.record_serving_delivered(server.name)
         await self.registry.put(servers)
 
     async def end(self, servers: list[CheckServer], drains: bool = False) -> None:
@@ -281,7 +281,7 @@
         await self.registry.remove([server])
         life = ServerLifetime(server.name, now(), server.ramp_s, server.cores)
         server.life = life
-        self.stage.ledger.lives.append(life)
+        self.stage.ledger.server_lifetimes.append(life)
         await self.registry.put([server])
 
     async def open_gap(self) -> None:
@@ -308,7 +308,7 @@
         self.missed_removals += len(names)
 
     def fields(self) -> dict[str, Any]:
-        late_sends = self.stage.ledger.late_sends
+        late_sends = self.stage.ledger.late_arrivals
         own_sends = [(name, after) for _, name, after in late_sends if name.startswith(self.stage.prefix)]
         resurrected = {name for name, after in own_sends if after > RESURRECTED_AFTER_S}
         return {
@@ -452,7 +452,7 @@
     for server in all_servers:
         life = ServerLifetime(server.name, now(), server.ramp_s, server.cores)
         server.life = life
-        stage.ledger.lives.append(life)
+        stage.ledger.server_lifetimes.append(life)
     await scenario.up(all_servers)
 
 
@@ -468,7 +468,7 @@
     in_time, first_tries = ledger.in_time(TARGET_S)
     report.fields = {
         "first_try_in_time": round(in_time / max(1, first_tries), 4),
-        "latest_send_ms": round(ledger.latest_send_s * 1000, 1),
+        "latest_send_ms": round(ledger.max_arrival_delay_s * 1000, 1),
         "attempts": ledger.counts["attempts"],
         "seconds": round(now() - began_at, 1),
     }
@@ -480,14 +480,14 @@
             "compactions": MIN_COMPACTIONS,
             "removals_in_gaps": MIN_REMOVALS_IN_GAPS,
         }
-        report.unkept += [
+        report.violations += [
             f"{name}: {field} is {figures[field]}, expected at least {minimum}"
             for field, minimum in minimums.items()
             if figures[field] < minimum
         ]
-        report.unkept += [
+        report.violations += [
             f"{name}: {field}" for field in ("removals_missed", "resurrected") if figures[field]
         ]
     tally = ledger.tally()
     if tally["served"] < MIN_SERVED_SHARE * tally["sent"]:
-        report.unkept.append(f"only {tally['served']} of {tally['sent']} requests were served")
+        report.violations.append(f"only {tally['served']} of {tally['sent']} requests were served")
--- a/rigs/report.py
+++ b/rigs/report.py
@@ -34,16 +34,16 @@
             "rig": self.name,
             "seed": self.seed,
             **ledger.tally(),
-            "broken": asdict(ledger.broken()),
+            "broken": asdict(ledger.violations()),
             **self.fields,
-            "examples": (ledger.lost()[:3], ledger.twice()[:3], ledger.late_sends[:3]),
+            "examples": (ledger.lost()[:3], ledger.twice()[:3], ledger.late_arrivals[:3]),
             "unkept": self.violations,
         }
 
     def passed(self, ledger: Ledger) -> bool:
         """Whether requests were sent and every rule and requirement was met."""
         tally = ledger.tally()
-        violations = ledger.broken().total() + tally["missing"] + tally["doubled"] + len(self.violations)
+        violations = ledger.violations().total() + tally["missing"] + tally["doubled"] + len(self.violations)
         return tally["sent"] > 0 and not violations
 
 
--- a/rigs/schedule.py
+++ b/rigs/schedule.py
@@ -111,7 +111,7 @@
     resolved = []
     removed: set[str] = set()  # servers that earlier faults of this schedule remove
     for fault in schedule:
-        fraction = FRACTION_PATTERN.fullmatch(" ".join(fault.who))
+        fraction = FRACTION_PATTERN.fullmatch(" ".join(fault.targets))
         if fraction is not None:
             names = parties["s" if fault.verb in SERVER_VERBS else "n"]
             candidates = [name for name in names if name not in removed]
@@ -119,7 +119,7 @@
             chosen = sorted(rng.sample(candidates, count), key=lambda name: int(name[1:]))
             if fault.verb in ("replace", "reuse", "drain"):
                 removed.update(chosen)
-            fault = replace(fault, who=tuple(chosen))
+            fault = replace(fault, targets=tuple(chosen))
         resolved.append(fault)
     return sorted(resolved, key=lambda fault: fault.at)
 
--- a/rigs/soak.py
+++ b/rigs/soak.py
@@ -122,7 +122,7 @@
         async with tracking_published_changes(stage):
             self._start_task(load.run())
             if self.plan.crowd:
-                self._start_task(stage.guests("crowd").say_nothing(CROWD_CONNECTIONS, RUN_S))
+                self._start_task(stage.guests("crowd").hold_silent_connections(CROWD_CONNECTIONS, RUN_S))
             await self._inject_faults()
             await self._shut_down(program, load)
             await self._restart(program, load)
@@ -205,24 +205,24 @@
 async def _slow(stage: Stage) -> None:
     """Two servers are six times slower, and one of them fails every second request, so retries start late."""
     slow, failing = stage.rng.sample(stage.servers, 2)
-    slow.slow = failing.slow = 6.0
+    slow.work_factor = failing.work_factor = 6.0
     failing.error_rate = 0.5
 
 
 async def _discovery_down(stage: Stage) -> None:
     """Discovery refuses all connections for 1.5 s; a server drains meanwhile."""
-    await stage.discovery.become(DiscoveryFault.DOWN)
+    await stage.discovery.set_fault(DiscoveryFault.DOWN)
     await asyncio.sleep(0.5)
     await _drain(stage)
     await asyncio.sleep(1.0)
     _mark_known_now(stage)
-    await stage.discovery.become(DiscoveryFault.GOOD)
+    await stage.discovery.set_fault(DiscoveryFault.GOOD)
 
 
 async def _discovery_turns_away(stage: Stage) -> None:
     """Discovery is overloaded for 2 s and rejects calls; a server drains meanwhile."""
-    stage.discovery.capacity, stage.discovery.patience_s = 0.5, 0.3
-    stage.discovery.free_at = time.monotonic() + 2.0
+    stage.discovery.capacity, stage.discovery.max_queue_wait_s = 0.5, 0.3
+    stage.discovery.next_capacity_at = time.monotonic() + 2.0
     stage.discovery.forget_watches()
     await _drain(stage)
     await asyncio.sleep(2.0)
--- a/rigs/soak_callers.py
+++ b/rigs/soak_callers.py
@@ -70,7 +70,9 @@
         budget_s = self.deadlines_s[class_name] * self.rng.uniform(0.6, 1.0)
         key = f"k-{call_id}" if class_name == "keyed" else ""
         payload = self._encode(class_name, call_id, key, budget_s)
-        sent = self.judge.ledger.sends(call_id, key, time.monotonic(), int(budget_s * 1000) / 1000, True)
+        sent = self.judge.ledger.record_sent(
+            call_id, key, time.monotonic(), int(budget_s * 1000) / 1000, True
+        )
         for _ in range(MAX_SENDS):
             line, reused = await self._connection()
             if line is None:
@@ -79,7 +81,7 @@
             if not (reused and ended_unanswered):
                 return
             self.judge.closed_unread.add(call_id)
-        sent.gone = True
+        sent.abandoned = True
 
     @staticmethod
     def _encode(class_name: str, call_id: str, key: str, budget_s: float) -> bytes:
@@ -119,7 +121,7 @@
         except TimeoutError:
             line.close()
             if abandons:
-                sent.gone = True
+                sent.abandoned = True
                 self.judge.client_closed_at[sent.id] = time.monotonic()
             return False
         except (OSError, WireError, asyncio.IncompleteReadError):
@@ -153,4 +155,4 @@
             final, mark = "served", body_mark if call_id == sent.id else ""
         elif answer.status in (429, 503):
             final = "refused"
-        self.judge.ledger.answered(sent.id, final, now, mark)
+        self.judge.ledger.record_answer(sent.id, final, now, mark)
--- a/rigs/stage.py
+++ b/rigs/stage.py
@@ -113,7 +113,7 @@
         """Mark unanswered HTTP/1.1 requests as lost, before a kill; their clients have to retry."""
         for sent in self.ledger.sent.values():
             if sent.final is None and sent.id.startswith("http-"):
-                sent.gone = True
+                sent.abandoned = True
 
     # Faults
 
--- a/rigs/tenants.py
+++ b/rigs/tenants.py
@@ -103,7 +103,7 @@
     """The fleet, the load of the burst and the measurements."""
 
     def __init__(self, seed: int, programs: int = PROGRAMS) -> None:
-        plan = Plan(programs=programs, later=1, servers=6, work_s=0.01, operator=TABLES)
+        plan = Plan(programs=programs, late_starters=1, servers=6, work_s=0.01, operator=TABLES)
         super().__init__(seed, plan, TABLES, "forget_s = 60")
         self.min_heard_share = 1.0
         self.false_alarms = 0
@@ -147,12 +147,12 @@
     def accepted_at(self, tenant: str, since: float, until: float) -> list[float]:
         """Return when the tenant's requests that were sent in a span ran at a server."""
         sent = [one for one in self.ledger.sent.values() if one.id.startswith(f"{tenant}-")]
-        runs = self.ledger.ran
+        runs = self.ledger.executions
         return [runs[one.id][0].at for one in sent if since <= one.at < until and one.id in runs]
 
     def sent_at(self, tenant: str, since: float, until: float) -> list[float]:
         sent = [one for one in self.ledger.sent.values() if one.id.startswith(f"{tenant}-")]
-        return [one.at for one in sent if since <= one.at < until and (one.final or one.gone)]
+        return [one.at for one in sent if since <= one.at < until and (one.final or one.abandoned)]
 
 
 @dataclass
@@ -202,7 +202,7 @@
         for number, act in enumerate(acts):
             since = now()
             schedule = stage.draw(act.schedule + (f"\nstart {JOINING_PROGRAM} at 2" if not number else ""))
-            deafened = [fault.who for fault in schedule if fault.verb == "deafen"]
+            deafened = [fault.targets for fault in schedule if fault.verb == "deafen"]
             members = list(deafened[0]) if act.where == "fault" else stage.running()
             joining = asyncio.create_task(stage.measure_join()) if not number else None
             await asyncio.gather(stage.play(schedule), stage.run_burst(act, members))
@@ -265,27 +265,27 @@
         "acts": figures,
         **report.fields,
     }
-    report.unkept += violations
+    report.violations += violations
     min_counted, max_counted, sent_count = report.fields["shared_count"]
     killed = [one.act.name for one in played if "kill" in one.act.schedule]
     max_lost = (
         1.0 if "all" in killed else MAX_LOST_COUNT_SHARE if killed else 0.0
     )  # all killed at once: no copy is left
     if max_counted > sent_count or min_counted < (1.0 - max_lost) * sent_count:
-        report.unkept.append(
+        report.violations.append(
             f"of {sent_count} requests of the calm tenant the sidecars count {min_counted} to {max_counted}"
         )
     storm = figures["storm"]
     if MAX_BOUND_SLACK * storm["worst_over"] < storm["bound_over"]:
-        report.unkept.append(
+        report.violations.append(
             f"the bound is too loose: the storm reaches {storm['worst_over']:g} of {storm['bound_over']:g}"
         )
     if stage.false_alarms:
-        report.unkept.append(f"{stage.false_alarms} sidecars do not list every member as live at the end")
+        report.violations.append(f"{stage.false_alarms} sidecars do not list every member as live at the end")
     if stage.join_time_s < 0.0:
-        report.unkept.append("the sidecar that joined did not hear all other members")
+        report.violations.append("the sidecar that joined did not hear all other members")
     if report.fields["others_served_share"] < 0.97:
-        report.unkept.append(
+        report.violations.append(
             f"the served share of the calm tenant is {report.fields['others_served_share']:g}, below 0.97"
         )
 
--- a/standins/check_server.py
+++ b/standins/check_server.py
@@ -80,7 +80,7 @@
         self.started_ms = int(time.time() * 1000) if cold else 0
         self.life = ServerLifetime(self.name, now, self.ramp_s if cold else 0.0, self.cores)
         if cold:
-            self.ledger.lives.append(self.life)
+            self.ledger.server_lifetimes.append(self.life)
         self.slots = asyncio.Semaphore(self.cores)
         self.in_flight = 0
         self.draining = self.silent = False
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -181,18 +181,20 @@
         if not first:
             headers["X-Again"] = "1"
         data = request("POST", f"/api?user={key.split('-')[0]}", headers, b"{}")
-        sent = self.ledger.sends(call_id, key, time.monotonic(), self.settings.budget_s, first, self.via)
+        sent = self.ledger.record_sent(
+            call_id, key, time.monotonic(), self.settings.budget_s, first, self.via
+        )
         answer: Message | None = None
         # A reused connection may be closing just now: retry on a new one.
         for attempt in range(MAX_CONNECTIONS_PER_REQUEST):
             connection, reused = await self._get_connection(new=attempt > 0)
             if connection is None:
                 self.ledger.counts["no_place"] += 1
-                self.ledger.answered(call_id, "refused", time.monotonic())
+                self.ledger.record_answer(call_id, "refused", time.monotonic())
                 return "refused", 0.0
             reused = reused or connection.may_be_closed_as_silent()
             answer, ended_unread = await self._exchange(connection, data, sent)
-            if answer is not None or sent.gone or not (reused and ended_unread):
+            if answer is not None or sent.abandoned or not (reused and ended_unread):
                 break
         return self._record_answer(sent, answer)
 
@@ -203,10 +205,10 @@
         retry_after_s = float(answer.headers.get("retry-after", "0"))
         if answer.status == 200:
             call_id, _, mark = answer.body.decode("latin-1").partition(" ")
-            self.ledger.answered(sent.id, "served", now, mark if call_id == sent.id else "")
+            self.ledger.record_answer(sent.id, "served", now, mark if call_id == sent.id else "")
             return "served", 0.0
         final: Final = "refused" if answer.status in (429, 503) else "failed"
-        self.ledger.answered(sent.id, final, now)
+        self.ledger.record_answer(sent.id, final, now)
         return final, retry_after_s
 
     async def _get_connection(self, new: bool) -> tuple[ClientConnection | None, bool]:
@@ -272,7 +274,7 @@
         self.errands = BackgroundTasks()
         self.started = 0
 
-    async def ask_once_and_stay(self, rate: float, seconds: float) -> None:
+    async def send_once_and_hold(self, rate: float, seconds: float) -> None:
         """Start `rate` clients per second; each sends one request and holds its connection until closed."""
         end = time.monotonic() + seconds
         due = time.monotonic()
@@ -281,7 +283,7 @@
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self.errands.begin(self._send_once_and_hold(end))
 
-    async def say_nothing(self, count: int, seconds: float) -> None:
+    async def hold_silent_connections(self, count: int, seconds: float) -> None:
         """Hold this many connections that send nothing, each replaced as soon as it is closed."""
         end = time.monotonic() + seconds
         await asyncio.gather(*(self._silent(end) for _ in range(count)))
--- a/standins/consul/cluster.py
+++ b/standins/consul/cluster.py
@@ -1,7 +1,7 @@
 """A Consul cluster: agents on separate ports that share one catalog, with faults.
 
-`on_listed(names, at)` is called after a response with instances or keys has been written to a client; `names`
-are the ids of the passing instances, or the keys.
+`on_entries_sent(names, at)` is called after a response with instances or keys has been written to a client;
+`names` are the ids of the passing instances, or the keys.
 """
 
 from __future__ import annotations
@@ -129,7 +129,7 @@
                 writer.write(response(status, body, headers))
                 await writer.drain()
                 if names is not None:
-                    self.cluster.on_listed(names, time.monotonic())
+                    self.cluster.on_entries_sent(names, time.monotonic())
         except (ConnectionError, WireError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass  # closed by the client or by a fault
         finally:
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -54,7 +54,7 @@
     """One discovery service; `publish` makes updates, `mood` is its current fault.
 
     With a `capacity` it handles that many calls per second in order of arrival; a call that would wait for
-    more than `patience_s` is rejected with 503. The next call of a watch in progress uses no capacity.
+    more than `max_queue_wait_s` is rejected with 503. The next call of a watch in progress uses no capacity.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -112,7 +112,7 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def become(self, mood: DiscoveryFault) -> None:
+    async def set_fault(self, mood: DiscoveryFault) -> None:
         """Change the mood. Pending calls continue, except for DOWN, which closes their connections."""
         if mood is DiscoveryFault.DOWN:
             self.close()
@@ -152,10 +152,10 @@
         """A program starts with the state that it had at `kept_until`; later ends are pending updates."""
         now = time.monotonic()
         for name, member in self.members.items():
-            informed_at = self.ledger.ended_at.get((view.via, name), now)
+            informed_at = self.ledger.end_delivered_at.get((view.via, name), now)
             if member["phase"] != "SERVING" and informed_at > kept_until:
                 view.pending_since[name] = now
-                self.ledger.told_up(name, view.via)
+                self.ledger.record_serving_delivered(name, view.via)
 
     def _record_delivered(self, view: View, members: Iterable[dict[str, Any]], complete: bool) -> None:
         """Record that these entries have been written to the program."""
@@ -168,13 +168,13 @@
         for name, member in delivered.items():
             if self.members.get(name) is not member and name in self.members:
                 continue  # an outdated entry does not carry the current state
-            published_at = view.known_at.pop(name, None)
+            published_at = view.pending_since.pop(name, None)
             if published_at is not None:
                 self.max_delivery_delay_s = max(self.max_delivery_delay_s, now - published_at)
             if member["phase"] == "SERVING":
-                self.ledger.told_up(name, view.via)
+                self.ledger.record_serving_delivered(name, view.via)
             else:
-                self.ledger.told_end(name, now, view.via)
+                self.ledger.record_end_delivered(name, now, view.via)
 
     def expire_pending_updates(self, wait_s: float) -> None:
         """Count updates that are too old as delivered now, although nothing was written."""
@@ -184,7 +184,7 @@
                 if now > published_at + max(DELIVERED_AFTER_S, wait_s + DELIVERED_AFTER_WAIT_S):
                     self.max_delivery_delay_s = max(self.max_delivery_delay_s, now - published_at)
                     if self.members[name]["phase"] != "SERVING":
-                        self.ledger.told_end(name, now, view.via)
+                        self.ledger.record_end_delivered(name, now, view.via)
 
     # Calls
 
--- a/standins/etcd/cluster.py
+++ b/standins/etcd/cluster.py
@@ -1,7 +1,7 @@
 """An etcd cluster: members on separate ports that share one store, with faults.
 
-Hooks are called for what is sent to the program: `on_told(key, ended, at)` after each change written to a
-watch, `on_listed(prefix, keys, at)` for each range read.
+Hooks are called for what is sent to the program: `on_change_sent(key, ended, at)` after each change written
+to a watch, `on_range_read(prefix, keys, at)` for each range read.
 """
 
 from __future__ import annotations
@@ -194,7 +194,7 @@
         await self._authorize(context)
         if self.frozen is not None and not request.serializable:  # the member cannot reach its leader
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: request timed out")
-        found = self.store.between(request.key, request.range_end)
+        found = self.store.keys_in_range(request.key, request.range_end)
         prefix = request.key.decode("utf-8", "replace")
         answer = rpc.RangeResponse(header=self.header(), kvs=found, count=len(found))
         keys = {kv.key.decode("utf-8", "replace") for kv in found}
@@ -326,6 +326,6 @@
             at = time.monotonic()
             for event in response.events:
                 key = event.kv.key.decode("utf-8", "replace")
-                self.member.cluster.on_told(key, event.type == DELETE, at)
+                self.member.cluster.on_change_sent(key, event.type == DELETE, at)
         if self.member.down:
             await self.context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
--- a/standins/grpc_client.py
+++ b/standins/grpc_client.py
@@ -56,7 +56,7 @@
 
     async def one(self, call_id: str) -> None:
         """Make a call, with its retries, and record its final outcome."""
-        sent = self.ledger.sends(call_id, call_id, time.monotonic(), self.budget_s, True)
+        sent = self.ledger.record_sent(call_id, call_id, time.monotonic(), self.budget_s, True)
         final: Final = "refused"
         mark = ""
         for attempt in range(self.retries + 1):
@@ -66,7 +66,7 @@
             final, mark = await self._try(call_id, left_s, attempt)
             if final != "refused":
                 break
-        self.ledger.answered(call_id, final, time.monotonic(), mark)
+        self.ledger.record_answer(call_id, final, time.monotonic(), mark)
 
     async def _try(self, call_id: str, left_s: float, previous_attempts: int) -> tuple[Final, str]:
         metadata = [("x-call-id", call_id), ("idempotency-key", call_id), ("x-caller", "t0")]
--- a/standins/grpc_server.py
+++ b/standins/grpc_server.py
@@ -1,6 +1,6 @@
 """A check server that serves gRPC, on grpcio, besides HTTP/1.1; both share its queue, rack and ledger.
 
-Its gRPC port is its HTTP/1.1 port plus `OFFSET`. `/check.Checks/Run` is the ordinary call,
+Its gRPC port is its HTTP/1.1 port plus `GRPC_PORT_OFFSET`. `/check.Checks/Run` is the ordinary call,
 `/check.Checks/Status` answers with the status given in its request, `/check.Checks/Echo` echoes messages.
 """
 
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -125,7 +125,7 @@
     def record_sent(
         self, call_id: str, key: str, at: float, budget_s: float, first_try: bool, via: str = ""
     ) -> Sent:
-        sent = self.sent[call_id] = Sent(call_id, key, at, budget_s, first_try, via=via)
+        sent = self.sent[call_id] = Sent(call_id, key, at, budget_s, first_try, program=via)
         return sent
 
     def record_answer(self, call_id: str, final: Final, at: float, mark: str = "") -> None:
@@ -152,7 +152,7 @@
     def request_arrived(self, call_id: str, server: str, at: float) -> None:
         """Record that the first byte of a request reached a server."""
         sent = self.sent.get(call_id)
-        ended = self.end_delivered_at.get((sent.via if sent is not None else "", server))
+        ended = self.end_delivered_at.get((sent.program if sent is not None else "", server))
         if call_id in self.sent_without_decision:
             return
         if ended is not None:
@@ -173,7 +173,7 @@
 
     def missing(self) -> list[str]:
         """Ids of requests that have no final answer and were not abandoned."""
-        return [sent.id for sent in self.sent.values() if sent.final is None and not sent.gone]
+        return [sent.id for sent in self.sent.values() if sent.final is None and not sent.abandoned]
 
     def answered_twice(self) -> list[str]:
         """Ids of requests with more than one final answer."""
@@ -248,7 +248,7 @@
             "served": finals.count("served"),
             "refused": finals.count("refused"),
             "failed": finals.count("failed"),
-            "gone": sum(sent.final is None and sent.gone for sent in self.sent.values()),
+            "gone": sum(sent.final is None and sent.abandoned for sent in self.sent.values()),
             "missing": len(self.missing()),
             "doubled": len(self.answered_twice()),
         }
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -174,18 +174,18 @@
     async def one(self, call_id: str) -> None:
         """Handle a request from its arrival to its final outcome."""
         key = f"key-{call_id}"
-        sent = self.ledger.sends(call_id, key, time.monotonic(), self.settings.budget_s, True)
+        sent = self.ledger.record_sent(call_id, key, time.monotonic(), self.settings.budget_s, True)
         if self.rng.random() < self.settings.disconnect_share:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self.rng.uniform(0.0, 0.06)):
                     await self._finish(call_id, key, sent.at)
-            sent.gone = sent.final is None
+            sent.abandoned = sent.final is None
             return
         await self._finish(call_id, key, sent.at)
 
     async def _finish(self, call_id: str, key: str, started_at: float) -> None:
         final, mark = await self._tries(call_id, key, started_at)
-        self.ledger.answered(call_id, final, time.monotonic(), mark)
+        self.ledger.record_answer(call_id, final, time.monotonic(), mark)
 
     async def _tries(self, call_id: str, key: str, started_at: float) -> tuple[Final, str]:
         token, may_have_run, unused = "", False, False
@@ -243,7 +243,7 @@
     async def _without_decision(self, call_id: str, key: str, left_s: float) -> tuple[Final, str]:
         """Fail open: one try at a server chosen by the proxy, to which the processor's rules do not apply."""
         self.sent_without_decision += 1
-        self.ledger.own_ways.add(call_id)
+        self.ledger.sent_without_decision.add(call_id)
         answer = await self._send(self.rng.choice(self.settings.fail_open_addresses), call_id, key, left_s)
         if isinstance(answer, Message) and answer.status == 200:
             return "served", self._mark(answer, call_id)
--- a/standins/zookeeper/ensemble.py
+++ b/standins/zookeeper/ensemble.py
@@ -36,8 +36,8 @@
 class Ensemble:
     """A ZooKeeper ensemble with hooks on what it writes to clients.
 
-    `on_told(session, kind, path, at)` is called after an event has been written to a client, and
-    `on_listed(session, path, names, at)` after a reply with the children of a node.
+    `on_event_sent(session, kind, path, at)` is called after an event has been written to a client, and
+    `on_children_sent(session, path, names, at)` after a reply with the children of a node.
     """
 
     def __init__(self, hosts: int = 3, tls: ssl.SSLContext | None = None) -> None:
@@ -109,7 +109,7 @@
         found = self.sessions.get(session)
         if found is None or found.password != password:
             return None
-        found.heard_at = time.monotonic()
+        found.last_request_at = time.monotonic()
         return found
 
     def expire(self, session: int) -> None:
@@ -138,5 +138,5 @@
             await asyncio.sleep(EXPIRY_CHECK_S)
             now = time.monotonic()
             for session in list(self.sessions.values()):
-                if now > session.heard_at + session.timeout_ms / 1000:
+                if now > session.last_request_at + session.timeout_ms / 1000:
                     self.expire(session.id)
--- a/standins/zookeeper/host.py
+++ b/standins/zookeeper/host.py
@@ -66,7 +66,7 @@
         self.send(message)
         if self.session is not None and not self.host.stalled:
             at = time.monotonic() + self.host.lag_s
-            self.host.ensemble.on_told(self.session.id, kind, path, at)
+            self.host.ensemble.on_event_sent(self.session.id, kind, path, at)
 
     def cut(self) -> None:
         self.writer.transport.abort()
@@ -171,7 +171,7 @@
                 return
             if self.stalled:
                 continue
-            connection.session.heard_at = time.monotonic()
+            connection.session.last_request_at = time.monotonic()
             if not self._handle_request(connection, message):
                 return
 
--- a/standins/zookeeper/tree.py
+++ b/standins/zookeeper/tree.py
@@ -105,7 +105,7 @@
             raise RequestError(Code.UNIMPLEMENTED)
         parent_path = parent_of(path)
         parent = self.authorized_node(parent_path, "CREATE", who)
-        if parent.stat.owner:
+        if parent.stat.ephemeral_owner:
             raise RequestError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if flags & SEQUENTIAL:
             path = f"{path}{parent.stat.cversion:010d}"
@@ -113,7 +113,7 @@
             raise RequestError(Code.NODE_EXISTS)
         now = self.now_ms()
         owner = who.session if flags & EPHEMERAL else 0
-        stat = Stat(self.zxid, self.zxid, now, now, owner=owner, length=len(data), pzxid=self.zxid)
+        stat = Stat(self.zxid, self.zxid, now, now, ephemeral_owner=owner, length=len(data), pzxid=self.zxid)
         self.nodes[path] = Node(data, self._resolve_acl(acl, who), stat)
         if owner:
             self.ephemerals.setdefault(owner, set()).add(path)
@@ -197,8 +197,8 @@
 
         def restore() -> None:
             self.nodes[path] = node
-            if node.stat.owner:
-                self.ephemerals.setdefault(node.stat.owner, set()).add(path)
+            if node.stat.ephemeral_owner:
+                self.ephemerals.setdefault(node.stat.ephemeral_owner, set()).add(path)
 
         self.undo.append(restore)
         self._update_parent(parent_path, parent, path, added=False)
@@ -206,8 +206,8 @@
 
     def _drop(self, path: str) -> None:
         node = self.nodes.pop(path)
-        if node.stat.owner:
-            self.ephemerals.get(node.stat.owner, set()).discard(path)
+        if node.stat.ephemeral_owner:
+            self.ephemerals.get(node.stat.ephemeral_owner, set()).discard(path)
 
     def _update_parent(self, parent_path: str, parent: Node, path: str, added: bool) -> None:
         name, old_stat = path.rpartition("/")[2], copy.copy(parent.stat)
--- a/tests/connections/test_settings.py
+++ b/tests/connections/test_settings.py
@@ -16,7 +16,7 @@
 from garnethaven.net.upstream import Pool
 from standins.ports import PORTS
 from tests.loopback import run, write_config_file
-from tests.rigs.test_rigs import imported_at_start, play
+from tests.rigs.test_rigs import imported_at_start, run_rig
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -73,7 +73,7 @@
 
 
 def test_the_rig_in_short_loses_nothing_and_keeps_to_its_bound() -> None:
-    exit_code, figures, output = play("connections", "--seed", "6", "--seconds", "5")
+    exit_code, figures, output = run_rig("connections", "--seed", "6", "--seconds", "5")
     assert exit_code in (0, 1), output
     assert figures["sent"] > 1000, output
     assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
--- a/tests/extproc/test_front.py
+++ b/tests/extproc/test_front.py
@@ -88,7 +88,7 @@
 def test_a_request_gets_one_decision_and_its_outcome_is_learned() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             decision = await harness.decide(exchange)
             assert parse_address(decision.address) in [("127.0.0.1", peer.port) for peer in harness.peers]
             assert 0.0 < decision.valid_s < 0.5
@@ -105,7 +105,7 @@
 def test_an_error_blames_the_server_and_leads_to_no_second_attempt_of_our_own() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             await harness.decide(exchange)
             await exchange.report({":status": "500"}, 10.0)
             await wait_until(harness.is_idle)
@@ -128,7 +128,7 @@
             gc.disable()  # reference counting alone must free the objects: full collections are rare
             try:
                 for number in range(5):
-                    exchange = harness.proxy.ask()
+                    exchange = harness.proxy.open_stream()
                     assert (await harness.decide(exchange, x_call_id=f"n{number}")).address
                     await exchange.report({":status": "200"}, 10.0)
                 await wait_until(harness.is_idle)
@@ -145,7 +145,7 @@
     async def case() -> None:
         async with processor_harness() as harness:
             harness.sidecar.transport.apply_list(ListKind.FULL, [])
-            decision = await harness.decide(harness.proxy.ask())
+            decision = await harness.decide(harness.proxy.open_stream())
             assert (decision.status, decision.address) == (503, "")
             assert "refused" in decision.details
             await wait_until(harness.is_idle)
@@ -157,7 +157,7 @@
 def test_a_proxy_that_goes_away_leaves_nothing_under_way_and_blames_nobody(when: str) -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             if when == "after":
                 await harness.decide(exchange)
                 assert not harness.is_idle()
@@ -175,12 +175,12 @@
 def test_the_same_id_at_once_is_decided_once_and_again_when_the_first_has_ended() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            first, second = harness.proxy.ask(), harness.proxy.ask()
+            first, second = harness.proxy.open_stream(), harness.proxy.open_stream()
             assert (await harness.decide(first)).address
             assert (await harness.decide(second)).status == 409
             await first.report({":status": "200"}, 10.0)
             await wait_until(harness.is_idle)
-            assert (await harness.decide(harness.proxy.ask())).address
+            assert (await harness.decide(harness.proxy.open_stream())).address
 
     run(case())
 
@@ -193,7 +193,7 @@
                 peer.script = answers_with(ANSWER, release)
             asking = asyncio.create_task(harness.sidecar.ask(request(X_Call_Id="c1")))
             await wait_until(lambda: not harness.is_idle())
-            assert (await harness.decide(harness.proxy.ask())).status == 409
+            assert (await harness.decide(harness.proxy.open_stream())).status == 409
             release.set()
             assert await asking == (200, b"hello")
 
@@ -203,14 +203,14 @@
 def test_after_a_restart_a_token_keeps_the_rack_and_without_it_nothing_is_sent_or_refused() -> None:
     async def case() -> None:
         async with processor_harness() as before:
-            exchange = before.proxy.ask()
+            exchange = before.proxy.open_stream()
             decision = await before.decide(exchange)
             exchange.cancel()
         async with (
             processor_harness() as after
         ):  # a restarted process with the same key; its servers are in the same cell
             retried = await after.decide(
-                after.proxy.ask(), **{TOKEN: decision.token, ATTEMPTS: "2", "x-call-id": "c1"}
+                after.proxy.open_stream(), **{TOKEN: decision.token, ATTEMPTS: "2", "x-call-id": "c1"}
             )
             assert retried.address
             await wait_until(lambda: after.front.streams <= 1)
@@ -219,13 +219,15 @@
                 {TOKEN: decision.token[:-4] + "AAAA"},
                 {TOKEN: "forged"},
             ):
-                retried = await after.decide(after.proxy.ask(), x_call_id="c2", **changes)
+                retried = await after.decide(after.proxy.open_stream(), x_call_id="c2", **changes)
                 assert (retried.address, retried.status) == ("", 502), changes
             assert (after.front.tokens_checked, after.front.tokens_rejected) == (3, 2)
         async with processor_harness(keys=()) as keyless:
-            retried = await keyless.decide(keyless.proxy.ask())
+            retried = await keyless.decide(keyless.proxy.open_stream())
             assert retried.address and not retried.token
-            retried = await keyless.decide(keyless.proxy.ask(), x_call_id="c3", **{TOKEN: decision.token})
+            retried = await keyless.decide(
+                keyless.proxy.open_stream(), x_call_id="c3", **{TOKEN: decision.token}
+            )
             assert retried.status == 502
 
     run(case())
@@ -234,11 +236,13 @@
 def test_a_decision_that_was_not_acted_on_may_be_asked_for_again() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            first = harness.proxy.ask()
+            first = harness.proxy.open_stream()
             decision = await harness.decide(first)
             first.cancel()
             await wait_until(harness.is_idle)
-            retried = await harness.decide(harness.proxy.ask(), **{TOKEN: decision.token, UNUSED: "1"})
+            retried = await harness.decide(
+                harness.proxy.open_stream(), **{TOKEN: decision.token, UNUSED: "1"}
+            )
             assert retried.address
 
     run(case())
@@ -247,10 +251,10 @@
 def test_messages_out_of_turn_get_an_error_and_bodies_go_on() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            early = harness.proxy.ask()
+            early = harness.proxy.open_stream()
             await early.call.write(pb.ProcessingRequest(response_headers=headers_message({":status": "200"})))
             assert (await early.call.read()).immediate_response.status.code == 400
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             await harness.decide(exchange)
             await exchange.call.write(pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 1000)))
             assert (await exchange.call.read()).WhichOneof("response") == "request_body"
@@ -268,7 +272,7 @@
 def test_the_answer_asks_for_headers_only() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             await exchange.call.write(
                 pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
             )
@@ -289,7 +293,7 @@
 def test_a_bad_request_is_told_what_it_lacks() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            decision = await harness.decide(harness.proxy.ask(), x_budget_ms="soon")
+            decision = await harness.decide(harness.proxy.open_stream(), x_budget_ms="soon")
             assert decision.status == 400
             assert "x-budget-ms" in decision.details
             assert harness.is_idle()
@@ -300,16 +304,16 @@
 def test_more_streams_than_the_bound_are_refused_at_once() -> None:
     async def case() -> None:
         async with processor_harness(streams_most=2) as harness:
-            open_streams = [harness.proxy.ask() for _ in range(2)]
+            open_streams = [harness.proxy.open_stream() for _ in range(2)]
             for number, exchange in enumerate(open_streams):
                 assert (await harness.decide(exchange, x_call_id=f"h{number}")).address
-            refused = await harness.decide(harness.proxy.ask(), x_call_id="late")
+            refused = await harness.decide(harness.proxy.open_stream(), x_call_id="late")
             assert refused.status == 503
-            retried = await harness.decide(harness.proxy.ask(), x_call_id="late2", **{ATTEMPTS: "2"})
+            retried = await harness.decide(harness.proxy.open_stream(), x_call_id="late2", **{ATTEMPTS: "2"})
             assert retried.status == 502  # a retry may have run, so it is not refused with 503
             open_streams[0].cancel()
             await wait_until(lambda: harness.front.streams < 2)
-            assert (await harness.decide(harness.proxy.ask(), x_call_id="later")).address
+            assert (await harness.decide(harness.proxy.open_stream(), x_call_id="later")).address
             open_streams[1].cancel()
 
     run(case())
@@ -319,9 +323,9 @@
     async def case() -> None:
         async with processor_harness(message_timeout_ms=50) as harness:
             harness.front.lag_s = 0.2
-            assert (await harness.decide(harness.proxy.ask())).status == 503
+            assert (await harness.decide(harness.proxy.open_stream())).status == 503
             await wait_until(lambda: not harness.front.overloaded())
-            assert (await harness.decide(harness.proxy.ask())).address
+            assert (await harness.decide(harness.proxy.open_stream())).address
 
     run(case())
 
@@ -329,7 +333,7 @@
 def test_a_planned_end_lets_open_streams_report() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             assert (await harness.decide(exchange)).address
             ending = asyncio.create_task(harness.front.close(10.0))
             await asyncio.sleep(0.1)
@@ -356,7 +360,7 @@
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 await read_message(reader)
             writer.close()
-            assert (await harness.decide(harness.proxy.ask())).address
+            assert (await harness.decide(harness.proxy.open_stream())).address
 
     run(case())
 
@@ -365,7 +369,7 @@
     async def case() -> None:
         async with processor_harness() as harness:
             # With default limits grpcio itself drops streams beyond 3,000 pending ones.
-            exchanges = [harness.proxy.ask() for _ in range(4000)]
+            exchanges = [harness.proxy.open_stream() for _ in range(4000)]
             decisions = await asyncio.gather(
                 *(harness.decide(one, x_call_id=f"m{number}") for number, one in enumerate(exchanges))
             )
--- a/tests/extproc/test_off_and_on.py
+++ b/tests/extproc/test_off_and_on.py
@@ -8,7 +8,7 @@
 
 from garnethaven.app.operator import OperatorError, read_operator
 from garnethaven.extproc.table import ExternalProcessor, Route
-from tests.rigs.test_rigs import imported_at_start, play
+from tests.rigs.test_rigs import imported_at_start, run_rig
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -50,7 +50,7 @@
 
 
 def test_the_rig_in_short_breaks_no_rule() -> None:
-    code, figures, output = play("external-processor", "--seed", "7", "--seconds", "6")
+    code, figures, output = run_rig("external-processor", "--seed", "7", "--seconds", "6")
     assert code in (0, 1), output
     assert figures["sent"] > 800, output
     assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
--- a/tests/extproc/test_operation.py
+++ b/tests/extproc/test_operation.py
@@ -31,7 +31,7 @@
                 engine.balancer.handle = lambda now, event, over_share=over_share: (  # type: ignore[method-assign]
                     [Refuse(event.id, 500_000_000, over_share)] if isinstance(event, Request) else []
                 )
-                exchange = harness.proxy.ask()
+                exchange = harness.proxy.open_stream()
                 message = pb.ProcessingRequest(request_headers=headers_message(harness.headers()))
                 await exchange.call.write(message)
                 answer = (await exchange.call.read()).immediate_response
@@ -49,18 +49,18 @@
 def test_the_answer_says_what_came_of_a_token() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            first = harness.proxy.ask()
+            first = harness.proxy.open_stream()
             decision = await harness.decide(first)
             first.cancel()
             await wait_until(harness.is_idle)
             assert decision.checked == ""
             retried = await harness.decide(
-                harness.proxy.ask(), **{TOKEN_HEADER: decision.token, ATTEMPTS: "2"}
+                harness.proxy.open_stream(), **{TOKEN_HEADER: decision.token, ATTEMPTS: "2"}
             )
             assert (retried.checked, bool(retried.address)) == ("accepted", True)
             await wait_until(lambda: harness.front.streams <= 1)
             retried = await harness.decide(
-                harness.proxy.ask(), x_call_id="c9", **{TOKEN_HEADER: decision.token}
+                harness.proxy.open_stream(), x_call_id="c9", **{TOKEN_HEADER: decision.token}
             )
             assert retried.status == 502
             assert retried.checked.startswith("rejected: ")
@@ -73,26 +73,26 @@
     async def case() -> None:
         async with processor_harness() as harness:
             front = harness.front
-            decision = await harness.decide(harness.proxy.ask())
+            decision = await harness.decide(harness.proxy.open_stream())
             await wait_until(lambda: front.streams <= 1)
             old_table = front.table
             new_table = replace(
                 old_table, keys=(b"n" * 16, KEY), valid_ms=77, routes=(Route("check", "/other", ""),)
             )
             front.renew(new_table)
-            exchange = harness.proxy.ask()
+            exchange = harness.proxy.open_stream()
             headers = harness.headers(x_call_id="c2") | {":path": "/other/x"}
             del headers["x-call-class"]
             rerouted = await exchange.decide(headers, 10.0)
             assert rerouted is not None
             assert (rerouted.valid_s, bool(rerouted.address)) == (0.077, True)
             retried = await harness.decide(
-                harness.proxy.ask(), **{TOKEN_HEADER: decision.token, "x-call-id": "c1"}
+                harness.proxy.open_stream(), **{TOKEN_HEADER: decision.token, "x-call-id": "c1"}
             )
             assert retried.checked == "accepted" or retried.status == 409  # the previous key still verifies
             front.renew(replace(new_table, keys=(b"n" * 16,)))
             rejected = await harness.decide(
-                harness.proxy.ask(), x_call_id="c3", **{TOKEN_HEADER: decision.token}
+                harness.proxy.open_stream(), x_call_id="c3", **{TOKEN_HEADER: decision.token}
             )
             assert rejected.checked.startswith("rejected: ")
 
@@ -138,7 +138,7 @@
 def test_a_proxy_that_never_reads_holds_up_nobody_and_no_more_than_its_window() -> None:
     async def case() -> None:
         async with processor_harness() as harness:
-            unread = harness.proxy.ask()
+            unread = harness.proxy.open_stream()
             await unread.call.write(pb.ProcessingRequest(request_headers=headers_message(harness.headers())))
             body = pb.ProcessingRequest(request_body=pb.HttpBody(body=b"x" * 4000))
             for _ in range(2000):
@@ -148,7 +148,7 @@
                 except TimeoutError:
                     break  # HTTP/2 flow control: the processor reads no more of this stream
             for number in range(20):
-                exchange = harness.proxy.ask()
+                exchange = harness.proxy.open_stream()
                 assert (await harness.decide(exchange, x_call_id=f"o{number}")).address
                 await exchange.report({":status": "200"}, 10.0)
             unread.cancel()
@@ -164,7 +164,7 @@
             peer = harness.peers[0]
             ledger = Ledger(6.0, 0.5, 3.0, 3.0, 0.2)
             open_addresses = (f"127.0.0.1:{peer.port}",) if opens else ()
-            ways = ProxySettings(tries=1, message_timeout_s=0.3, fails_open=open_addresses)
+            ways = ProxySettings(tries=1, message_timeout_s=0.3, fail_open_addresses=open_addresses)
             proxy = Proxy("q", harness.front.port, ledger, random.Random(2), ways)
             await harness.front.close(0.0)
             await proxy.one("q1")
--- a/tests/grpcs/test_settings.py
+++ b/tests/grpcs/test_settings.py
@@ -22,7 +22,7 @@
 from tests.grpcs.raw import PREFACE, SETTINGS, frame
 from tests.grpcs.test_on_sockets import ROUTES, UNARY, address_of, answer_in_brackets, grpc_harness
 from tests.loopback import ANSWER, answers_with, run, running_sidecar
-from tests.rigs.test_rigs import imported_at_start, play
+from tests.rigs.test_rigs import imported_at_start, run_rig
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -135,7 +135,7 @@
 
 
 def test_the_rig_in_short_gives_both_protocols_the_same_outcomes() -> None:
-    code, figures, output = play("grpc", "--seed", "4", "--seconds", "8")
+    code, figures, output = run_rig("grpc", "--seed", "4", "--seconds", "8")
     assert code in (0, 1), output
     assert figures["sent"] > 800, output
     assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
--- a/tests/limits/test_on_sockets.py
+++ b/tests/limits/test_on_sockets.py
@@ -103,7 +103,7 @@
 def test_a_list_that_lies_behind_brings_nothing_back() -> None:
     async def case() -> None:
         async with sidecar_environment(3) as env:
-            await env.discovery.become(DiscoveryFault.BEHIND)
+            await env.discovery.set_fault(DiscoveryFault.BEHIND)
             env.discovery.frozen = (0, [server.member() for server in env.servers])
             fresh = env.sidecar.discovery.freshness
             fresh.revision = 50
@@ -121,11 +121,11 @@
 def test_an_empty_list_is_obeyed_and_asked_for_again() -> None:
     async def case() -> None:
         async with sidecar_environment(2) as env:
-            await env.discovery.become(DiscoveryFault.EMPTY)
+            await env.discovery.set_fault(DiscoveryFault.EMPTY)
             env.sidecar.discovery.ask_for_full_list()
             await wait_until(lambda: env.names() == set())
             assert await env.ask() == [503]
-            await env.discovery.become(DiscoveryFault.GOOD)
+            await env.discovery.set_fault(DiscoveryFault.GOOD)
             await wait_until(lambda: env.names() == {"s0", "s1"})
             assert await env.ask() == [200]
 
@@ -137,13 +137,13 @@
         async with sidecar_environment(2) as env:
             stand_in, client = env.discovery, env.sidecar.discovery
             client.freshness.call_time_s = 0.2
-            await stand_in.become(DiscoveryFault.EMPTY)
+            await stand_in.set_fault(DiscoveryFault.EMPTY)
             client.ask_for_full_list()
             await wait_until(lambda: env.names() == set())
-            await stand_in.become(DiscoveryFault.DOWN)
+            await stand_in.set_fault(DiscoveryFault.DOWN)
             failed = client.fetch_calls
             await wait_until(lambda: client.fetch_calls >= failed + 3)
-            await stand_in.become(DiscoveryFault.GOOD)
+            await stand_in.set_fault(DiscoveryFault.GOOD)
             await wait_until(lambda: env.names() == {"s0", "s1"})
             asked = client.fetch_calls
             await asyncio.sleep(0.5)
@@ -156,7 +156,7 @@
     async def case() -> None:
         async with sidecar_environment(1) as env:
             env.discovery.lag_s = 0.4
-            await env.discovery.become(DiscoveryFault.SLOW)
+            await env.discovery.set_fault(DiscoveryFault.SLOW)
             env.discovery.publish(server.member() for server in await env.add(1))
             await wait_until(lambda: env.names() == {"s0", "s1"})
 
@@ -212,7 +212,7 @@
         async with running_sidecar(answers_with(ANSWER), connections=32) as (sidecar, _):
             ledger, allowance = new_ledger(), ConnectionAllowance(4)
             guests = IdleClients("g", sidecar.port, ledger, allowance, random.Random(1))
-            holding = asyncio.create_task(guests.say_nothing(4, 1.0))
+            holding = asyncio.create_task(guests.hold_silent_connections(4, 1.0))
             await wait_until(lambda: allowance.open_connections == 4)
             habits = replace(ApplicationSettings(), retries=0)
             application = Application("a", sidecar.port, ledger, allowance, random.Random(2), habits)
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -222,7 +222,7 @@
     async def case() -> None:
         async with world(1, agents=1) as made:
             (agent,) = made.cluster.agents
-            agent.index_told = told
+            agent.reported_index = told
             agent.cut()
             await wait_until(lambda: any("has an invalid index" in line for line in made.log))
             assert agent.queries < 40 and made.up() == {1}
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -179,7 +179,7 @@
 def test_a_change_in_fragments_is_taken_as_one() -> None:
     async def case() -> None:
         async with world(*range(40)) as made:
-            made.cluster.fragment_most = 7
+            made.cluster.max_events_per_response = 7
             before = made.delta_count
             made.vanish(*range(20))
             await made.sees(*range(20, 40))
--- a/tests/membership/test_on_sockets.py
+++ b/tests/membership/test_on_sockets.py
@@ -152,8 +152,8 @@
                 host.stop()
             seen: set[frozenset[int]] = set()
             made.sources.merger.flush_callbacks.append(lambda: seen.add(frozenset(made.up())))
-            tries = len(lagging.connects)
-            await wait_until(lambda: len(lagging.connects) >= tries + 3)
+            tries = len(lagging.connect_times)
+            await wait_until(lambda: len(lagging.connect_times) >= tries + 3)
             assert frozenset({1, 2}) not in seen
             lagging.catch_up()
             await made.sees(2)
@@ -181,7 +181,7 @@
             for host in made.ensemble.hosts:
                 host.read_only = True
             made.follow()
-            await wait_until(lambda: sum(len(host.connects) for host in made.ensemble.hosts) > 2)
+            await wait_until(lambda: sum(len(host.connect_times) for host in made.ensemble.hosts) > 2)
             assert made.up() == set()
             await made.sources.close()
             made.follow(read_only=True)
@@ -199,10 +199,10 @@
                 "elsewhere": payload(7, host_port="239.0.0.1:80"),
                 "odd \u00fc \t name": payload(9),
             }
-            session = made.ensemble.begin(40_000)
+            session = made.ensemble.create_session(40_000)
             for name, data in flawed.items():
-                made.ensemble.make(f"{ROOT}/{name}", data, session)
-            made.ensemble.make(f"{ROOT}/lasting", payload(8))
+                made.ensemble.create_node(f"{ROOT}/{name}", data, session)
+            made.ensemble.create_node(f"{ROOT}/lasting", payload(8))
             made.sessions[9] = session
             await made.sees(1, 9)
             flaws = made.source.following.flaws
@@ -223,8 +223,8 @@
 def test_two_nodes_of_one_address_are_one_server() -> None:
     async def case() -> None:
         async with world(1) as made:
-            new = made.ensemble.begin(40_000)
-            made.ensemble.make(f"{ROOT}/again", payload(1), new)
+            new = made.ensemble.create_session(40_000)
+            made.ensemble.create_node(f"{ROOT}/again", payload(1), new)
             await wait_until(lambda: f"{ROOT}/again" in made.sources.merger.model.sources["zookeeper"].facts)
             made.vanish(1)
             made.appear(2)
@@ -244,7 +244,7 @@
             def give(path: str, acl: Acl) -> None:
                 with tree.write() as changes:
                     tree.set_acl(path, (acl,), -1, Identity(0, frozenset({("digest", digest_id(b"u:p"))})))
-                made.ensemble.changed(list(changes))
+                made.ensemble.publish(list(changes))
 
             give(ROOT, mine)
             made.ensemble.hosts[0].cut()
@@ -287,10 +287,10 @@
 def test_another_directory_takes_over_when_it_has_been_read_whole() -> None:
     async def case() -> None:
         async with world(1, 2) as made:
-            made.ensemble.make("/other")
-            session = made.sessions[5] = made.ensemble.begin(40_000)
+            made.ensemble.create_node("/other")
+            session = made.sessions[5] = made.ensemble.create_session(40_000)
             fields = {"address": address(5)[0], "port": 80}
-            made.ensemble.make("/other/x", json.dumps(fields).encode(), session)
+            made.ensemble.create_node("/other/x", json.dumps(fields).encode(), session)
             seen: list[set[int]] = []
             made.sources.merger.flush_callbacks.append(lambda: seen.append(made.up()))
             old = made.own_session()
@@ -388,7 +388,7 @@
             tree = made.ensemble.tree
             await wait_until(lambda: "/me" in tree.nodes)
             assert json.loads(tree.nodes["/me"].data) == {"host_port": "127.0.0.1:999", "phase": "SERVING"}
-            assert tree.nodes["/me"].stat.owner == made.own_session()
+            assert tree.nodes["/me"].stat.ephemeral_owner == made.own_session()
             made.ensemble.expire(made.own_session())
             assert "/me" not in tree.nodes
             await wait_until(lambda: "/me" in tree.nodes)
@@ -407,16 +407,18 @@
 def test_a_registration_left_by_an_earlier_life_is_replaced_and_anothers_is_not() -> None:
     async def case() -> None:
         async with world(1, follow=False) as made:
-            earlier = made.ensemble.begin(40_000)
+            earlier = made.ensemble.create_session(40_000)
             data = json.dumps({"host_port": "127.0.0.1:999", "phase": "SERVING"}).encode()
-            made.ensemble.make("/me", data, earlier)
-            made.ensemble.make("/taken", b"another's", earlier)
+            made.ensemble.create_node("/me", data, earlier)
+            made.ensemble.create_node("/taken", b"another's", earlier)
             made.follow(register=Registration("/me"))
-            await wait_until(lambda: made.ensemble.tree.nodes["/me"].stat.owner == made.own_session() != 0)
+            await wait_until(
+                lambda: made.ensemble.tree.nodes["/me"].stat.ephemeral_owner == made.own_session() != 0
+            )
             await made.sources.close()
             made.follow(register=Registration("/taken"))
             await wait_until(lambda: any("belongs to another session" in line for line in made.log))
-            assert made.ensemble.tree.nodes["/taken"].stat.owner == earlier.id
+            assert made.ensemble.tree.nodes["/taken"].stat.ephemeral_owner == earlier.id
 
     run(case())
 
@@ -449,16 +451,18 @@
             for one in worlds:
                 await one.sees(1)
             first = made.ensemble.hosts[0]
-            lost_clients = sum(line.session is not None for line in first.lines)
+            lost_clients = sum(line.session is not None for line in first.connections)
             assert lost_clients > 5
-            before = [len(host.connects) for host in made.ensemble.hosts]
+            before = [len(host.connect_times) for host in made.ensemble.hosts]
             first.stop()
             others = made.ensemble.hosts[1:]
             await wait_until(
-                lambda: sum(len(host.connects) for host in others) >= sum(before[1:]) + lost_clients
+                lambda: sum(len(host.connect_times) for host in others) >= sum(before[1:]) + lost_clients
             )
             connects_after = zip(others, before[1:], strict=True)
-            moments = sorted(moment for host, count in connects_after for moment in host.connects[count:])
+            moments = sorted(
+                moment for host, count in connects_after for moment in host.connect_times[count:]
+            )
             assert moments[-1] - moments[0] > 0.3
             assert max(sum(at <= one < at + 0.1 for one in moments) for at in moments) < 0.6 * len(moments)
             for one in worlds:
--- a/tests/membership/test_program.py
+++ b/tests/membership/test_program.py
@@ -25,7 +25,7 @@
     wait_until,
     write_config_file,
 )
-from tests.rigs.test_rigs import play
+from tests.rigs.test_rigs import run_rig
 
 
 def registry_of(sidecar: Sidecar) -> Any:
@@ -188,7 +188,7 @@
 
 
 def test_the_rig_in_short_breaks_no_rule() -> None:
-    code, figures, stderr = play("ephemeral", "--seed", "3", "--seconds", "9")
+    code, figures, stderr = run_rig("ephemeral", "--seed", "3", "--seconds", "9")
     assert code in (0, 1), stderr
     assert figures["sent"] > 1000, stderr
     assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (stderr, figures)
--- a/tests/membership/test_registry_settings.py
+++ b/tests/membership/test_registry_settings.py
@@ -9,7 +9,7 @@
 from garnethaven.app.operator import OperatorError, read_operator
 from garnethaven.membership.table import Membership
 from tests.membership.test_settings import ROOT, read
-from tests.rigs.test_rigs import imported_at_start, play
+from tests.rigs.test_rigs import imported_at_start, run_rig
 
 GOOD = 'hosts = ["127.0.0.1", "127.0.0.2:9"]\nprefix = "/checks/"\n'
 
@@ -101,7 +101,7 @@
 
 
 def test_the_rig_in_short_misses_no_removal() -> None:
-    code, figures, output = play("registry", "--seed", "6", "--seconds", "14")
+    code, figures, output = run_rig("registry", "--seed", "6", "--seconds", "14")
     assert code in (0, 1), output
     assert figures["sent"] > 1000, output
     assert figures["broken"] == {"lost": 0, "twice": 0, "drain": 0, "cold": 0}, (output, figures)
--- a/tests/membership/world.py
+++ b/tests/membership/world.py
@@ -28,7 +28,7 @@
         """Create the nodes of these servers, each in a session of its own."""
         for number in numbers:
             session = self.sessions[number] = self.ensemble.create_session(40_000)
-            self.ensemble.make(f"{ROOT}/n{number}", payload(number, **changes), session)
+            self.ensemble.create_node(f"{ROOT}/n{number}", payload(number, **changes), session)
 
     def vanish(self, *numbers: int) -> None:
         for number in numbers:
@@ -62,7 +62,7 @@
         return next(
             host
             for host in self.ensemble.hosts
-            for line in host.lines
+            for line in host.connections
             if line.session is not None and line.session.id == self.own_session()
         )
 
--- a/tests/net/test_injected_calls.py
+++ b/tests/net/test_injected_calls.py
@@ -77,7 +77,7 @@
     """Run 3 s of load, check that no rule was broken, and return the tally."""
     stage = Stage(11, servers=6, sockets=384, work_s=0.02, ramp_s=3.0)
     await stage.up(environment=plan.environment())
-    client = stage.application("http", ApplicationSettings(rate=120.0, retries=0, most_lines=2))
+    client = stage.application("http", ApplicationSettings(rate=120.0, retries=0, max_idle_connections=2))
     async with tracking_published_changes(stage):
         sending = asyncio.create_task(client.run(3.0))
         if outage:
@@ -86,6 +86,6 @@
         await sending
         await client.settle()
     assert await stage.down() == 0
-    tally, broken = stage.ledger.tally(), stage.ledger.broken()
+    tally, broken = stage.ledger.tally(), stage.ledger.violations()
     assert broken == Violations(), (tally, broken)
     return tally
--- a/tests/peers/test_on_sockets.py
+++ b/tests/peers/test_on_sockets.py
@@ -59,7 +59,7 @@
         finally:
             codes = await fleet.close()
         assert not any(codes), codes
-        assert fleet.ledger.broken().total() == 0
+        assert fleet.ledger.violations().total() == 0
         return fleet
 
     return asyncio.run(all_of_it())
--- a/tests/rigs/test_fleet.py
+++ b/tests/rigs/test_fleet.py
@@ -33,11 +33,11 @@
     """Clients and discovery write to a process while it is stopped; it handles both when it resumes."""
     schedule = "stall 3 of 6 for 2 s at 1\ndrain 3 of 9 for 2.5 s at 1.2"
     fleet = asyncio.run(run_schedule(seed, schedule, 4.5))
-    assert not fleet.ledger.late_sends
-    assert fleet.ledger.broken().total() == 0
+    assert not fleet.ledger.late_arrivals
+    assert fleet.ledger.violations().total() == 0
 
 
 def test_links_that_drop_or_hold_one_way_lose_no_request() -> None:
     schedule = "drop n0>s1 n1-s2 for 1.5 s at 1\nhold s3>n2 for 1 s at 1\ncut n3-d n4-s4 for 1 s at 1.5"
     fleet = asyncio.run(run_schedule(7, schedule, 4.0))
-    assert fleet.ledger.broken().total() == 0
+    assert fleet.ledger.violations().total() == 0
--- a/tests/rigs/test_schedule.py
+++ b/tests/rigs/test_schedule.py
@@ -36,9 +36,9 @@
     first, second = (resolve(parse_schedule(TEXT), Random(7), PARTIES) for _ in range(2))
     assert first == second
     killed = next(fault for fault in first if fault.verb == "kill")
-    servers = [name for fault in first if fault.verb in ("replace", "reuse") for name in fault.who]
+    servers = [name for fault in first if fault.verb in ("replace", "reuse") for name in fault.targets]
     assert len(servers) == len(set(servers)) == 2  # no server is replaced twice
-    assert len(killed.who) == 8 and set(killed.who) < set(PARTIES["n"])
+    assert len(killed.targets) == 8 and set(killed.targets) < set(PARTIES["n"])
 
 
 @pytest.mark.parametrize(
--- a/tests/standins/test_ledger.py
+++ b/tests/standins/test_ledger.py
@@ -12,9 +12,9 @@
 
 
 def served(ledger: Ledger, call_id: str, at: float = 10.0, cell: int = 0) -> None:
-    ledger.sends(call_id, "k", at, 3.0, True)
+    ledger.record_sent(call_id, "k", at, 3.0, True)
     ledger.runs(call_id, "s0", cell, at + 0.01, "m")
-    ledger.answered(call_id, "served", at + 0.1, "m")
+    ledger.record_answer(call_id, "served", at + 0.1, "m")
 
 
 def test_a_good_request_breaks_nothing() -> None:
--- a/tests/standins/test_link.py
+++ b/tests/standins/test_link.py
@@ -95,7 +95,7 @@
             streams = await asyncio.open_connection("127.0.0.1", link.port)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await asyncio.wait_for(streams[0].readexactly(1), 2.0)
-            link.shut()
+            link.stop_listening()
             with pytest.raises(ConnectionError):
                 await asyncio.open_connection("127.0.0.1", link.port)
 
--- a/tests/standins/test_zookeeper.py
+++ b/tests/standins/test_zookeeper.py
@@ -208,7 +208,7 @@
         loop = ensemble.expiry_task.get_loop()  # type: ignore[union-attr]
         for host in ensemble.hosts[:2]:
             loop.call_soon_threadsafe(host.stop)
-        until(lambda: one.connected and any(line.session for line in ensemble.hosts[2].lines))
+        until(lambda: one.connected and any(line.session for line in ensemble.hosts[2].connections))
         assert one.get("/mine")[1].ephemeralOwner == session
         loop.call_soon_threadsafe(ensemble.expire, session)
         until(lambda: other.connected and other.retry(other.exists, "/mine") is None)
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -40,7 +40,7 @@
     application = stage.application("a", ApplicationSettings(rate=60.0))
     await application.run(0.6)
     path = await wait_for_snapshot(program)
-    stage.give_up_open()
+    stage.mark_open_requests_lost()
     await application.settle()
     await program.kill()
     data = path.read_bytes()
@@ -119,22 +119,22 @@
             server.work_s = 0.4
         program = await stage.up(environment=environment)
         for number in range(8):
-            stage.ledger.sends(f"first{number}", f"k{number}", time.monotonic(), 3.0, True)
+            stage.ledger.record_sent(f"first{number}", f"k{number}", time.monotonic(), 3.0, True)
         first = [asyncio.create_task(ask(program, f"first{n}", f"k{n}", False)) for n in range(8)]
-        while sum(f"first{n}" in stage.ledger.ran for n in range(8)) < 8:
+        while sum(f"first{n}" in stage.ledger.executions for n in range(8)) < 8:
             await asyncio.sleep(0.01)
         await program.kill()
         assert await asyncio.gather(*first) == [0] * 8
         await program.start()
         for number in range(8):
-            stage.ledger.sends(f"second{number}", f"k{number}", time.monotonic(), 3.0, False)
+            stage.ledger.record_sent(f"second{number}", f"k{number}", time.monotonic(), 3.0, False)
         second = [ask(program, f"second{n}", f"k{n}", again) for n in range(8)]
         assert await asyncio.gather(*second) == [200] * 8
         for number in range(8):
             racks = {
                 run.cell
                 for call_id in (f"first{number}", f"second{number}")
-                for run in stage.ledger.ran[call_id]
+                for run in stage.ledger.executions[call_id]
             }
             assert len(racks) == 1, number
         await stage.down()
@@ -182,16 +182,16 @@
         facts = settings()
         facts["grades"][0]["dedupWindowNs"] = 50_000_000
         program = await stage.up(facts, environment)
-        stage.ledger.sends("first", "k", time.monotonic(), 3.0, True)
+        stage.ledger.record_sent("first", "k", time.monotonic(), 3.0, True)
         first = asyncio.create_task(ask(program, "first", "k", False))
-        while "first" not in stage.ledger.ran:
+        while "first" not in stage.ledger.executions:
             await asyncio.sleep(0.01)
         await program.kill()
         assert await first == 0
         await program.start()
-        stage.ledger.sends("second", "k", time.monotonic(), 3.0, False)
+        stage.ledger.record_sent("second", "k", time.monotonic(), 3.0, False)
         assert await ask(program, "second", "k", True) == 502
-        assert "second" not in stage.ledger.ran
+        assert "second" not in stage.ledger.executions
         await stage.down()
 
     asyncio.run(play())
