--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -44,7 +44,7 @@
         await asyncio.sleep(4.0)
         await asyncio.gather(
             stage.ask(names, "first", 90.0 / PROGRAMS, DURATION_S),
-            stage.ask(members, "storm", STORM_PER_S / len(members), DURATION_S, marked=True),
+            stage.ask(members, "storm", STORM_PER_S / len(members), DURATION_S, marks_all_as_retries=True),
         )
         await stage.settle()
     times = [at for at, _ in stage.repeats()]
--- a/rigs/budgets.py
+++ b/rigs/budgets.py
@@ -182,7 +182,7 @@
     members = {"one": names[:1], "another": names[-1:], "side": list(cut_members)}.get(act.where, names)
     if act.halve_budget:
         stage.retable(names[::2], table(PER_S / 2))
-    storm = stage.ask(members, "storm", STORM_PER_S / len(members), act.seconds, marked=True)
+    storm = stage.ask(members, "storm", STORM_PER_S / len(members), act.seconds, marks_all_as_retries=True)
     await asyncio.gather(stage.play(schedule), storm)
     if act.halve_budget:
         stage.retable(names[::2], table())
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -88,7 +88,7 @@
 class ApplicationSettings:
     """How an application sends.
 
-    `retries` follow a refusal or failure at once; with `honours` they wait for Retry-After.
+    `retries` follow a refusal or failure at once; with `respects_retry_after` they wait for Retry-After.
     """
 
     rate: float = 100.0  # first tries per second, Poisson arrivals
